--- /dev/null
+++ b/tests/golden/records_test.cpp
@@ -0,0 +1,96 @@
+// Stored records: what earlier programs stored is read, and written back, byte by byte.
+#include <gtest/gtest.h>
+
+#include "accounts/account.h"
+#include "calendar/occurrence.h"
+#include "catalog/records.h"
+#include "golden/golden_file.h"
+#include "pools/records.h"
+#include "state/records.h"
+
+namespace foxshunt::golden {
+namespace {
+
+using wire::Value;
+
+constexpr std::uint32_t kPartSize = 128;
+const JobId kJob("j-000412");
+
+TEST(GoldenRecords, Jobs) {
+  expect_read_back(
+      "records_jobs.txt",
+      {{"job", [](const Value& value) { return to_value(state::job_from(value)); }},
+       {"part", [](const Value& value) { return to_value(state::part_from(value, kPartSize)); }},
+       {"final state", [](const Value& value) { return state::over_value(state::over_from(kJob, value)); }},
+       {"term", [](const Value& value) { return to_value(state::term_from(value)); }},
+       {"machine types", [](const Value& value) { return to_value(wire::machine_types_from(value)); }}});
+}
+
+TEST(GoldenRecords, Catalog) {
+  expect_read_back("records_catalog.txt",
+                   {{"class", [](const Value& value) { return to_value(catalog::class_from(value)); }},
+                    {"calendar entry", [](const Value& value) { return to_value(catalog::calendar_from(value)); }},
+                    {"pool", [](const Value& value) { return to_value(catalog::pool_from(value)); }},
+                    {"head", [](const Value& value) { return to_value(catalog::head_from(value, Revision(77))); }},
+                    {"stage", [](const Value& value) { return to_value(catalog::stage_from(value)); }}});
+}
+
+TEST(GoldenRecords, Pools) {
+  expect_read_back("records_pools.txt",
+                   {{"members", [](const Value& value) { return to_value(pools::held_from(value)); }},
+                    {"rental", [](const Value& value) { return to_value(pools::rent_from(value)); }},
+                    {"state", [](const Value& value) { return to_value(pools::state_from(value)); }},
+                    {"images", [](const Value& value) { return to_value(pools::holds_from(value)); }},
+                    {"account", [](const Value& value) { return to_value(accounts::account_from(value)); }}});
+}
+
+TEST(GoldenRecords, Calendar) {
+  expect_read_back(
+      "records_calendar.txt",
+      {{"occurrence", [](const Value& value) { return to_value(calendar::occurrence_from(value).value()); }}});
+}
+
+// Keys are as much a part of stored data as values.
+TEST(GoldenRecords, Keys) {
+  const std::string stage = "12-00112233445566778899aabbccddeeff";
+  std::string keys;
+  for (const std::string& key : {std::string(state::kTermKey),
+                                 std::string(state::kHolderKey),
+                                 std::string(state::kTypesKey),
+                                 std::string(state::kLivePrefix),
+                                 std::string(state::kOverPrefix),
+                                 std::string(state::kLingerPrefix),
+                                 std::string(state::kPartPrefix),
+                                 std::string(state::kLeadPrefix),
+                                 state::live_key(kJob),
+                                 state::over_key(kJob),
+                                 state::linger_key(kJob),
+                                 state::part_key(kJob, 3),
+                                 std::string(catalog::kPrefix),
+                                 std::string(catalog::kHeadKey),
+                                 std::string(catalog::kItemPrefix),
+                                 std::string(catalog::kStagePrefix),
+                                 catalog::item_key({.stage = stage, .kind = catalog::Kind::job_class, .number = 4}),
+                                 catalog::item_key({.stage = stage, .kind = catalog::Kind::calendar, .number = 5}),
+                                 catalog::item_key({.stage = stage, .kind = catalog::Kind::pool, .number = 6}),
+                                 catalog::stage_key(stage),
+                                 std::string(pools::kPoolPrefix),
+                                 std::string(pools::kNextKey),
+                                 std::string(pools::kRentPrefix),
+                                 std::string(pools::kHeldPrefix),
+                                 std::string(pools::kStatePrefix),
+                                 std::string(pools::kHoldsPrefix),
+                                 pools::held_key("warm pool/a", 2),
+                                 pools::state_key("warm pool/a"),
+                                 pools::holds_key(MachineId("m-000003")),
+                                 accounts::account_key("warm pool/a", 20'000),
+                                 calendar::entry_prefix("night run"),
+                                 calendar::key_of("night run/\u00e4", 1'760'000'000'000),
+                                 calendar::key_of(std::string(300, 'x'), 1'760'000'000'000)}) {
+    keys += key + "\n";
+  }
+  expect_same("record_keys.txt", keys);
+}
+
+}  // namespace
+}  // namespace foxshunt::golden
--- /dev/null
+++ b/tests/golden/state_service_test.cpp
@@ -0,0 +1,124 @@
+// Requests to the state service as it receives them, and transactions of leadership.
+#include <gtest/gtest.h>
+
+#include <mutex>
+
+#include "golden/golden_file.h"
+#include "net/http.h"
+#include "state/client.h"
+#include "state/records.h"
+
+namespace foxshunt::golden {
+namespace {
+
+using std::chrono::milliseconds;
+using wire::Value;
+
+// Answers each request with the body given last, and writes down what it received.
+class RecordingServer {
+ public:
+  void answers(const std::string& json, int status = 200) {
+    const std::lock_guard lock(mutex_);
+    answer_ = {.status = status, .body = wire::encode(from_json(json)), .retry_after_s = {}};
+  }
+  [[nodiscard]] net::Address address() const { return server_.address(); }
+  [[nodiscard]] std::string told() const {
+    const std::lock_guard lock(mutex_);
+    return told_;
+  }
+
+ private:
+  net::HttpResponse handle(const net::HttpRequest& request) {
+    const std::lock_guard lock(mutex_);
+    told_ += request.method + " " + request.path;
+    for (const auto& [key, value] : request.query) told_ += " " + key + "=" + value;
+    told_ += "\n";
+    if (!request.body.empty()) {
+      const Value body = wire::decode(request.body);
+      told_ += "  " + to_json(body) + "\n  " + to_hex(body) + "\n";
+    }
+    return answer_;
+  }
+
+  mutable std::mutex mutex_;
+  std::string told_;
+  net::HttpResponse answer_;
+  net::HttpServer server_{net::Address{"127.0.0.1", 0}, net::ServerLimits{.connections = 4},
+                          [this](const net::HttpRequest& request) { return handle(request); }};
+};
+
+TEST(GoldenStateService, Requests) {
+  constexpr double kEnough = 1e6;
+  const auto until = net::Clock::now() + std::chrono::seconds(60);
+  RecordingServer server;
+  state::RateBudget budget(kEnough, kEnough, 1);
+  state::Client client(server.address(), budget, state::Urgency::duty);
+  std::string answers;
+
+  server.answers(R"({"mark":17,"data":{"next":3}})");
+  const state::GetResult found = client.get("live/j-000412", until);
+  answers += "get: mark " + std::to_string(found.entry.mark.number()) + " " + to_json(found.entry.data) + "\n";
+
+  server.answers(R"({"tally":20,"items":[{"k":"live/j-000412","data":"x","mark":17}],"more":false})");
+  const state::ListResult listed = client.list("live/", milliseconds(60'000));
+  answers += "list: revision " + std::to_string(listed.revision.number());
+  for (const state::Entry& entry : listed.entries) {
+    answers += " " + entry.key + " mark " + std::to_string(entry.mark.number()) + " " + to_json(entry.data);
+  }
+
+  const state::Txn txn{.conditions = {{.key = "a", .mark = Revision(4)}, {.key = "b", .mark = {}}},
+                       .changes = {{.key = "a", .data = Value(Value::Map{{"x", 1}}), .lease = state::LeaseId{9}},
+                                   {.key = "b", .data = Value("text"), .lease = {}},
+                                   {.key = "c", .data = {}, .lease = {}}}};
+  server.answers(R"({"tally":21})");
+  answers += "\ntransaction: revision " + std::to_string(client.txn(txn, until).revision.number());
+  server.answers(R"({"failed":["b"]})", 409);
+  for (const std::string& key : client.txn(txn, until).failed) answers += "\nconflict: " + key;
+
+  server.answers(R"({"tether":33})");
+  answers += "\nlease: " + std::to_string(client.grant(milliseconds(9'000), until).value().number) + "\n";
+  (void)client.touch(state::LeaseId{33}, until);
+  (void)client.revoke(state::LeaseId{33}, until);
+
+  server.answers(R"({"tally":22,"news":[{"set":"a","data":7,"mark":21},{"remove":"b","mark":22}]})");
+  const state::FollowResult followed = client.follow("live/", Revision(20), milliseconds(1'500), until);
+  answers += "watch: revision " + std::to_string(followed.revision.number());
+  for (const state::Event& event : followed.events) {
+    answers += " " + event.key + " mark " + std::to_string(event.mark.number()) + " " +
+               (event.data ? to_json(*event.data) : "removed");
+  }
+  expect_same("state_service.txt", server.told() + answers + "\n");
+}
+
+std::string text_of(const state::Txn& txn) {
+  std::string text;
+  for (const state::Condition& condition : txn.conditions) {
+    text += "if " + condition.key + " " + std::to_string(condition.mark.number()) + "\n";
+  }
+  for (const state::Change& change : txn.changes) {
+    text += "set " + change.key + " " + to_json(change.data.value()) + " " + to_hex(change.data.value());
+    if (change.lease) text += " lease " + std::to_string(change.lease->number);
+    text += "\n";
+  }
+  return text;
+}
+
+state::GetResult got(const std::string& json, std::uint64_t mark) {
+  return {.answer = state::Answer::ok, .entry = {.key = {}, .data = from_json(json), .mark = Revision(mark)}};
+}
+
+TEST(GoldenStateService, TakingTheLead) {
+  const state::GetResult nothing{.answer = state::Answer::not_found, .entry = {}};
+  std::string told;
+  const state::LeadView first = state::lead_view(nothing, nothing);
+  told += text_of(state::take_lead_txn(first, NodeName("node-0"), state::LeaseId{5}, 0));
+  const state::LeadView later = state::lead_view(got(R"({"node":"node-0","tether":5})", 8),
+                                                 got(R"({"term":7,"leader":"node-0","until":1760000000000})", 9));
+  told += "held by lease " + std::to_string(later.holder_lease) + ", others until " +
+          std::to_string(later.others_until_wall_ms) + "\n";
+  told += text_of(state::take_lead_txn(later, NodeName("node-1"), state::LeaseId{6}, 1760000009000));
+  expect_same("leadership.txt", told);
+}
+
+}  // namespace
+}  // namespace foxshunt::golden
