--- a/tests/golden/records_test.cpp
+++ b/tests/golden/records_test.cpp
@@ -1,9 +1,13 @@
 // Stored records: what earlier programs stored is read, and written back, byte by byte.
 #include <gtest/gtest.h>
 
+#include <fstream>
+#include <sstream>
+
 #include "accounts/account.h"
 #include "calendar/occurrence.h"
 #include "catalog/records.h"
+#include "catalog/xml.h"
 #include "golden/golden_file.h"
 #include "pools/records.h"
 #include "state/records.h"
@@ -92,5 +96,21 @@
   expect_same("record_keys.txt", keys);
 }
 
+// A declared set as it is stored: the digest by which controllers know it, and each item's name and bytes.
+TEST(GoldenRecords, CatalogFromXml) {
+  std::ifstream file(path_of("catalog.xml"));
+  std::ostringstream xml;
+  xml << file.rdbuf();
+  const catalog::Reading reading = catalog::read_xml(xml.str(), {});
+  ASSERT_TRUE(reading.faults.empty()) << catalog::text_of(path_of("catalog.xml"), reading.faults.front());
+  std::string stored = "digest " + catalog::digest_of(reading.set) + "\n";
+  for (const catalog::Item& item : catalog::items_of(reading.set)) {
+    stored += std::string(catalog::name_of(item.kind)) + " " + std::to_string(item.number) + " " + item.name + "\n  " +
+              to_json(item.data) + "\n  " + to_hex(item.data) + "\n";
+  }
+  expect_same("catalog_stored.txt", stored);
+  expect_same("catalog.xml", catalog::write_xml(reading.set));
+}
+
 }  // namespace
 }  // namespace foxshunt::golden
