--- a/src/calendar/keeper.cpp
+++ b/src/calendar/keeper.cpp
@@ -89,7 +89,7 @@
   if (data == nullptr) return;
   const bool listed = listed_.contains(*job);
   if (!listed && !heard_.contains(*job)) return;
-  on_read(key, {.answer = state::Answer::ok, .entry = {.key = key, .data = *data, .mark = mark}});
+  on_read(key, {.answer = kv::Answer::ok, .entry = {.key = key, .data = *data, .mark = mark}});
 }
 
 void Keeper::unlist(const std::string& key) {
@@ -313,17 +313,17 @@
   return state::over_key(next->first);
 }
 
-void Keeper::on_read(const std::string& key, const state::GetResult& result) {
+void Keeper::on_read(const std::string& key, const kv::GetResult& result) {
   const auto job = state::job_of_key(key);
   if (!job) return;
   End end = End::unknown;
-  if (result.answer == state::Answer::ok) {
+  if (result.answer == kv::Answer::ok) {
     try {
       const wire::JobStatus status = state::over_from(*job, result.entry.data);
       end = status.state == wire::JobState::done ? End::done : End::withdrawn;
     } catch (const wire::Malformed&) {  // it is over, and nobody can tell how
     }
-  } else if (result.answer != state::Answer::not_found) {
+  } else if (result.answer != kv::Answer::not_found) {
     return;
   }
   to_read_.erase(*job);
@@ -607,13 +607,13 @@
   }
 }
 
-state::Txn Keeper::txn_of(std::vector<Proposal> proposals, std::size_t changes_most) {
+kv::Txn Keeper::txn_of(std::vector<Proposal> proposals, std::size_t changes_most) {
   std::ranges::sort(proposals, {}, [](const Proposal& one) { return std::tuple(one.order, one.next.due_ms, one.key); });
-  state::Txn txn;
+  kv::Txn txn;
   std::size_t bytes = 0;
   for (const Proposal& proposal : proposals) {
     if (txn.changes.size() >= std::min(changes_most, constants::kCalendarChangesMost)) break;
-    state::Change change{.key = proposal.key, .data = {}, .lease = {}};
+    kv::Change change{.key = proposal.key, .data = {}, .lease = {}};
     if (!proposal.remove) {
       change.data = to_value(proposal.next);
       bytes += wire::json_length(*change.data);
@@ -626,7 +626,7 @@
   return txn;
 }
 
-std::optional<state::Txn> Keeper::next_write(const ledger::Jobs& jobs, ledger::Moment now, std::size_t changes_most) {
+std::optional<kv::Txn> Keeper::next_write(const ledger::Jobs& jobs, ledger::Moment now, std::size_t changes_most) {
   stamp(now.wall_ms);
   if (!pending_.empty() || changes_most == 0) return std::nullopt;
   if (decided_ && now.steady - *decided_ < constants::kCalendarWriteEvery) return std::nullopt;
@@ -649,10 +649,10 @@
   return txn_of(std::move(proposals), changes_most);
 }
 
-void Keeper::on_written(const state::Txn& txn, const state::TxnResult& result) {
-  for (const state::Change& change : txn.changes) {
+void Keeper::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
+  for (const kv::Change& change : txn.changes) {
     pending_.erase(change.key);
-    if (result.answer != state::Answer::ok) continue;
+    if (result.answer != kv::Answer::ok) continue;
     // Until the watch tells of it, what is known is older than what was written.
     const auto known = known_.find(change.key);
     const bool heard = known != known_.end() ? known->second.mark >= result.revision && change.data.has_value()
--- a/src/calendar/keeper.h
+++ b/src/calendar/keeper.h
@@ -55,9 +55,9 @@
 
   [[nodiscard]] std::string prefix() const override { return kPrefix; }
   void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
-  [[nodiscard]] std::optional<state::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
-                                                     std::size_t changes_most) override;
-  void on_written(const state::Txn& txn, const state::TxnResult& result) override;
+  [[nodiscard]] std::optional<kv::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
+                                                  std::size_t changes_most) override;
+  void on_written(const kv::Txn& txn, const kv::TxnResult& result) override;
 
   // On every node, after each word of the watch: all that was told before was told by then.
   void look(ledger::Moment now);
@@ -66,7 +66,7 @@
 
   // On the leader: a key to be read, over/<job>, and what came of it. Without an answer it is asked for again.
   [[nodiscard]] std::optional<std::string> next_read();
-  void on_read(const std::string& key, const state::GetResult& result);
+  void on_read(const std::string& key, const kv::GetResult& result);
 
   // On the leader: what its plan says of jobs.
   struct Plan {
@@ -156,7 +156,7 @@
   [[nodiscard]] Outlook outlook(const ledger::Jobs& jobs, ledger::Moment now) const;
   void say_all(std::int64_t now_ms);
   void say(const std::string& key, const Occurrence& one, std::int64_t now_ms);
-  [[nodiscard]] state::Txn txn_of(std::vector<Proposal> proposals, std::size_t changes_most);
+  [[nodiscard]] kv::Txn txn_of(std::vector<Proposal> proposals, std::size_t changes_most);
 
   InForce in_force_;
   mutable Index index_;  // of the set that was last in force
--- a/src/calendar/occurrence.cpp
+++ b/src/calendar/occurrence.cpp
@@ -169,7 +169,7 @@
   return std::nullopt;
 }
 
-state::Txn rewrite(const std::string& key, const Occurrence& one, Revision mark) {
+kv::Txn rewrite(const std::string& key, const Occurrence& one, Revision mark) {
   return {.conditions = {{.key = key, .mark = mark}}, .changes = {{.key = key, .data = to_value(one), .lease = {}}}};
 }
 
--- a/src/calendar/occurrence.h
+++ b/src/calendar/occurrence.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "catalog/model.h"
-#include "state/txn.h"
+#include "kv/txn.h"
 #include "wire/ids.h"
 #include "wire/value.h"
 
@@ -90,7 +90,7 @@
 
 // What an operator asks for, as a transaction on the condition that the record is as it was read, or why it can't be.
 struct Order {
-  std::optional<state::Txn> txn;
+  std::optional<kv::Txn> txn;
   std::string refusal;
 };
 [[nodiscard]] Order waive(const std::string& key, const Occurrence& seen, Revision mark, Word word);
--- a/src/calendar/view.h
+++ b/src/calendar/view.h
@@ -29,7 +29,7 @@
 // The transaction that a request asks for, decided from this node's records, or the status and the reason why not: 404 no
 // such occurrence, 409 it can't be, 422 the request is no good.
 struct Decision {
-  std::optional<state::Txn> txn;
+  std::optional<kv::Txn> txn;
   Revision done;  // with status 200 and no transaction: it was done already, as of here
   int status = 200;
   std::string error;
--- a/src/catalog/apply.cpp
+++ b/src/catalog/apply.cpp
@@ -11,7 +11,7 @@
 // What a change takes of a transaction besides its data: its key and the frame around both.
 constexpr std::size_t kChangeFrameBytes = 32;
 
-std::size_t bytes_of(const state::Change& change) {
+std::size_t bytes_of(const kv::Change& change) {
   return change.key.size() + kChangeFrameBytes + (change.data ? wire::json_length(*change.data) : 0);
 }
 
@@ -89,7 +89,7 @@
   if (staged_) step_ = Step::stage;
 }
 
-state::Change Writer::change_of(const Item& item) const {
+kv::Change Writer::change_of(const Item& item) const {
   return {.key = item_key({.stage = head_.now.stage(), .kind = item.kind, .number = item.number}),
           .data = item.data,
           .lease = {}};
@@ -107,10 +107,10 @@
   return found;
 }
 
-std::optional<state::Txn> Writer::next() const {
+std::optional<kv::Txn> Writer::next() const {
   if (state_ != State::writing && state_ != State::refused) return std::nullopt;
   const std::string stage = stage_key(head_.now.stage());
-  state::Txn txn;
+  kv::Txn txn;
   switch (step_) {
     case Step::whole:
       txn.conditions = {{.key = kHeadKey, .mark = mark_}};
@@ -134,17 +134,17 @@
   return txn;
 }
 
-void Writer::on_result(const state::TxnResult& result) {
+void Writer::on_result(const kv::TxnResult& result) {
   switch (result.answer) {
-    case state::Answer::ok: break;
-    case state::Answer::refused: state_ = State::refused; return;
-    case state::Answer::conflict: {
+    case kv::Answer::ok: break;
+    case kv::Answer::refused: state_ = State::refused; return;
+    case kv::Answer::conflict: {
       const bool stage_alone =
           step_ == Step::stage && std::ranges::find(result.failed, kHeadKey) == result.failed.end();
       state_ = stage_alone ? State::wants_stage : State::conflict;
       return;
     }
-    case state::Answer::none: state_ = State::unknown; return;
+    case kv::Answer::none: state_ = State::unknown; return;
     default: state_ = State::rejected; return;
   }
   state_ = State::writing;
--- a/src/catalog/apply.h
+++ b/src/catalog/apply.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "catalog/records.h"
-#include "state/txn.h"
+#include "kv/txn.h"
 
 namespace foxshunt::catalog {
 
@@ -63,8 +63,8 @@
   [[nodiscard]] bool staged() const { return staged_; }
   [[nodiscard]] const Edition& edition() const { return head_.now; }
   // What to send now; nothing unless writing or refused.
-  [[nodiscard]] std::optional<state::Txn> next() const;
-  void on_result(const state::TxnResult& result);
+  [[nodiscard]] std::optional<kv::Txn> next() const;
+  void on_result(const kv::TxnResult& result);
   // The record of the stage as it was read (0: it is gone), and the keys of items that were found after that. What was
   // there beside the record stays as long as the record does, so that a large set may be written by several requests.
   void on_stage(Revision mark, const std::set<std::string>& there);
@@ -73,7 +73,7 @@
   enum class Step : std::uint8_t { whole, stage, items, head };
 
   [[nodiscard]] std::vector<std::size_t> portion() const;  // of items that are not written yet
-  [[nodiscard]] state::Change change_of(const Item& item) const;
+  [[nodiscard]] kv::Change change_of(const Item& item) const;
 
   Head head_;
   Revision mark_;
--- a/src/catalog/founder.cpp
+++ b/src/catalog/founder.cpp
@@ -90,7 +90,7 @@
   }
 }
 
-std::optional<state::Txn> Founder::next_write(const ledger::Jobs&, ledger::Moment now, std::size_t changes_most) {
+std::optional<kv::Txn> Founder::next_write(const ledger::Jobs&, ledger::Moment now, std::size_t changes_most) {
   if (set_ == nullptr || types_wanted_ || changes_most == 0) return std::nullopt;
   if (failed_) {
     pause_until_ = now.steady + constants::kCatalogSweepPause;
@@ -113,16 +113,16 @@
   return writer.next();
 }
 
-void Founder::on_written(const state::Txn& txn, const state::TxnResult& result) {
-  if (result.answer != state::Answer::ok) {
+void Founder::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
+  if (result.answer != kv::Answer::ok) {
     failed_ = true;
-    if (result.answer != state::Answer::rejected) return;
+    if (result.answer != kv::Answer::rejected) return;
     spdlog::error("founding set is no good, goes on without: {}: the state service does not take it", file_);
     give_up();
     return;
   }
   // Told by the watch as well, later: what was written is not to be written again.
-  for (const state::Change& change : txn.changes) {
+  for (const kv::Change& change : txn.changes) {
     if (change.key == kHeadKey) {
       spdlog::info("founding set in force file=\"{}\" version=1 revision={} digest={}", file_, result.revision.number(),
                    digest_);
@@ -130,7 +130,7 @@
       return;
     }
   }
-  for (const state::Change& change : txn.changes) {
+  for (const kv::Change& change : txn.changes) {
     on_change(change.key, change.data ? &*change.data : nullptr, result.revision);
   }
 }
--- a/src/catalog/session.cpp
+++ b/src/catalog/session.cpp
@@ -22,17 +22,17 @@
 void drive(Store& store, Writer& writer) {
   while (true) {
     if (writer.state() == Writer::State::wants_stage) {
-      const state::GetResult stage = store.get(stage_key(writer.edition().stage()));
-      state::ListResult items;
-      if (stage.answer == state::Answer::ok) {
+      const kv::GetResult stage = store.get(stage_key(writer.edition().stage()));
+      kv::ListResult items;
+      if (stage.answer == kv::Answer::ok) {
         items = store.list(kItemPrefix + writer.edition().stage() + "/");
-        if (items.answer != state::Answer::ok) return;
-      } else if (stage.answer != state::Answer::not_found) {
+        if (items.answer != kv::Answer::ok) return;
+      } else if (stage.answer != kv::Answer::not_found) {
         return;
       }
       std::set<std::string> there;
-      for (const state::Entry& entry : items.entries) there.insert(entry.key);
-      writer.on_stage(stage.answer == state::Answer::ok ? stage.entry.mark : Revision(0), there);
+      for (const kv::Entry& entry : items.entries) there.insert(entry.key);
+      writer.on_stage(stage.answer == kv::Answer::ok ? stage.entry.mark : Revision(0), there);
       continue;
     }
     if (writer.state() == Writer::State::refused && !store.pause()) return;
@@ -46,10 +46,10 @@
 
 HeadLook look_at_head(Store& store) {
   HeadLook look;
-  const state::GetResult got = store.get(kHeadKey);
-  if (got.answer == state::Answer::not_found) {
+  const kv::GetResult got = store.get(kHeadKey);
+  if (got.answer == kv::Answer::not_found) {
     look.found = HeadLook::Found::read;
-  } else if (got.answer == state::Answer::ok) {
+  } else if (got.answer == kv::Answer::ok) {
     look.mark = got.entry.mark;
     try {
       look.head = head_from(got.entry.data, got.entry.mark);
@@ -65,11 +65,11 @@
 
 SetLook look_at_set(Store& store, const Edition& edition) {
   SetLook look;
-  const state::ListResult list = store.list(kItemPrefix + edition.stage() + "/");
-  if (list.answer != state::Answer::ok) return look;
+  const kv::ListResult list = store.list(kItemPrefix + edition.stage() + "/");
+  if (list.answer != kv::Answer::ok) return look;
   look.found = SetLook::Found::unreadable;
   Items items;
-  for (const state::Entry& entry : list.entries) {
+  for (const kv::Entry& entry : list.entries) {
     const std::uint64_t* form = entry.data["form"].as_count();
     const auto key = item_key_from(entry.key);
     if (form != nullptr && *form > (key ? newest_form(key->kind) : kForm)) {
--- a/src/catalog/session.h
+++ b/src/catalog/session.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "catalog/apply.h"
-#include "state/txn.h"
+#include "kv/txn.h"
 
 namespace foxshunt::catalog {
 
@@ -14,9 +14,9 @@
 class Store {
  public:
   virtual ~Store() = default;
-  [[nodiscard]] virtual state::GetResult get(const std::string& key) = 0;
-  [[nodiscard]] virtual state::ListResult list(const std::string& prefix) = 0;
-  [[nodiscard]] virtual state::TxnResult txn(const state::Txn& txn) = 0;
+  [[nodiscard]] virtual kv::GetResult get(const std::string& key) = 0;
+  [[nodiscard]] virtual kv::ListResult list(const std::string& prefix) = 0;
+  [[nodiscard]] virtual kv::TxnResult txn(const kv::Txn& txn) = 0;
   // Before something is tried again; false: the time is over.
   [[nodiscard]] virtual bool pause() = 0;
 };
--- a/src/catalog/sweeper.cpp
+++ b/src/catalog/sweeper.cpp
@@ -52,7 +52,7 @@
   if (known->second.empty()) stages_.erase(known);
 }
 
-std::optional<state::Txn> Sweeper::next_write(const ledger::Jobs&, ledger::Moment now, std::size_t changes_most) {
+std::optional<kv::Txn> Sweeper::next_write(const ledger::Jobs&, ledger::Moment now, std::size_t changes_most) {
   if (!head_readable_ || stages_.empty() || changes_most == 0) return std::nullopt;
   if (failed_) {
     pause_until_ = now.steady + constants::kCatalogSweepPause;
@@ -66,11 +66,11 @@
     if (stage.mark != Revision(0)) {
       const bool over = *version_of_stage(name) <= taken;
       if (!over && now.wall_ms - stage.wall_ms <= constants::kCatalogStagedKeptMs) continue;
-      return state::Txn{.conditions = {{.key = record, .mark = stage.mark}},
-                        .changes = {{.key = record, .data = {}, .lease = {}}}};
+      return kv::Txn{.conditions = {{.key = record, .mark = stage.mark}},
+                     .changes = {{.key = record, .data = {}, .lease = {}}}};
     }
-    state::Txn txn{.conditions = {{.key = kHeadKey, .mark = head_mark_}, {.key = record, .mark = Revision(0)}},
-                   .changes = {}};
+    kv::Txn txn{.conditions = {{.key = kHeadKey, .mark = head_mark_}, {.key = record, .mark = Revision(0)}},
+                .changes = {}};
     for (const auto& [item, unused] : stage.items) {
       if (txn.changes.size() == changes_most) break;
       txn.changes.push_back({.key = item, .data = {}, .lease = {}});
@@ -80,13 +80,13 @@
   return std::nullopt;
 }
 
-void Sweeper::on_written(const state::Txn& txn, const state::TxnResult& result) {
-  if (result.answer != state::Answer::ok) {
+void Sweeper::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
+  if (result.answer != kv::Answer::ok) {
     failed_ = true;
     return;
   }
   // Told by the watch as well, later: not to be asked for twice. What was written anew meanwhile stays known.
-  for (const state::Change& change : txn.changes) {
+  for (const kv::Change& change : txn.changes) {
     const auto item = item_key_from(change.key);
     const std::string stage =
         item ? item->stage : change.key.substr(std::min(change.key.size(), std::string_view(kStagePrefix).size()));
--- a/src/catalog/sweeper.h
+++ b/src/catalog/sweeper.h
@@ -17,9 +17,9 @@
  public:
   void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
   [[nodiscard]] std::string prefix() const override { return kPrefix; }
-  [[nodiscard]] std::optional<state::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
-                                                     std::size_t changes_most) override;
-  void on_written(const state::Txn& txn, const state::TxnResult& result) override;
+  [[nodiscard]] std::optional<kv::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
+                                                  std::size_t changes_most) override;
+  void on_written(const kv::Txn& txn, const kv::TxnResult& result) override;
 
  private:
   struct Stage {
--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -22,7 +22,7 @@
 #include "preempt/preempt.h"
 #include "inventory/machine_inventory.h"
 #include "standby/picture.h"
-#include "state/client.h"
+#include "kv/client.h"
 #include "state/records.h"
 #include "wire/messages.h"
 #include "jobs/job_table.h"
@@ -54,9 +54,9 @@
   Term term;
   Revision term_mark;
   Instant others_until;  // until then older leaders may still renew workers' leases
-  std::vector<state::Entry> live;
-  std::vector<state::Entry> linger;
-  std::vector<state::Entry> parts;
+  std::vector<kv::Entry> live;
+  std::vector<kv::Entry> linger;
+  std::vector<kv::Entry> parts;
   std::int64_t wall_ms = 0;  // now, by the time of day
 };
 
@@ -114,13 +114,12 @@
   void on_job_record(const JobId& job, const wire::Value& record, Revision mark, std::int64_t wall_ms, Instant now);
   void on_job_removed(const JobId& job, Instant now);
   // All of live/, as a read found it that began in that term. False if this lead is another one: it knows better.
-  [[nodiscard]] bool on_job_list(Term read_in, const std::vector<state::Entry>& live, std::int64_t wall_ms,
-                                 Instant now);
+  [[nodiscard]] bool on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now);
   [[nodiscard]] std::optional<jobs::Reload> next_reload() const { return jobs_.next_reload(); }
   // What a fresh read of the record found.
   void on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now);
   [[nodiscard]] std::optional<WriteBatch> begin_write(Instant now);
-  void end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now);
+  void end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
 
   // ---- catalog ----
   // The set in force, and the time of day.
--- a/src/control/engine_records.cpp
+++ b/src/control/engine_records.cpp
@@ -52,7 +52,7 @@
     };
     planner_.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
   }
-  const auto load = [&](const state::Entry& entry, bool withdrawn) {
+  const auto load = [&](const kv::Entry& entry, bool withdrawn) {
     try {
       Job& job = add_job(state::job_from(entry.data), entry.mark, takeover.wall_ms, now);
       if (withdrawn) job.withdrawn = true;
@@ -62,13 +62,13 @@
   };
   // What lingers is read last, and a job that its user withdraws meanwhile is in both: taken in twice its tasks would
   // count twice for the team's limit, and once more than they can be proved gone.
-  for (const state::Entry& entry : takeover.linger) load(entry, true);
-  for (const state::Entry& entry : takeover.live) {
+  for (const kv::Entry& entry : takeover.linger) load(entry, true);
+  for (const kv::Entry& entry : takeover.live) {
     const auto id = state::job_of_key(entry.key);
     if (kept(Guard::adopted_once) && id && jobs_.find(*id) != jobs_.end()) continue;
     load(entry, false);
   }
-  for (const state::Entry& entry : takeover.parts) {
+  for (const kv::Entry& entry : takeover.parts) {
     const auto id = state::job_of_key(entry.key);
     const auto number = state::part_of_key(entry.key);
     const auto known = id ? jobs_.find(*id) : jobs_.end();
@@ -190,11 +190,11 @@
   withdraw(*job, now);
 }
 
-bool Engine::on_job_list(Term read_in, const std::vector<state::Entry>& live, std::int64_t wall_ms, Instant now) {
+bool Engine::on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now) {
   // Read in an earlier lead, it lacks what was accepted since, which would be taken for withdrawn and never run.
   if (!leading_ || (kept(Guard::list_term) && read_in != term_)) return false;
   std::set<JobId> there;
-  for (const state::Entry& entry : live) {
+  for (const kv::Entry& entry : live) {
     const auto id = state::job_of_key(entry.key);
     if (!id) continue;
     there.insert(*id);
@@ -227,13 +227,13 @@
   return jobs_.begin_write(term_mark_, settings_.state_txn_ops, now);
 }
 
-void Engine::end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now) {
+void Engine::end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now) {
   // The answer to an earlier lead's write tells nothing of this one: that its condition on the term failed is no reason to
   // give this lead up, and the job table that it was built from is gone.
   if (!leading_ || (kept(Guard::write_earlier_lead) && batch.term_mark != term_mark_)) return;
   ++counters_.writes;
-  if (result.answer != state::Answer::ok) ++counters_.writes_failed;
-  if (result.answer == state::Answer::conflict &&
+  if (result.answer != kv::Answer::ok) ++counters_.writes_failed;
+  if (result.answer == kv::Answer::conflict &&
       std::ranges::find(result.failed, state::kTermKey) != result.failed.end()) {
     on_term_conflict(batch.term_mark);
     return;
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -337,7 +337,7 @@
   return batch;
 }
 
-std::vector<Job> JobTable::end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now) {
+std::vector<Job> JobTable::end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now) {
   std::vector<Job> erased;
   const auto failed = [&](const std::string& key) {
     return std::ranges::find(result.failed, key) != result.failed.end();
@@ -349,13 +349,13 @@
     const std::uint32_t number = item.kind == WriteItem::Kind::update ? item.part : 0;
     Part& part = job.parts[number];
     part.in_flight = false;
-    if (result.answer != state::Answer::ok) {
+    if (result.answer != kv::Answer::ok) {
       part.dirty = true;
       dirty_.insert({item.job, number});
       // Without an answer the write may be applied yet. The next write is conditioned on the same mark, so
       // that one of the two fails, and a start command waits for a write that is known to have succeeded.
       if (item.kind == WriteItem::Kind::forget) continue;
-      if (result.answer != state::Answer::conflict || !kept(Guard::write_reload)) continue;
+      if (result.answer != kv::Answer::conflict || !kept(Guard::write_reload)) continue;
       if (failed(state::live_key(item.job)) || failed(state::over_key(item.job))) job.reload = true;
       if (failed(state::part_key(item.job, number))) part.reload = true;
       continue;
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -16,7 +16,7 @@
 #include "plan/planner.h"
 #include "inventory/machine_inventory.h"
 #include "state/records.h"
-#include "state/txn.h"
+#include "kv/txn.h"
 #include "wire/ids.h"
 #include "wire/messages.h"
 
@@ -117,7 +117,7 @@
 struct WriteBatch {
   Revision term_mark;  // of the lead from whose job table it is built
   std::vector<WriteItem> items;
-  state::Txn txn;
+  kv::Txn txn;
 };
 
 class JobTable {
@@ -173,7 +173,7 @@
   // record.
   [[nodiscard]] std::optional<WriteBatch> begin_write(Revision term_mark, std::size_t ops_most, Instant now);
   // Jobs that nothing is left of, in memory and in the records, are given back.
-  std::vector<Job> end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now);
+  std::vector<Job> end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
 
   // The first inconsistency of the table, in words; for tests.
   [[nodiscard]] std::optional<std::string> disagreement(const inventory::MachineInventory& machines) const;
--- a/src/state/budget.cpp
+++ b/src/kv/budget.cpp
@@ -1,11 +1,11 @@
-#include "state/budget.h"
+#include "kv/budget.h"
 
 #include <algorithm>
 #include <thread>
 
 #include "config/constants.h"
 
-namespace foxshunt::state {
+namespace foxshunt::kv {
 
 RateBudget::RateBudget(double requests_per_s, double changes_per_s, double share)
     : requests_per_s_(requests_per_s),
@@ -63,4 +63,4 @@
   changes_ = std::min(changes_, 0.0);
 }
 
-}  // namespace foxshunt::state
+}  // namespace foxshunt::kv
--- a/src/state/budget.h
+++ b/src/kv/budget.h
@@ -6,7 +6,7 @@
 #include <condition_variable>
 #include <mutex>
 
-namespace foxshunt::state {
+namespace foxshunt::kv {
 
 enum class Urgency { duty, user };  // users' polls leave a reserve to leadership, records and leases
 
@@ -35,4 +35,4 @@
   Clock::time_point last_;
 };
 
-}  // namespace foxshunt::state
+}  // namespace foxshunt::kv
--- a/src/state/client.cpp
+++ b/src/kv/client.cpp
@@ -1,10 +1,10 @@
-#include "state/client.h"
+#include "kv/client.h"
 
 #include <spdlog/spdlog.h>
 
 #include "config/constants.h"
 
-namespace foxshunt::state {
+namespace foxshunt::kv {
 namespace {
 
 Answer answer_of(int status) {
@@ -173,4 +173,4 @@
   return result;
 }
 
-}  // namespace foxshunt::state
+}  // namespace foxshunt::kv
--- a/src/state/client.h
+++ b/src/kv/client.h
@@ -9,12 +9,12 @@
 #include <vector>
 
 #include "net/http.h"
-#include "state/budget.h"
-#include "state/txn.h"
+#include "kv/budget.h"
+#include "kv/txn.h"
 #include "wire/ids.h"
 #include "wire/value.h"
 
-namespace foxshunt::state {
+namespace foxshunt::kv {
 
 // Not to be shared between threads; the budget is.
 class Client {
@@ -46,4 +46,4 @@
   Urgency urgency_;
 };
 
-}  // namespace foxshunt::state
+}  // namespace foxshunt::kv
--- a/src/state/txn.h
+++ b/src/kv/txn.h
@@ -9,7 +9,7 @@
 #include "wire/ids.h"
 #include "wire/value.h"
 
-namespace foxshunt::state {
+namespace foxshunt::kv {
 
 enum class Answer {
   ok,
@@ -76,4 +76,4 @@
   std::vector<Event> events;
 };
 
-}  // namespace foxshunt::state
+}  // namespace foxshunt::kv
--- a/src/ledger/comparison.cpp
+++ b/src/ledger/comparison.cpp
@@ -8,11 +8,11 @@
   if (data == nullptr) removed_.insert(key);
 }
 
-std::vector<std::string> Comparison::differences(const Ledger& ledger, const std::vector<state::Entry>& entries,
+std::vector<std::string> Comparison::differences(const Ledger& ledger, const std::vector<kv::Entry>& entries,
                                                  Revision from) const {
   std::vector<std::string> found;
   std::set<std::string_view> there;
-  for (const state::Entry& entry : entries) {
+  for (const kv::Entry& entry : entries) {
     there.insert(entry.key);
     const Record* known = ledger.find(entry.key);
     if (known == nullptr ? !removed_.contains(entry.key) : known->mark < entry.mark) found.push_back(entry.key);
--- a/src/ledger/comparison.h
+++ b/src/ledger/comparison.h
@@ -18,7 +18,7 @@
 
   // Keys that can't be explained by changes under way: the ledger is behind what was read, lacks a key that nobody
   // removed, or holds one that was gone before the read. `from`: the revision before the read's first page.
-  [[nodiscard]] std::vector<std::string> differences(const Ledger& ledger, const std::vector<state::Entry>& entries,
+  [[nodiscard]] std::vector<std::string> differences(const Ledger& ledger, const std::vector<kv::Entry>& entries,
                                                      Revision from) const;
 
  private:
--- a/src/ledger/keeper.h
+++ b/src/ledger/keeper.h
@@ -9,7 +9,7 @@
 
 #include "ledger/jobs.h"
 #include "ledger/ledger.h"
-#include "state/txn.h"
+#include "kv/txn.h"
 
 namespace foxshunt::ledger {
 
@@ -26,11 +26,10 @@
   // What to write now, if anything: asked of the leader alone, once its ledger is whole and at or beyond the revision of
   // its term; one at a time. The conditions name the records it was decided from; the leader's term is added to them,
   // so that two leaders never write the same. At most `changes_most` changes.
-  [[nodiscard]] virtual std::optional<state::Txn> next_write(const Jobs& jobs, Moment now,
-                                                             std::size_t changes_most) = 0;
+  [[nodiscard]] virtual std::optional<kv::Txn> next_write(const Jobs& jobs, Moment now, std::size_t changes_most) = 0;
   // The outcome. Without an answer the write may have been executed, or may be yet: what it wrote comes by on_change,
   // and what is tried again names the same revisions, so that one of the two fails.
-  virtual void on_written(const state::Txn& txn, const state::TxnResult& result) = 0;
+  virtual void on_written(const kv::Txn& txn, const kv::TxnResult& result) = 0;
 };
 
 }  // namespace foxshunt::ledger
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -35,15 +35,15 @@
   for (Reader* reader : readers_) reader->on_change(key, data, mark);
 }
 
-void Ledger::read(const std::vector<state::Entry>& entries, Revision from) {
-  std::map<std::string_view, const state::Entry*> there;
-  for (const state::Entry& entry : entries) there.emplace(entry.key, &entry);
+void Ledger::read(const std::vector<kv::Entry>& entries, Revision from) {
+  std::map<std::string_view, const kv::Entry*> there;
+  for (const kv::Entry& entry : entries) there.emplace(entry.key, &entry);
   std::vector<std::string> gone;
   for (const auto& [key, unused] : records_) {
     if (!there.contains(key)) gone.push_back(key);
   }
   for (const std::string& key : gone) change(key, nullptr, from);
-  for (const state::Entry& entry : entries) {
+  for (const kv::Entry& entry : entries) {
     const Record* known = find(entry.key);
     if (known == nullptr || known->mark != entry.mark) change(entry.key, &entry.data, entry.mark);
   }
@@ -51,9 +51,9 @@
   whole_ = false;
 }
 
-void Ledger::heard(const std::vector<state::Event>& events, Revision upto) {
+void Ledger::heard(const std::vector<kv::Event>& events, Revision upto) {
   // The pages of a cold read may be newer than the revision it began at: a key is never taken back to an older change.
-  for (const state::Event& event : events) {
+  for (const kv::Event& event : events) {
     if (event.mark <= revision_) continue;
     const Record* known = find(event.key);
     if (known != nullptr && known->mark >= event.mark) continue;
@@ -82,9 +82,9 @@
   return sum;
 }
 
-std::uint64_t digest_of(const std::vector<state::Entry>& entries) {
+std::uint64_t digest_of(const std::vector<kv::Entry>& entries) {
   std::uint64_t sum = 0;
-  for (const state::Entry& entry : entries) sum += hash_of(entry.key, entry.mark);
+  for (const kv::Entry& entry : entries) sum += hash_of(entry.key, entry.mark);
   return sum;
 }
 
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "state/txn.h"
+#include "kv/txn.h"
 #include "wire/ids.h"
 
 namespace foxshunt::ledger {
@@ -41,9 +41,9 @@
 
   // A cold read of all kept prefixes replaces what is held. A read of several pages is no picture of one moment: `from`
   // is the revision before its first page, from which the watch goes on.
-  void read(const std::vector<state::Entry>& entries, Revision from);
+  void read(const std::vector<kv::Entry>& entries, Revision from);
   // Changes that a watch told, up to and including `upto`. What is known already is passed over.
-  void heard(const std::vector<state::Event>& events, Revision upto);
+  void heard(const std::vector<kv::Event>& events, Revision upto);
 
   // All changes up to here are in it. 0 before the first cold read.
   [[nodiscard]] Revision revision() const { return revision_; }
@@ -69,6 +69,6 @@
 };
 
 // The digest of entries as a cold read finds them, to be compared with Ledger::digest.
-[[nodiscard]] std::uint64_t digest_of(const std::vector<state::Entry>& entries);
+[[nodiscard]] std::uint64_t digest_of(const std::vector<kv::Entry>& entries);
 
 }  // namespace foxshunt::ledger
--- a/src/node/calendar.cpp
+++ b/src/node/calendar.cpp
@@ -5,7 +5,7 @@
 
 #include "config/constants.h"
 #include "node/front.h"
-#include "state/client.h"
+#include "kv/client.h"
 
 namespace foxshunt::node {
 namespace {
@@ -58,13 +58,13 @@
   };
   if (!decision.txn && decision.status == 200) return done(decision.done);
   if (!decision.txn) return plain_error(decision.status, decision.error);
-  state::Client client(context.state_address, context.budget, state::Urgency::user);
-  const state::TxnResult result = client.txn(*decision.txn, net::Clock::now() + constants::kStateCallLimit);
-  if (result.answer == state::Answer::conflict) {
+  kv::Client client(context.state_address, context.budget, kv::Urgency::user);
+  const kv::TxnResult result = client.txn(*decision.txn, net::Clock::now() + constants::kStateCallLimit);
+  if (result.answer == kv::Answer::conflict) {
     return plain_error(409, "it was changed meanwhile: look again before you repeat it");
   }
   // Without an answer it may have been done; asked again, that is seen.
-  if (result.answer != state::Answer::ok) return come_back("the state service can't take it now");
+  if (result.answer != kv::Answer::ok) return come_back("the state service can't take it now");
   return done(result.revision);
 }
 
--- a/src/node/catalog.cpp
+++ b/src/node/catalog.cpp
@@ -10,7 +10,7 @@
 #include "calendar/civil.h"
 #include "config/constants.h"
 #include "node/front.h"
-#include "state/client.h"
+#include "kv/client.h"
 
 namespace foxshunt::node {
 
@@ -25,15 +25,15 @@
  public:
   explicit StateStore(Context& context)
       : context_(context),
-        client_(context.state_address, context.budget, state::Urgency::user),
+        client_(context.state_address, context.budget, kv::Urgency::user),
         until_(net::Clock::now() + constants::kCatalogCallLimit) {}
 
-  state::GetResult get(const std::string& key) override { return heard(client_.get(key, until_)); }
-  state::ListResult list(const std::string& prefix) override {
+  kv::GetResult get(const std::string& key) override { return heard(client_.get(key, until_)); }
+  kv::ListResult list(const std::string& prefix) override {
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until_ - net::Clock::now());
     return heard(client_.list(prefix, std::max(left, std::chrono::milliseconds(1))));
   }
-  state::TxnResult txn(const state::Txn& txn) override { return heard(client_.txn(txn, until_)); }
+  kv::TxnResult txn(const kv::Txn& txn) override { return heard(client_.txn(txn, until_)); }
   bool pause() override {
     std::this_thread::sleep_for(constants::kCatalogRetryPause);
     return net::Clock::now() < until_;
@@ -42,12 +42,12 @@
  private:
   template <typename Result>
   Result heard(Result result) {
-    if (result.answer != state::Answer::none) context_.heard_state();
+    if (result.answer != kv::Answer::none) context_.heard_state();
     return result;
   }
 
   Context& context_;
-  state::Client client_;
+  kv::Client client_;
   net::Deadline until_;
 };
 
--- a/src/node/cloud.cpp
+++ b/src/node/cloud.cpp
@@ -16,7 +16,7 @@
 CloudDuty::CloudDuty(Context& context)
     : context_(context),
       http_(context.cloud_address, constants::kCloudCallLimit),
-      state_(context.state_address, context.budget, state::Urgency::duty) {}
+      state_(context.state_address, context.budget, kv::Urgency::duty) {}
 
 CloudDuty::Answer CloudDuty::call(const std::string& method, const std::string& path, const wire::Value* body) {
   // Calls are spaced, as several nodes may ask for types at once.
@@ -49,8 +49,8 @@
 }
 
 void CloudDuty::read_types() {
-  const state::GetResult kept = state_.get(state::kTypesKey, net::Clock::now() + constants::kStateCallLimit);
-  if (kept.answer != state::Answer::ok) return;
+  const kv::GetResult kept = state_.get(state::kTypesKey, net::Clock::now() + constants::kStateCallLimit);
+  if (kept.answer != kv::Answer::ok) return;
   context_.heard_state();
   try {
     publish_types(wire::machine_types_from(kept.entry.data));
@@ -78,9 +78,9 @@
     if (types.empty()) throw wire::Malformed("no types");
     publish_types(types);
     if (!published_) {
-      state::Txn txn;
+      kv::Txn txn;
       txn.changes = {{.key = state::kTypesKey, .data = wire::to_value(types), .lease = {}}};
-      published_ = state_.txn(txn, net::Clock::now() + constants::kStateCallLimit).answer == state::Answer::ok;
+      published_ = state_.txn(txn, net::Clock::now() + constants::kStateCallLimit).answer == kv::Answer::ok;
     }
     return true;
   } catch (const wire::Malformed& error) {
--- a/src/node/cloud.h
+++ b/src/node/cloud.h
@@ -3,7 +3,7 @@
 
 #include "net/http.h"
 #include "node/context.h"
-#include "state/client.h"
+#include "kv/client.h"
 
 namespace foxshunt::node {
 
@@ -27,7 +27,7 @@
 
   Context& context_;
   net::HttpClient http_;
-  state::Client state_;
+  kv::Client state_;
   net::Clock::time_point next_call_;
   net::Clock::time_point next_list_;
   net::Clock::time_point next_types_;
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -13,7 +13,7 @@
 #include "node/shared.h"
 #include "node/standby.h"
 #include "health/health.h"
-#include "state/budget.h"
+#include "kv/budget.h"
 
 namespace foxshunt::node {
 
@@ -45,7 +45,7 @@
   config::Settings settings;
   net::Address state_address;
   net::Address cloud_address;
-  state::RateBudget budget;
+  kv::RateBudget budget;
   const net::Clock::time_point began = net::Clock::now();
   Tallies tallies;
 
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -22,7 +22,7 @@
 
 Front::Front(Context& context)
     : context_(context), clients_(constants::kFrontClients, [&context] {
-        return std::make_unique<state::Client>(context.state_address, context.budget, state::Urgency::user);
+        return std::make_unique<kv::Client>(context.state_address, context.budget, kv::Urgency::user);
       }) {}
 
 user_api::Known Front::known() {
@@ -37,12 +37,12 @@
   if (loan.get() == nullptr) return come_back("too many requests under way");
   while (request.reply() == nullptr) {
     if (const auto* read = std::get_if<user_api::Request::Read>(&request.step())) {
-      const state::GetResult found = loan.get()->get(read->key, until);
-      if (found.answer == state::Answer::ok || found.answer == state::Answer::not_found) context_.heard_state();
+      const kv::GetResult found = loan.get()->get(read->key, until);
+      if (found.answer == kv::Answer::ok || found.answer == kv::Answer::not_found) context_.heard_state();
       request.on_read(found);
     } else {
-      const state::TxnResult result = loan.get()->txn(std::get<state::Txn>(request.step()), until);
-      if (result.answer == state::Answer::ok) context_.heard_state();
+      const kv::TxnResult result = loan.get()->txn(std::get<kv::Txn>(request.step()), until);
+      if (result.answer == kv::Answer::ok) context_.heard_state();
       request.on_written(result);
     }
   }
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -7,7 +7,7 @@
 #include "net/http.h"
 #include "node/context.h"
 #include "node/pool.h"
-#include "state/client.h"
+#include "kv/client.h"
 #include "user_api/request.h"
 
 namespace foxshunt::node {
@@ -23,7 +23,7 @@
 
  private:
   // State clients, each for one request; they are few, so that users can't take all sockets.
-  using Clients = Pool<state::Client>;
+  using Clients = Pool<kv::Client>;
 
   [[nodiscard]] user_api::Known known();
   net::HttpResponse serve(user_api::Request request);
--- a/src/node/leadership.cpp
+++ b/src/node/leadership.cpp
@@ -11,7 +11,7 @@
 
 namespace foxshunt::node {
 
-using state::Answer;
+using kv::Answer;
 
 namespace {
 
@@ -26,12 +26,12 @@
 // ---- LeaderDuty ----
 
 LeaderDuty::LeaderDuty(Context& context)
-    : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
+    : context_(context), client_(context.state_address, context.budget, kv::Urgency::duty) {}
 
 std::optional<state::LeadView> LeaderDuty::look() {
-  const state::GetResult holder = client_.get(state::kHolderKey, call_limit());
+  const kv::GetResult holder = client_.get(state::kHolderKey, call_limit());
   if (!answered(holder.answer)) return std::nullopt;
-  const state::GetResult term = client_.get(state::kTermKey, call_limit());
+  const kv::GetResult term = client_.get(state::kTermKey, call_limit());
   if (!answered(term.answer)) return std::nullopt;
   context_.heard_state();
   return state::lead_view(holder, term);
@@ -92,8 +92,8 @@
 void LeaderDuty::watch(const std::stop_token& stop, const state::LeadView& view) {
   Revision from = std::max(view.holder_mark, view.term_mark);
   while (!stop.stop_requested()) {
-    const state::FollowResult news = client_.follow(state::kLeadPrefix, from, constants::kLeaderWatchHold,
-                                                    call_limit() + constants::kLeaderWatchHold);
+    const kv::FollowResult news = client_.follow(state::kLeadPrefix, from, constants::kLeaderWatchHold,
+                                                 call_limit() + constants::kLeaderWatchHold);
     if (news.answer != Answer::ok) {
       pause(stop, constants::kStateRetryPause);
       return;
@@ -114,7 +114,7 @@
   const plan::Instant asked = now();
   const std::int64_t until = state::others_until(view, wall_ms(), control::fence_span(context_.settings).count(),
                                                  static_cast<std::int64_t>(context_.settings.skew_ms));
-  state::TxnResult result = client_.txn(state::take_lead_txn(view, self, lease_, until), call_limit());
+  kv::TxnResult result = client_.txn(state::take_lead_txn(view, self, lease_, until), call_limit());
   if (result.answer == Answer::none) {
     const auto there = look();
     // An earlier life may have taken the same term just before it ended, by a lease that nobody renews.
@@ -135,13 +135,13 @@
     const plan::Instant sent = now();
     if (client_.touch(lease_, call_limit()) == Answer::ok) renewed = sent;
   };
-  state::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit, renew);
+  kv::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit, renew);
   if (live.answer != Answer::ok) return false;
   renew();
-  state::ListResult linger = client_.list(state::kLingerPrefix, constants::kStateCallLimit, renew);
+  kv::ListResult linger = client_.list(state::kLingerPrefix, constants::kStateCallLimit, renew);
   if (linger.answer != Answer::ok) return false;
   renew();
-  state::ListResult parts = client_.list(state::kPartPrefix, constants::kStateCallLimit, renew);
+  kv::ListResult parts = client_.list(state::kPartPrefix, constants::kStateCallLimit, renew);
   if (parts.answer != Answer::ok) return false;
   picture = {.live = std::move(live.entries),
              .linger = std::move(linger.entries),
@@ -165,7 +165,7 @@
     return false;
   }
   if (!picture.term) {
-    const state::GetResult record = client_.get(state::kTermKey, call_limit());
+    const kv::GetResult record = client_.get(state::kTermKey, call_limit());
     if (record.answer != Answer::ok) return false;
     picture.term = record.entry;
   }
@@ -253,7 +253,7 @@
 // ---- FollowDuty ----
 
 FollowDuty::FollowDuty(Context& context)
-    : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
+    : context_(context), client_(context.state_address, context.budget, kv::Urgency::duty) {}
 
 void FollowDuty::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
@@ -271,7 +271,7 @@
       continue;
     }
     const plan::Instant sent = now();
-    const state::FollowResult news =
+    const kv::FollowResult news =
         client_.follow(state::kLivePrefix, from, constants::kFollowHold, call_limit() + constants::kFollowHold);
     if (news.answer == Answer::too_old) {
       reload(stop, term);
@@ -287,7 +287,7 @@
     {
       const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
       if (!context_.engine.leading() || context_.engine.term() != term) continue;
-      for (const state::Event& event : news.events) {
+      for (const kv::Event& event : news.events) {
         const auto id = state::job_of_key(event.key);
         if (!id) continue;
         if (event.data) {
@@ -309,7 +309,7 @@
 // The watch is too far behind: what is there now is compared with what is known.
 void FollowDuty::reload(const std::stop_token& stop, Term term) {
   const plan::Instant sent = now();
-  const state::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit);
+  const kv::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit);
   if (live.answer != Answer::ok) {
     pause(stop, constants::kStateRetryPause);
     return;
@@ -326,7 +326,7 @@
 // ---- WriteDuty ----
 
 WriteDuty::WriteDuty(Context& context)
-    : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
+    : context_(context), client_(context.state_address, context.budget, kv::Urgency::duty) {}
 
 void WriteDuty::reload_jobs() {
   while (true) {
@@ -336,7 +336,7 @@
       reload = context_.engine.next_reload();
     }
     if (!reload) return;
-    const state::GetResult found = client_.get(reload->key(), call_limit());
+    const kv::GetResult found = client_.get(reload->key(), call_limit());
     if (!answered(found.answer)) return;
     const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
     context_.engine.on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt,
@@ -356,7 +356,7 @@
       if (context_.write_signal.wait(stop, constants::kWriteLook)) pause(stop, constants::kWritePause);
       continue;
     }
-    const state::TxnResult result = client_.txn(batch->txn, call_limit());
+    const kv::TxnResult result = client_.txn(batch->txn, call_limit());
     if (answered(result.answer)) context_.heard_state();
     {
       const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
--- a/src/node/leadership.h
+++ b/src/node/leadership.h
@@ -4,7 +4,7 @@
 #include <functional>
 
 #include "node/context.h"
-#include "state/client.h"
+#include "kv/client.h"
 
 namespace foxshunt::node {
 
@@ -27,8 +27,8 @@
   bool records_whole();
 
   Context& context_;
-  state::Client client_;
-  state::LeaseId lease_;
+  kv::Client client_;
+  kv::LeaseId lease_;
 };
 
 // Reads the changes of records while leading.
@@ -40,7 +40,7 @@
  private:
   void reload(const std::stop_token& stop, Term term);
   Context& context_;
-  state::Client client_;
+  kv::Client client_;
 };
 
 // Writes what the engine wants durable.
@@ -52,7 +52,7 @@
  private:
   void reload_jobs();
   Context& context_;
-  state::Client client_;
+  kv::Client client_;
 };
 
 // Plans, and keeps house.
--- a/src/node/shared.cpp
+++ b/src/node/shared.cpp
@@ -14,7 +14,7 @@
 
 namespace foxshunt::node {
 
-using state::Answer;
+using kv::Answer;
 
 namespace {
 
@@ -62,9 +62,9 @@
   }
   Picture picture{.live = {}, .linger = {}, .parts = {}, .term = {}, .revision = ledger.revision()};
   if (const ledger::Record* record = ledger.find(state::kTermKey)) {
-    picture.term = state::Entry{.key = state::kTermKey, .data = record->data, .mark = record->mark};
+    picture.term = kv::Entry{.key = state::kTermKey, .data = record->data, .mark = record->mark};
   }
-  const auto copy = [this](const char* prefix, std::vector<state::Entry>& into) {
+  const auto copy = [this](const char* prefix, std::vector<kv::Entry>& into) {
     ledger.each(prefix, [&into](const std::string& key, const ledger::Record& record) {
       into.push_back({.key = key, .data = record.data, .mark = record.mark});
     });
@@ -87,7 +87,7 @@
 
 LedgerDuty::LedgerDuty(Context& context)
     : context_(context),
-      client_(context.state_address, context.budget, state::Urgency::duty),
+      client_(context.state_address, context.budget, kv::Urgency::duty),
       compared_(net::Clock::now()) {}
 
 std::optional<LedgerDuty::Found> LedgerDuty::read_all(bool to_compare) {
@@ -96,7 +96,7 @@
   std::vector<std::string> prefixes = kept_prefixes();
   if (!to_compare) prefixes.emplace_back(kToldAlone);
   for (const std::string& prefix : prefixes) {
-    state::ListResult page = client_.list(prefix, constants::kStateCallLimit);
+    kv::ListResult page = client_.list(prefix, constants::kStateCallLimit);
     if (page.answer != Answer::ok) return std::nullopt;
     if (first) found.from = page.revision;
     first = false;
@@ -138,7 +138,7 @@
       const std::lock_guard lock(shared.mutex);
       from = shared.ledger.revision();
     }
-    const state::FollowResult news =
+    const kv::FollowResult news =
         client_.follow(kEverything, from, constants::kLedgerHold, call_limit() + constants::kLedgerHold);
     if (news.answer == Answer::too_old) return;  // it fell behind: a cold read
     if (news.answer != Answer::ok) {
@@ -176,7 +176,7 @@
     const std::lock_guard lock(shared.mutex);
     from = shared.ledger.revision();
   }
-  const state::FollowResult news = client_.follow(kEverything, from, std::chrono::milliseconds(0), call_limit());
+  const kv::FollowResult news = client_.follow(kEverything, from, std::chrono::milliseconds(0), call_limit());
   if (news.answer != Answer::ok || stop.stop_requested()) return news.answer != Answer::too_old;
   const std::lock_guard lock(shared.mutex);
   shared.ledger.heard(news.events, news.revision);
@@ -193,7 +193,7 @@
 // ---- KeepDuty ----
 
 KeepDuty::KeepDuty(Context& context)
-    : context_(context), client_(context.state_address, context.budget, state::Urgency::user) {}
+    : context_(context), client_(context.state_address, context.budget, kv::Urgency::user) {}
 
 void KeepDuty::run(const std::stop_token& stop) {
   while (context_.wait_to_lead(stop)) {
@@ -213,7 +213,7 @@
     key = shared.calendar.next_read();
   }
   if (!key) return;
-  const state::GetResult found = client_.get(*key, call_limit());
+  const kv::GetResult found = client_.get(*key, call_limit());
   const std::lock_guard lock(shared.mutex);
   shared.calendar.on_read(*key, found);
 }
@@ -267,7 +267,7 @@
   }
   Shared& shared = context_.shared;
   ledger::Keeper* keeper = nullptr;
-  std::optional<state::Txn> txn;
+  std::optional<kv::Txn> txn;
   {
     const std::lock_guard lock(shared.mutex);
     if (!shared.ledger.whole() || shared.ledger.revision() < term_mark) return false;
@@ -278,9 +278,9 @@
     }
   }
   if (!txn) return false;
-  state::Txn guarded = *txn;
+  kv::Txn guarded = *txn;
   guarded.conditions.push_back({.key = state::kTermKey, .mark = term_mark});
-  const state::TxnResult result = client_.txn(guarded, call_limit());
+  const kv::TxnResult result = client_.txn(guarded, call_limit());
   if (result.answer == Answer::conflict &&
       std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
     const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
--- a/src/node/shared.h
+++ b/src/node/shared.h
@@ -19,7 +19,7 @@
 #include "ledger/keeper.h"
 #include "ledger/ledger.h"
 #include "node/recent_peak.h"
-#include "state/client.h"
+#include "kv/client.h"
 
 namespace foxshunt::node {
 
@@ -52,10 +52,10 @@
   // The records of the prefixes as of one revision, not before `least`; nothing when the ledger does not come so far by
   // the deadline. A new leader asks with the revision of its term: no older leader's write can come after that.
   struct Picture {
-    std::vector<state::Entry> live;
-    std::vector<state::Entry> linger;
-    std::vector<state::Entry> parts;
-    std::optional<state::Entry> term;  // the term's own record, as of then
+    std::vector<kv::Entry> live;
+    std::vector<kv::Entry> linger;
+    std::vector<kv::Entry> parts;
+    std::optional<kv::Entry> term;  // the term's own record, as of then
     Revision revision;
   };
   [[nodiscard]] std::optional<Picture> picture(Revision least, net::Deadline until);
@@ -76,13 +76,13 @@
   // Now and then, in the background: what a cold read finds wins over what is believed. False when it differs.
   [[nodiscard]] bool compare(const std::stop_token& stop);
   struct Found {
-    std::vector<state::Entry> entries;
+    std::vector<kv::Entry> entries;
     Revision from;
   };
   [[nodiscard]] std::optional<Found> read_all(bool to_compare);
 
   Context& context_;
-  state::Client client_;
+  kv::Client client_;
   net::Clock::time_point compared_;
 };
 
@@ -102,7 +102,7 @@
   void tell_plan();
 
   Context& context_;
-  state::Client client_;
+  kv::Client client_;
 };
 
 }  // namespace foxshunt::node
--- a/src/pools/keeper.cpp
+++ b/src/pools/keeper.cpp
@@ -18,7 +18,7 @@
 using accounts::kMillisPerDay;
 using accounts::kMillisPerHour;
 using accounts::Use;
-using state::Txn;
+using kv::Txn;
 using wire::Value;
 
 namespace {
@@ -822,13 +822,13 @@
   return txn;
 }
 
-void Keeper::on_written(const Txn& txn, const state::TxnResult& result) {
+void Keeper::on_written(const Txn& txn, const kv::TxnResult& result) {
   last_write_ = began_;
   const auto sent = std::exchange(starts_sent_, {});
-  if (result.answer == state::Answer::ok) {
+  if (result.answer == kv::Answer::ok) {
     awaited_ = result.revision;
-    for (const state::Change& change : txn.changes) written_[change.key] = began_;
-  } else if (result.answer != state::Answer::none) {
+    for (const kv::Change& change : txn.changes) written_[change.key] = began_;
+  } else if (result.answer != kv::Answer::none) {
     // Without an answer it may be written: rather not counted than twice.
     for (const auto& [pool, starts] : sent) starts_[pool] += starts;
   }
--- a/src/pools/keeper.h
+++ b/src/pools/keeper.h
@@ -62,9 +62,9 @@
   // ledger::Keeper. It keeps `account/` as well as `pool/`.
   void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
   [[nodiscard]] std::string prefix() const override { return kPoolPrefix; }
-  [[nodiscard]] std::optional<state::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
-                                                     std::size_t changes_most) override;
-  void on_written(const state::Txn& txn, const state::TxnResult& result) override;
+  [[nodiscard]] std::optional<kv::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
+                                                  std::size_t changes_most) override;
+  void on_written(const kv::Txn& txn, const kv::TxnResult& result) override;
 
   // ---- questions ----
   [[nodiscard]] std::vector<PoolView> pools() const;
@@ -91,7 +91,7 @@
     std::map<std::uint64_t, Held> held;
     std::optional<PoolState> state;
     std::map<std::uint64_t, accounts::Account> accounts;
-    state::Txn txn;  // besides these
+    kv::Txn txn;  // besides these
   };
   struct Wish {
     std::uint32_t wanted = 0;
@@ -125,17 +125,17 @@
   void join(Draft& draft, const std::vector<Member>& members) const;
   void refuse(Draft& draft, const std::string& kind, std::uint64_t wall_ms) const;
   void refresh(const catalog::PoolDef& pool, Member& member) const;
-  [[nodiscard]] state::Txn finish(Draft draft) const;
-
-  [[nodiscard]] std::optional<state::Txn> take_answer(std::uint64_t wall_ms) const;
-  [[nodiscard]] std::optional<state::Txn> let_go(const std::string& pool, std::uint64_t wall_ms) const;
-  [[nodiscard]] std::optional<state::Txn> adopt(const catalog::PoolDef& pool, std::uint64_t wall_ms) const;
-  [[nodiscard]] std::optional<state::Txn> rent(const catalog::PoolDef& pool, std::uint64_t wall_ms) const;
-  [[nodiscard]] std::optional<state::Txn> charge_due(const std::string& pool, ledger::Moment now) const;
-  [[nodiscard]] std::optional<state::Txn> tell_state(const catalog::PoolDef& pool, ledger::Moment now) const;
-  [[nodiscard]] std::optional<state::Txn> tell_holds(ledger::Moment now);
-  [[nodiscard]] std::optional<state::Txn> clear_away(std::uint64_t wall_ms) const;
-  [[nodiscard]] std::optional<state::Txn> decide(ledger::Moment now);
+  [[nodiscard]] kv::Txn finish(Draft draft) const;
+
+  [[nodiscard]] std::optional<kv::Txn> take_answer(std::uint64_t wall_ms) const;
+  [[nodiscard]] std::optional<kv::Txn> let_go(const std::string& pool, std::uint64_t wall_ms) const;
+  [[nodiscard]] std::optional<kv::Txn> adopt(const catalog::PoolDef& pool, std::uint64_t wall_ms) const;
+  [[nodiscard]] std::optional<kv::Txn> rent(const catalog::PoolDef& pool, std::uint64_t wall_ms) const;
+  [[nodiscard]] std::optional<kv::Txn> charge_due(const std::string& pool, ledger::Moment now) const;
+  [[nodiscard]] std::optional<kv::Txn> tell_state(const catalog::PoolDef& pool, ledger::Moment now) const;
+  [[nodiscard]] std::optional<kv::Txn> tell_holds(ledger::Moment now);
+  [[nodiscard]] std::optional<kv::Txn> clear_away(std::uint64_t wall_ms) const;
+  [[nodiscard]] std::optional<kv::Txn> decide(ledger::Moment now);
   // Whether the record was left alone for so long by this leader.
   [[nodiscard]] bool rested(const std::string& key, ledger::Moment now, std::chrono::milliseconds span) const;
 
--- a/src/state/records.cpp
+++ b/src/state/records.cpp
@@ -161,7 +161,7 @@
   return job;
 }
 
-Txn accept_txn(const JobRecord& job) {
+kv::Txn accept_txn(const JobRecord& job) {
   const std::string live = live_key(job.spec.id);
   if (!guards::kept(guards::Guard::accept_once)) {
     return {.conditions = {}, .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
@@ -170,13 +170,13 @@
           .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
 }
 
-Txn withdraw_txn(const JobRecord& job, Revision mark) {
+kv::Txn withdraw_txn(const JobRecord& job, Revision mark) {
   const JobId& id = job.spec.id;
   const wire::JobStatus withdrawn{
       .id = id, .state = wire::JobState::withdrawn, .done = status_of(job).done, .running = 0};
-  Txn txn{.conditions = {{.key = live_key(id), .mark = mark}, {.key = over_key(id), .mark = {}}},
-          .changes = {{.key = live_key(id), .data = {}, .lease = {}},
-                      {.key = over_key(id), .data = over_value(withdrawn), .lease = {}}}};
+  kv::Txn txn{.conditions = {{.key = live_key(id), .mark = mark}, {.key = over_key(id), .mark = {}}},
+              .changes = {{.key = live_key(id), .data = {}, .lease = {}},
+                          {.key = over_key(id), .data = over_value(withdrawn), .lease = {}}}};
   if (!guards::kept(guards::Guard::withdraw_mark)) txn.conditions.clear();
   if (!guards::kept(guards::Guard::withdraw_lingers)) return txn;
   // What the job may have on machines is kept until a leader has proved it gone.
@@ -186,12 +186,12 @@
   return txn;
 }
 
-LeadView lead_view(const GetResult& holder, const GetResult& term) {
+LeadView lead_view(const kv::GetResult& holder, const kv::GetResult& term) {
   LeadView view{.holder_mark = holder.entry.mark, .term_mark = term.entry.mark};
-  if (holder.answer == Answer::ok && !holder.entry.data["tether"].is_null()) {
+  if (holder.answer == kv::Answer::ok && !holder.entry.data["tether"].is_null()) {
     view.holder_lease = holder.entry.data.count("tether");
   }
-  if (term.answer == Answer::ok) {
+  if (term.answer == kv::Answer::ok) {
     view.record = term_from(term.entry.data);
     view.others_until_wall_ms = static_cast<std::int64_t>(term.entry.data.count("until"));
   }
@@ -205,7 +205,8 @@
   return wall_ms + fence_ms + 2 * skew_ms;
 }
 
-Txn take_lead_txn(const LeadView& view, const NodeName& node, LeaseId lease, std::int64_t others_until_wall_ms) {
+kv::Txn take_lead_txn(const LeadView& view, const NodeName& node, kv::LeaseId lease,
+                      std::int64_t others_until_wall_ms) {
   Value record = to_value(TermRecord{.term = view.record.term.next(), .leader = node});
   record.as_map()->emplace_back("until", static_cast<std::uint64_t>(others_until_wall_ms));
   return {.conditions = {{.key = kHolderKey, .mark = view.holder_mark}, {.key = kTermKey, .mark = view.term_mark}},
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "wire/ids.h"
-#include "state/txn.h"
+#include "kv/txn.h"
 #include "wire/messages.h"
 
 namespace foxshunt::state {
@@ -64,8 +64,8 @@
 
 // The transactions by which jobs come and go. Acceptance creates the record unless the job is known already, in
 // whatever state; withdrawal moves it as it was read, so that no placement can slip in between.
-[[nodiscard]] Txn accept_txn(const JobRecord& job);
-[[nodiscard]] Txn withdraw_txn(const JobRecord& job, Revision mark);
+[[nodiscard]] kv::Txn accept_txn(const JobRecord& job);
+[[nodiscard]] kv::Txn withdraw_txn(const JobRecord& job, Revision mark);
 [[nodiscard]] JobRecord new_job(const wire::JobSpec& spec, std::int64_t wall_ms);
 
 // What lead/term and lead/holder say, and the transaction that takes the lead in the next term.
@@ -76,10 +76,10 @@
   TermRecord record;
   std::int64_t others_until_wall_ms = 0;  // until then leaders before `record` may answer workers
 };
-[[nodiscard]] LeadView lead_view(const GetResult& holder, const GetResult& term);
+[[nodiscard]] LeadView lead_view(const kv::GetResult& holder, const kv::GetResult& term);
 // `others_until_wall_ms`: until when any older leader may answer workers, by the time of day.
-[[nodiscard]] Txn take_lead_txn(const LeadView& view, const NodeName& node, LeaseId lease,
-                                std::int64_t others_until_wall_ms);
+[[nodiscard]] kv::Txn take_lead_txn(const LeadView& view, const NodeName& node, kv::LeaseId lease,
+                                    std::int64_t others_until_wall_ms);
 [[nodiscard]] std::int64_t others_until(const LeadView& view, std::int64_t wall_ms, std::int64_t fence_ms,
                                         std::int64_t skew_ms);
 
--- a/src/user_api/request.cpp
+++ b/src/user_api/request.cpp
@@ -12,7 +12,7 @@
 
 using guards::Guard;
 using guards::kept;
-using state::Answer;
+using kv::Answer;
 
 Reply error_reply(int status, const std::string& why) {
   return {.status = status, .body = wire::Value::Map{{"error", why}}, .retry_after_s = {}};
@@ -137,7 +137,7 @@
   step_ = state::withdraw_txn(record_, mark_);
 }
 
-void Request::on_read(const state::GetResult& found) {
+void Request::on_read(const kv::GetResult& found) {
   if (reading_ == Reading::types) return on_types(found);
   try {
     if (reading_ == Reading::live) return on_live(found);
@@ -148,7 +148,7 @@
   }
 }
 
-void Request::on_types(const state::GetResult& found) {
+void Request::on_types(const kv::GetResult& found) {
   try {
     if (found.answer == Answer::ok) known_.types = wire::machine_types_from(found.entry.data);
   } catch (const wire::Malformed& error) {
@@ -157,7 +157,7 @@
   judge();
 }
 
-void Request::on_live(const state::GetResult& live) {
+void Request::on_live(const kv::GetResult& live) {
   if (live.answer == Answer::ok) {
     record_ = state::job_from(live.entry.data);
     mark_ = live.entry.mark;
@@ -168,7 +168,7 @@
   read(Reading::over);
 }
 
-void Request::on_over(const state::GetResult& over) {
+void Request::on_over(const kv::GetResult& over) {
   if (over.answer == Answer::not_found) {
     if (!kept(Guard::live_before_over)) return read(Reading::live);
     return looked(Found::nowhere, {});
@@ -179,7 +179,7 @@
   looked(Found::over, status);
 }
 
-void Request::on_written(const state::TxnResult& result) {
+void Request::on_written(const kv::TxnResult& result) {
   const bool unsettled = result.answer == Answer::conflict || result.answer == Answer::none;
   if (result.answer != Answer::ok && !unsettled) return answer(come_back("the state service can't take it now"));
   if (purpose_ == Purpose::submission) {
--- a/src/user_api/request.h
+++ b/src/user_api/request.h
@@ -12,7 +12,7 @@
 
 #include "config/settings.h"
 #include "state/records.h"
-#include "state/txn.h"
+#include "kv/txn.h"
 #include "wire/messages.h"
 
 namespace foxshunt::user_api {
@@ -56,7 +56,7 @@
     std::string key;
   };
   // What it asks of the state service next, or its reply.
-  using Step = std::variant<Read, state::Txn, Reply>;
+  using Step = std::variant<Read, kv::Txn, Reply>;
 
   [[nodiscard]] static Request submission(Known known, const std::string& body);
   [[nodiscard]] static Request question(Known known, const std::string& job);
@@ -65,8 +65,8 @@
   [[nodiscard]] const Step& step() const { return step_; }
   [[nodiscard]] const Reply* reply() const { return std::get_if<Reply>(&step_); }
   // What came of the read, or of the transaction, that the step asked for.
-  void on_read(const state::GetResult& found);
-  void on_written(const state::TxnResult& result);
+  void on_read(const kv::GetResult& found);
+  void on_written(const kv::TxnResult& result);
   // The machine types, if it knows them or has read them.
   [[nodiscard]] const std::vector<wire::MachineType>& types() const { return known_.types; }
 
@@ -84,9 +84,9 @@
   void look(Reply otherwise);
   void read(Reading what);  // of the job's records
   void looked(Found found, const wire::JobStatus& status);
-  void on_types(const state::GetResult& found);
-  void on_live(const state::GetResult& live);
-  void on_over(const state::GetResult& over);
+  void on_types(const kv::GetResult& found);
+  void on_live(const kv::GetResult& live);
+  void on_over(const kv::GetResult& over);
 
   Purpose purpose_;
   Known known_;
--- a/tests/bench/busy_fleet.cpp
+++ b/tests/bench/busy_fleet.cpp
@@ -127,7 +127,7 @@
 
 void BusyFleet::write_all() {
   while (auto batch = engine_.begin_write(now_)) {
-    engine_.end_write(*batch, {.answer = state::Answer::ok, .revision = Revision(++revision_), .failed = {}}, now_);
+    engine_.end_write(*batch, {.answer = kv::Answer::ok, .revision = Revision(++revision_), .failed = {}}, now_);
   }
 }
 
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -65,7 +65,7 @@
   }
   out << wall_away(lead.others_until_wall_ms);
   for (const char* prefix : {state::kLivePrefix, state::kOverPrefix, state::kLingerPrefix}) {
-    for (const state::Entry& entry : store_.list(prefix).entries) data(entry.key, entry.data);
+    for (const kv::Entry& entry : store_.list(prefix).entries) data(entry.key, entry.data);
   }
   // ---- controllers ----
   for (const Node& node : nodes_) {
@@ -94,7 +94,7 @@
     if (!engine.leading()) continue;
     out << term(engine.term()) << (engine.term_mark() == mark_now(state::kTermKey)) << away(node.lease_at)
         << away(node.read_at) << away(node.others_until) << engine.plan_wanted();
-    for (const state::Event& event : store_.follow(state::kLivePrefix, node.follow_from).events)
+    for (const kv::Event& event : store_.follow(state::kLivePrefix, node.follow_from).events)
       event.data ? data(event.key, *event.data) : void(out << event.key << "gone");
     for (const auto& [id, job] : engine.jobs()) {
       out << id.text() << (job.mark == mark_now(state::live_key(id))) << job.withdrawn << job.had_runs << job.reload
@@ -134,9 +134,9 @@
   for (const Message& message : captured_) {
     out << "captured" << message.sort << message.fate << message.node << (nodes_[message.node].life == message.life)
         << message.machine << away(message.sent) << message.left << term(message.term) << message.session;
-    for (const state::Condition& condition : message.txn.conditions)
+    for (const kv::Condition& condition : message.txn.conditions)
       out << condition.key << (condition.mark == mark_now(condition.key)) << (condition.mark == Revision{});
-    for (const state::Change& change : message.txn.changes)
+    for (const kv::Change& change : message.txn.changes)
       change.data ? data(change.key, *change.data) : void(out << change.key << "gone");
     if (message.batch) out << (message.batch->term_mark == nodes_[message.node].engine.term_mark());
     if (message.result) out << message.result->answer;
--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -12,7 +12,7 @@
 
 namespace foxshunt::explorer {
 
-using state::Answer;
+using kv::Answer;
 using Request = standins::History::Request;
 
 namespace {
@@ -374,8 +374,8 @@
 
 // ---- controllers ----
 
-state::TxnResult Model::carry_out(const state::Txn& txn, const std::optional<JobId>& creates) {
-  state::TxnResult result = store_.txn(txn);
+kv::TxnResult Model::carry_out(const kv::Txn& txn, const std::optional<JobId>& creates) {
+  kv::TxnResult result = store_.txn(txn);
   if (creates && result.answer == Answer::ok) rules_.on_created(*creates);
   return result;
 }
@@ -409,16 +409,16 @@
 
 void Model::take_lead(std::size_t node, const state::LeadView& view) {
   Node& self = nodes_[node];
-  const state::LeaseId lease = store_.grant(constants::kLeaderLease, now_);
+  const kv::LeaseId lease = store_.grant(constants::kLeaderLease, now_);
   leases_[lease.number] = now_ + constants::kLeaderLease;
   const std::int64_t until = state::others_until(view, wall_ms(), control::fence_span(settings_of(node)).count(),
                                                  static_cast<std::int64_t>(0));
-  const state::Txn txn = state::take_lead_txn(view, name_of(node), lease, until);
+  const kv::Txn txn = state::take_lead_txn(view, name_of(node), lease, until);
   const auto found = fate(Sort::lead, node);
   if (found == Fate::late || found == Fate::held) {
     return capture({.sort = Sort::lead, .fate = Fate::late, .node = node, .sent = now_, .left = 2, .txn = txn});
   }
-  const state::TxnResult result = store_.txn(txn);
+  const kv::TxnResult result = store_.txn(txn);
   if (result.answer != Answer::ok) return store_.revoke(lease);
   self.lease = lease;
   const Node::Taking taking{
@@ -434,8 +434,8 @@
   Node& self = nodes_[node];
   if (!served(node)) return;
   const Node::Taking taking = *std::exchange(self.taking, std::nullopt);
-  const state::ListResult live = store_.list(state::kLivePrefix);
-  const state::GetResult term = store_.get(state::kTermKey);
+  const kv::ListResult live = store_.list(state::kLivePrefix);
+  const kv::GetResult term = store_.get(state::kTermKey);
   const control::Takeover takeover{
       .term = taking.term,
       .term_mark = taking.mark,
@@ -469,8 +469,8 @@
 void Model::follow_turn(std::size_t node) {
   Node& self = nodes_[node];
   if (!self.engine.leading() || !served(node)) return;
-  const state::FollowResult news = store_.follow(state::kLivePrefix, self.follow_from);
-  for (const state::Event& event : news.events) {
+  const kv::FollowResult news = store_.follow(state::kLivePrefix, self.follow_from);
+  for (const kv::Event& event : news.events) {
     const auto id = state::job_of_key(event.key);
     if (event.data) {
       self.engine.on_job_record(*id, *event.data, event.mark, wall_ms(), now_);
@@ -525,7 +525,7 @@
   while (served(node)) {
     const auto reload = self.engine.next_reload();
     if (!reload || !self.engine.leading()) break;
-    const state::GetResult found = store_.get(reload->key());
+    const kv::GetResult found = store_.get(reload->key());
     self.engine.on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt, now_);
   }
   const auto batch = self.engine.begin_write(now_);
@@ -706,12 +706,12 @@
 Model::Seen Model::look(std::size_t node, const JobId& job) {
   Node& self = nodes_[node];
   if (const auto known = self.ended.find(job); known != self.ended.end()) return {.status = known->second, .live = {}};
-  const state::GetResult live = store_.get(state::live_key(job));
+  const kv::GetResult live = store_.get(state::live_key(job));
   if (live.answer == Answer::ok) {
     const state::JobRecord record = state::job_from(live.entry.data);
     return {.status = state::status_of(record), .live = record, .mark = live.entry.mark};
   }
-  const state::GetResult over = store_.get(state::over_key(job));
+  const kv::GetResult over = store_.get(state::over_key(job));
   if (over.answer != Answer::ok) return {};
   return {.status = self.ended[job] = state::over_from(job, over.entry.data), .live = {}};
 }
@@ -727,7 +727,7 @@
     told_[spec.id] = *state;
   };
   if (!served(node)) return answer(503, {});
-  const state::Txn txn = state::accept_txn(state::new_job(spec, wall_ms()));
+  const kv::Txn txn = state::accept_txn(state::new_job(spec, wall_ms()));
   const auto found = fate(Sort::user, node);
   if (found == Fate::late)
     capture({.sort = Sort::user, .node = node, .sent = now_, .left = 2, .txn = txn, .creates = spec.id});
@@ -752,7 +752,7 @@
     const Seen seen = look(node, job);
     if (!seen.status) return answer(404, {});
     if (!seen.live) return answer(200, seen.status->state);
-    const state::Txn txn = state::withdraw_txn(*seen.live, seen.mark);
+    const kv::Txn txn = state::withdraw_txn(*seen.live, seen.mark);
     const auto found = fate(Sort::user, node);
     if (found == Fate::late) {  // with no answer the front tries again
       capture({.sort = Sort::user, .node = node, .sent = now_, .left = 2, .txn = txn});
@@ -805,7 +805,7 @@
       if (to_store) (void)store_.txn(message.txn);
       return true;
     case Sort::write: {
-      const state::TxnResult result = message.result ? *message.result : store_.txn(message.txn);
+      const kv::TxnResult result = message.result ? *message.result : store_.txn(message.txn);
       if (!to_node || !lives) return true;
       node.writing = false;
       node.engine.end_write(*message.batch, result, now_);
--- a/tests/explorer/model.h
+++ b/tests/explorer/model.h
@@ -116,7 +116,7 @@
     bool frozen = false;
     bool refused = false;
     std::set<Duty> stalled;
-    state::LeaseId lease;
+    kv::LeaseId lease;
     struct Taking {  // the lead is taken, the records are not read yet
       Term term;
       Revision mark;
@@ -154,9 +154,9 @@
     std::size_t machine = 0;
     Instant sent;
     int left = 1;  // times that it arrives
-    state::Txn txn;
+    kv::Txn txn;
     std::optional<jobs::WriteBatch> batch;
-    std::optional<state::TxnResult> result;
+    std::optional<kv::TxnResult> result;
     std::optional<Node::Taking> taking;
     std::optional<JobId> creates;
     wire::Report report;
@@ -220,7 +220,7 @@
     Revision mark;
   };
   [[nodiscard]] Seen look(std::size_t node, const JobId& job);
-  state::TxnResult carry_out(const state::Txn& txn, const std::optional<JobId>& creates);
+  kv::TxnResult carry_out(const kv::Txn& txn, const std::optional<JobId>& creates);
   // One of the captured messages comes.
   bool arrive(std::size_t number);
   void capture(Message message);
--- a/tests/smoke/takeover_test.cpp
+++ b/tests/smoke/takeover_test.cpp
@@ -61,8 +61,8 @@
   std::atomic<bool> lost{false};
   state.set_between([&](const net::HttpRequest& request, const net::HttpServer::Handler& stand_in) {
     if (request.path != "/txn" || lost.exchange(true)) return stand_in(request);
-    const state::Txn earlier = state::take_lead_txn({}, NodeName("node-0"), state::LeaseId{999}, 0);
-    for (const state::Change& change : earlier.changes) state.put(change.key, *change.data);
+    const kv::Txn earlier = state::take_lead_txn({}, NodeName("node-0"), kv::LeaseId{999}, 0);
+    for (const kv::Change& change : earlier.changes) state.put(change.key, *change.data);
     return net::HttpResponse{.status = 500, .body = {}, .retry_after_s = {}};
   });
   config::Settings settings;
--- a/tests/standins/http_world.cpp
+++ b/tests/standins/http_world.cpp
@@ -61,7 +61,7 @@
 
 void HttpState::put(const std::string& key, const Value& data) {
   const std::lock_guard lock(mutex_);
-  state::Txn txn;
+  kv::Txn txn;
   txn.changes.push_back({.key = key, .data = data, .lease = {}});
   (void)store_.txn(txn);
 }
@@ -110,7 +110,7 @@
   if (out(door)) return {.status = 503, .body = {}, .retry_after_s = {}};
   const std::uint64_t holds_ended = holds_ended_;
   ++watches_[holds_ended];
-  state::FollowResult news;
+  kv::FollowResult news;
   while (!closing_) {
     if (out(door)) {  // whatever it was asked for, it waits for the end of that
       changed_.wait(lock);
@@ -125,7 +125,7 @@
   if (closing_) return {.status = 503, .body = {}, .retry_after_s = {}};
   door.served = now();
   Value::List list;
-  for (const state::Event& event : news.events) {
+  for (const kv::Event& event : news.events) {
     if (event.data) {
       list.emplace_back(Value::Map{{"set", event.key}, {"data", *event.data}, {"mark", event.mark.number()}});
     } else {
@@ -178,7 +178,7 @@
     const std::string from = request.query.contains("from") ? request.query.at("from") : "";
     Value::List items;
     bool more = false;
-    for (const state::Entry& entry : store_.list(request.query.at("starts")).entries) {
+    for (const kv::Entry& entry : store_.list(request.query.at("starts")).entries) {
       if (entry.key <= from) continue;
       if (items.size() == page_) {
         more = true;
@@ -189,8 +189,8 @@
     return reply(200, Value::Map{{"items", std::move(items)}, {"more", more}, {"tally", store_.revision().number()}});
   }
   if (request.method == "GET" && path.starts_with("/kv/")) {
-    const state::GetResult found = store_.get(path.substr(4));
-    if (found.answer != state::Answer::ok) return reply(404, Value::Map{{"tally", store_.revision().number()}});
+    const kv::GetResult found = store_.get(path.substr(4));
+    if (found.answer != kv::Answer::ok) return reply(404, Value::Map{{"tally", store_.revision().number()}});
     return reply(200,
                  Value::Map{{"k", found.entry.key}, {"data", found.entry.data}, {"mark", found.entry.mark.number()}});
   }
@@ -199,33 +199,33 @@
     return reply(200, Value::Map{{"tether", store_.grant(Millis(ttl), now()).number}});
   }
   if (path.starts_with("/leases/")) {
-    const state::LeaseId lease{std::stoull(path.substr(8))};
+    const kv::LeaseId lease{std::stoull(path.substr(8))};
     if (request.method == "DELETE") {
       store_.revoke(lease);
       return reply(200, Value::Map{});
     }
-    return reply(store_.touch(lease, now()) == state::Answer::ok ? 200 : 404, Value::Map{});
+    return reply(store_.touch(lease, now()) == kv::Answer::ok ? 200 : 404, Value::Map{});
   }
   if (path == "/txn") {
     const Value body = wire::decode(request.body);
-    state::Txn txn;
+    kv::Txn txn;
     for (const Value& condition : body.list("if")) {
       txn.conditions.push_back({.key = condition.text("k"), .mark = Revision(condition.count("mark"))});
     }
     for (const Value& change : body.list("then")) {
-      state::Change made{.key = {}, .data = {}, .lease = {}};
+      kv::Change made{.key = {}, .data = {}, .lease = {}};
       if (change["set"].is_null()) {
         made.key = change.text("remove");
       } else {
         made.key = change.text("set");
         made.data = change["data"];
-        if (!change["tether"].is_null()) made.lease = state::LeaseId{change.count("tether")};
+        if (!change["tether"].is_null()) made.lease = kv::LeaseId{change.count("tether")};
       }
       txn.changes.push_back(std::move(made));
     }
-    const state::TxnResult result = store_.txn(txn);
-    if (result.answer == state::Answer::ok) return reply(200, Value::Map{{"tally", result.revision.number()}});
-    if (result.answer == state::Answer::rejected) return reply(400, Value::Map{{"error", "no such lease"}});
+    const kv::TxnResult result = store_.txn(txn);
+    if (result.answer == kv::Answer::ok) return reply(200, Value::Map{{"tally", result.revision.number()}});
+    if (result.answer == kv::Answer::rejected) return reply(400, Value::Map{{"error", "no such lease"}});
     Value::List failed;
     for (const std::string& key : result.failed) failed.emplace_back(key);
     return reply(409, Value::Map{{"failed", std::move(failed)}, {"tally", store_.revision().number()}});
--- a/tests/standins/state_store.cpp
+++ b/tests/standins/state_store.cpp
@@ -4,16 +4,16 @@
 
 namespace foxshunt::standins {
 
-using state::Answer;
+using kv::Answer;
 
-state::GetResult StateStore::get(const std::string& key) const {
+kv::GetResult StateStore::get(const std::string& key) const {
   const auto found = items_.find(key);
   if (found == items_.end()) return {.answer = Answer::not_found, .entry = {.key = key}};
   return {.answer = Answer::ok, .entry = {.key = key, .data = found->second.data, .mark = found->second.mark}};
 }
 
-state::ListResult StateStore::list(const std::string& prefix) const {
-  state::ListResult result{.answer = Answer::ok, .entries = {}, .revision = revision_};
+kv::ListResult StateStore::list(const std::string& prefix) const {
+  kv::ListResult result{.answer = Answer::ok, .entries = {}, .revision = revision_};
   for (auto at = items_.lower_bound(prefix); at != items_.end() && at->first.starts_with(prefix); ++at) {
     result.entries.push_back({.key = at->first, .data = at->second.data, .mark = at->second.mark});
   }
@@ -29,14 +29,14 @@
   if (items_.erase(key) > 0) events_.push_back({.key = key, .data = {}, .mark = revision_});
 }
 
-state::TxnResult StateStore::txn(const state::Txn& txn) {
-  state::TxnResult result{.answer = Answer::ok, .revision = revision_, .failed = {}};
-  for (const state::Condition& condition : txn.conditions) {
+kv::TxnResult StateStore::txn(const kv::Txn& txn) {
+  kv::TxnResult result{.answer = Answer::ok, .revision = revision_, .failed = {}};
+  for (const kv::Condition& condition : txn.conditions) {
     const auto found = items_.find(condition.key);
     const Revision mark = found == items_.end() ? Revision{} : found->second.mark;
     if (mark != condition.mark) result.failed.push_back(condition.key);
   }
-  for (const state::Change& change : txn.changes) {
+  for (const kv::Change& change : txn.changes) {
     if (change.lease && !leases_.contains(change.lease->number)) {
       result.answer = Answer::rejected;
       return result;
@@ -48,7 +48,7 @@
   }
   if (txn.changes.empty()) return result;
   revision_ = revision_.next();
-  for (const state::Change& change : txn.changes) {
+  for (const kv::Change& change : txn.changes) {
     if (change.data) {
       put(change.key, {.data = *change.data, .mark = revision_, .lease = change.lease ? change.lease->number : 0});
     } else {
@@ -59,28 +59,28 @@
   return result;
 }
 
-state::FollowResult StateStore::follow(const std::string& prefix, Revision from) const {
-  state::FollowResult result{.answer = Answer::ok, .revision = revision_, .events = {}};
-  for (auto event = std::ranges::upper_bound(events_, from, {}, &state::Event::mark); event != events_.end(); ++event) {
+kv::FollowResult StateStore::follow(const std::string& prefix, Revision from) const {
+  kv::FollowResult result{.answer = Answer::ok, .revision = revision_, .events = {}};
+  for (auto event = std::ranges::upper_bound(events_, from, {}, &kv::Event::mark); event != events_.end(); ++event) {
     if (event->key.starts_with(prefix)) result.events.push_back(*event);
   }
   return result;
 }
 
-state::LeaseId StateStore::grant(Millis ttl, Instant now) {
-  const state::LeaseId lease{next_lease_++};
+kv::LeaseId StateStore::grant(Millis ttl, Instant now) {
+  const kv::LeaseId lease{next_lease_++};
   leases_[lease.number] = {.ttl = ttl, .until = now + ttl};
   return lease;
 }
 
-state::Answer StateStore::touch(state::LeaseId lease, Instant now) {
+kv::Answer StateStore::touch(kv::LeaseId lease, Instant now) {
   const auto found = leases_.find(lease.number);
   if (found == leases_.end()) return Answer::not_found;
   found->second.until = now + found->second.ttl;
   return Answer::ok;
 }
 
-void StateStore::revoke(state::LeaseId lease) {
+void StateStore::revoke(kv::LeaseId lease) {
   if (leases_.erase(lease.number) == 0) return;
   std::vector<std::string> attached;
   for (const auto& [key, item] : items_) {
@@ -91,11 +91,11 @@
 }
 
 void StateStore::expire(Instant now) {
-  std::vector<state::LeaseId> ended;
+  std::vector<kv::LeaseId> ended;
   for (const auto& [number, lease] : leases_) {
     if (now > lease.until) ended.push_back({number});
   }
-  for (const state::LeaseId lease : ended) revoke(lease);
+  for (const kv::LeaseId lease : ended) revoke(lease);
 }
 
 void StateStore::renew_all(Instant now) {
--- a/tests/standins/state_store.h
+++ b/tests/standins/state_store.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "plan/usage_vector.h"
-#include "state/txn.h"
+#include "kv/txn.h"
 
 namespace foxshunt::standins {
 
@@ -16,13 +16,13 @@
 
 class StateStore {
  public:
-  [[nodiscard]] state::GetResult get(const std::string& key) const;
-  [[nodiscard]] state::ListResult list(const std::string& prefix) const;
-  [[nodiscard]] state::TxnResult txn(const state::Txn& txn);
-  [[nodiscard]] state::FollowResult follow(const std::string& prefix, Revision from) const;
-  [[nodiscard]] state::LeaseId grant(Millis ttl, Instant now);
-  [[nodiscard]] state::Answer touch(state::LeaseId lease, Instant now);
-  void revoke(state::LeaseId lease);
+  [[nodiscard]] kv::GetResult get(const std::string& key) const;
+  [[nodiscard]] kv::ListResult list(const std::string& prefix) const;
+  [[nodiscard]] kv::TxnResult txn(const kv::Txn& txn);
+  [[nodiscard]] kv::FollowResult follow(const std::string& prefix, Revision from) const;
+  [[nodiscard]] kv::LeaseId grant(Millis ttl, Instant now);
+  [[nodiscard]] kv::Answer touch(kv::LeaseId lease, Instant now);
+  void revoke(kv::LeaseId lease);
   void expire(Instant now);
   // After an outage all leases have their full time again.
   void renew_all(Instant now);
@@ -43,7 +43,7 @@
 
   std::map<std::string, Item> items_;
   std::map<std::uint64_t, Lease> leases_;
-  std::deque<state::Event> events_;
+  std::deque<kv::Event> events_;
   Revision revision_;
   std::uint64_t next_lease_ = 1;
 };
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -232,7 +232,7 @@
     Instant refused_until;
     Instant alone_until;  // without siblings
     double drift = 0;
-    state::LeaseId lease;
+    kv::LeaseId lease;
     Revision follow_from;
     NodeName leader_seen;
     Term term_seen;
@@ -381,7 +381,7 @@
   void follow_duty(std::size_t node);
   void ledger_duty(std::size_t node);
   void calendar_duty(std::size_t node);
-  void note_occurrences(const state::Txn& txn);
+  void note_occurrences(const kv::Txn& txn);
   [[nodiscard]] std::map<JobId, int> slack(const Node& node) const;
   void write_duty(std::size_t node);
   void cloud_duty(std::size_t node);
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -14,7 +14,7 @@
 namespace foxshunt::standins {
 
 using control::from_seconds;
-using state::Answer;
+using kv::Answer;
 
 namespace {
 
@@ -244,7 +244,7 @@
 void World::take_lead(std::size_t node, const state::LeadView& view) {
   struct Taken {
     Answer answer = Answer::none;
-    state::LeaseId lease;
+    kv::LeaseId lease;
     Revision mark;
   };
   const NodeName name("node-" + std::to_string(node));
@@ -257,13 +257,13 @@
       [this, view, name, until](StateStore& store) {
         Taken taken;
         taken.lease = store.grant(constants::kLeaderLease, now_);
-        const state::Txn txn = state::take_lead_txn(view, name, taken.lease, until);
+        const kv::Txn txn = state::take_lead_txn(view, name, taken.lease, until);
         const Fate found = fate();
         if (found == Fate::late) {
           carry_out_late([txn](StateStore& later) { (void)later.txn(txn); });
           return taken;
         }
-        const state::TxnResult result = store.txn(txn);
+        const kv::TxnResult result = store.txn(txn);
         if (found == Fate::unanswered) return taken;
         copy_late([this, txn] {
           if (!state_out_) (void)store_.txn(txn);
@@ -293,7 +293,7 @@
 void World::read_records(std::size_t node, const std::shared_ptr<RecordsRead>& read, std::size_t prefix,
                          const std::string& from) {
   struct Page {
-    state::ListResult found;
+    kv::ListResult found;
     Answer answer = Answer::none;
     bool more = false;
   };
@@ -302,8 +302,8 @@
       node, Duty::lease,
       [this, prefix, from, lease = nodes_[node].lease](StateStore& store) {
         Page page{.found = store.list(kTakeoverPrefixes.at(prefix))};
-        std::vector<state::Entry>& entries = page.found.entries;
-        std::erase_if(entries, [&](const state::Entry& entry) { return entry.key <= from; });
+        std::vector<kv::Entry>& entries = page.found.entries;
+        std::erase_if(entries, [&](const kv::Entry& entry) { return entry.key <= from; });
         page.more = entries.size() > kTakeoverPage;
         if (page.more) entries.resize(kTakeoverPage);
         page.answer = store.touch(lease, now_);
@@ -315,7 +315,7 @@
         control::Takeover& takeover = read->takeover;
         if (read->from == Revision{}) read->from = page.found.revision;
         const std::array lists{&takeover.live, &takeover.linger, &takeover.parts};
-        std::vector<state::Entry>& entries = *lists.at(prefix);
+        std::vector<kv::Entry>& entries = *lists.at(prefix);
         entries.insert(entries.end(), page.found.entries.begin(), page.found.entries.end());
         reached(Moment::records, node);
         if (!nodes_[node].alive) return;
--- a/tests/standins/world_records.cpp
+++ b/tests/standins/world_records.cpp
@@ -11,7 +11,7 @@
 
 namespace foxshunt::standins {
 
-using state::Answer;
+using kv::Answer;
 
 void World::follow_duty(std::size_t node) {
   Node& self = nodes_[node];
@@ -19,14 +19,14 @@
   self.calling_follow = true;
   const Instant sent = time_of(node);
   const Term term = self.engine->term();
-  call_state<state::FollowResult>(
+  call_state<kv::FollowResult>(
       node, Duty::records,
       [from = self.follow_from](StateStore& store) { return store.follow(state::kLivePrefix, from); },
-      [this, node, sent, term](const state::FollowResult& news) {
+      [this, node, sent, term](const kv::FollowResult& news) {
         Node& me = nodes_[node];
         me.calling_follow = false;
         if (news.answer != Answer::ok || !me.engine->leading() || me.engine->term() != term) return;
-        for (const state::Event& event : news.events) {
+        for (const kv::Event& event : news.events) {
           const auto id = state::job_of_key(event.key);
           if (!id) continue;
           if (event.data) {
@@ -59,26 +59,26 @@
                            .skew_ms = static_cast<std::int64_t>(settings_.skew_ms)});
       self.ledger->add_reader(*self.calendar);
     }
-    return call_state<state::ListResult>(
+    return call_state<kv::ListResult>(
         node, Duty::records, [](StateStore& store) { return store.list(""); },
-        [this, node](const state::ListResult& found) {
+        [this, node](const kv::ListResult& found) {
           nodes_[node].calling_ledger = false;
           if (found.answer != Answer::ok) {
             nodes_[node].calendar.reset();
             return nodes_[node].ledger.reset();
           }
-          std::vector<state::Entry> entries = found.entries;
-          std::erase_if(entries, [](const state::Entry& entry) {
+          std::vector<kv::Entry> entries = found.entries;
+          std::erase_if(entries, [](const kv::Entry& entry) {
             return !state::job_of_key(entry.key) && !entry.key.starts_with(calendar::kPrefix);
           });
-          std::erase_if(entries, [](const state::Entry& entry) { return entry.key.starts_with(state::kOverPrefix); });
+          std::erase_if(entries, [](const kv::Entry& entry) { return entry.key.starts_with(state::kOverPrefix); });
           nodes_[node].ledger->read(entries, found.revision);
           if (nodes_[node].calendar) nodes_[node].calendar->cold_read();
         });
   }
-  call_state<state::FollowResult>(
+  call_state<kv::FollowResult>(
       node, Duty::records, [from = self.ledger->revision()](StateStore& store) { return store.follow("", from); },
-      [this, node](const state::FollowResult& news) {
+      [this, node](const kv::FollowResult& news) {
         Node& me = nodes_[node];
         me.calling_ledger = false;
         if (news.answer != Answer::ok) return;
@@ -102,38 +102,38 @@
         calendar::plans_of(self.engine->planned_ends(), self.engine->prospects(time_of(node)), moment));
   }
   if (const auto key = self.calendar->next_read()) {
-    call_state<state::GetResult>(
+    call_state<kv::GetResult>(
         node, Duty::writes, [key](StateStore& store) { return store.get(*key); },
-        [this, node, key](const state::GetResult& found) {
+        [this, node, key](const kv::GetResult& found) {
           if (nodes_[node].calendar) nodes_[node].calendar->on_read(*key, found);
         });
   }
   const auto txn = self.calendar->next_write(*self.known_jobs, {.wall_ms = wall_ms(), .steady = time_of(node)},
                                              settings_.state_txn_ops - 1);
   if (!txn) return;
-  for (const state::Change& change : txn->changes) {
+  for (const kv::Change& change : txn->changes) {
     if (change.data && static_cast<double>(wire::json_length(*change.data)) > settings_.state_value_kb * 1024) {
       throw std::logic_error("value over its limit: " + change.key);
     }
   }
   self.calling_calendar = true;
-  state::Txn guarded = *txn;
+  kv::Txn guarded = *txn;
   guarded.conditions.push_back({.key = state::kTermKey, .mark = self.engine->term_mark()});
-  call_state<state::TxnResult>(
+  call_state<kv::TxnResult>(
       node, Duty::writes,
       [this, guarded](StateStore& store) {
-        state::TxnResult result = store.txn(guarded);
+        kv::TxnResult result = store.txn(guarded);
         if (result.answer == Answer::ok) note_occurrences(guarded);
         return result;
       },
-      [this, node, txn](const state::TxnResult& result) {
+      [this, node, txn](const kv::TxnResult& result) {
         nodes_[node].calling_calendar = false;
         if (nodes_[node].calendar) nodes_[node].calendar->on_written(*txn, result);
       });
 }
 
-void World::note_occurrences(const state::Txn& txn) {
-  for (const state::Change& change : txn.changes) {
+void World::note_occurrences(const kv::Txn& txn) {
+  for (const kv::Change& change : txn.changes) {
     if (!change.data) continue;
     const auto fresh = occurrences_.try_emplace(change.key);
     Told& told = fresh.first->second;
@@ -204,9 +204,9 @@
   if (self.calling_write) return;
   if (const auto reload = self.engine->next_reload()) {
     self.calling_write = true;
-    call_state<state::GetResult>(
+    call_state<kv::GetResult>(
         node, Duty::writes, [reload](StateStore& store) { return store.get(reload->key()); },
-        [this, node, reload](const state::GetResult& found) {
+        [this, node, reload](const kv::GetResult& found) {
           Node& me = nodes_[node];
           me.calling_write = false;
           if (found.answer != Answer::ok && found.answer != Answer::not_found) return;
@@ -218,19 +218,19 @@
   const auto batch = self.engine->begin_write(time_of(node));
   if (!batch) return;
   if (batch->txn.changes.size() > settings_.state_txn_ops) throw std::logic_error("transaction over its limit");
-  for (const state::Change& change : batch->txn.changes) {
+  for (const kv::Change& change : batch->txn.changes) {
     if (change.data && static_cast<double>(wire::json_length(*change.data)) > settings_.state_value_kb * 1024) {
       throw std::logic_error("value over its limit: " + change.key);
     }
   }
   self.calling_write = true;
-  call_state<state::TxnResult>(
+  call_state<kv::TxnResult>(
       node, Duty::writes,
       [this, node, txn = batch->txn](StateStore& store) {
         reached(Moment::write, node);
         return store.txn(txn);
       },
-      [this, node, batch](const state::TxnResult& result) {
+      [this, node, batch](const kv::TxnResult& result) {
         nodes_[node].calling_write = false;
         nodes_[node].engine->end_write(*batch, result, time_of(node));
       });
@@ -267,15 +267,15 @@
       (void)node;
     };
     if (!side.read) {
-      call_state<state::ListResult>(
+      call_state<kv::ListResult>(
           node, Duty::records,
           [](StateStore& store) {
-            state::ListResult all = store.list(pools::kPoolPrefix);
+            kv::ListResult all = store.list(pools::kPoolPrefix);
             const auto more = store.list(accounts::kAccountPrefix).entries;
             all.entries.insert(all.entries.end(), more.begin(), more.end());
             return all;
           },
-          [this, node, done](const state::ListResult& all) {
+          [this, node, done](const kv::ListResult& all) {
             PoolSide& mine = *nodes_[node].pools;
             done(mine);
             if (all.answer != Answer::ok) return;
@@ -283,9 +283,9 @@
             mine.read = true;
           });
     } else {
-      call_state<state::FollowResult>(
+      call_state<kv::FollowResult>(
           node, Duty::records, [from = side.ledger.revision()](StateStore& store) { return store.follow("", from); },
-          [this, node, done](const state::FollowResult& news) {
+          [this, node, done](const kv::FollowResult& news) {
             PoolSide& mine = *nodes_[node].pools;
             done(mine);
             if (news.answer == Answer::ok) mine.ledger.heard(news.events, news.revision);
@@ -313,17 +313,17 @@
       side.keeper.next_write(side.jobs, {.wall_ms = wall_ms(), .steady = time_of(node)}, settings_.state_txn_ops);
   if (!txn) return;
   if (txn->changes.size() > settings_.state_txn_ops) throw std::logic_error("transaction over its limit");
-  for (const state::Change& change : txn->changes) {
+  for (const kv::Change& change : txn->changes) {
     if (change.data && static_cast<double>(wire::json_length(*change.data)) > settings_.state_value_kb * 1024) {
       throw std::logic_error("value over its limit: " + change.key);
     }
   }
   side.writing = true;
-  state::Txn guarded = *txn;
+  kv::Txn guarded = *txn;
   guarded.conditions.push_back({.key = state::kTermKey, .mark = self.engine->term_mark()});
-  call_state<state::TxnResult>(
+  call_state<kv::TxnResult>(
       node, Duty::writes, [guarded](StateStore& store) { return store.txn(guarded); },
-      [this, node, txn](const state::TxnResult& result) {
+      [this, node, txn](const kv::TxnResult& result) {
         nodes_[node].pools->writing = false;
         nodes_[node].pools->keeper.on_written(*txn, result);
       });
--- a/tests/standins/world_state_calls.h
+++ b/tests/standins/world_state_calls.h
@@ -20,8 +20,7 @@
     const auto hear = [this, node, duty, life, then, result] {
       if (late(node, duty)) return false;
       if (!nodes_[node].alive || nodes_[node].life != life) return true;
-      if (result.answer != state::Answer::none && result.answer != state::Answer::refused)
-        nodes_[node].state_heard = now_;
+      if (result.answer != kv::Answer::none && result.answer != kv::Answer::refused) nodes_[node].state_heard = now_;
       then(result);
       return true;
     };
@@ -30,9 +29,9 @@
     });
   };
   Result none;
-  none.answer = state::Answer::none;
+  none.answer = kv::Answer::none;
   Result refused;
-  refused.answer = state::Answer::refused;
+  refused.answer = kv::Answer::refused;
   if (this->refused(node)) {
     ++struck_["refuse_state"];
     if (hold == Millis(0) || now_ - nodes_[node].refused_from > kOpenWatch) return reply(refused, delay());
@@ -60,12 +59,12 @@
   const int luck = std::uniform_int_distribution<int>(0, 399)(random_);
   // A write without an answer is tried again, and all that is to be written waits for it: an end that comes about then may
   // be told later than on a calm day.
-  if (std::is_same_v<Result, state::TxnResult> && luck < 2) {
+  if (std::is_same_v<Result, kv::TxnResult> && luck < 2) {
     history_.on_trouble(now_);
     write_lost_until_ = now_ + constants::kStateCallLimit;
   }
   if (luck == 0) return reply(none, constants::kStateCallLimit);
-  if constexpr (std::is_same_v<Result, state::TxnResult>) {
+  if constexpr (std::is_same_v<Result, kv::TxnResult>) {
     if (const Fate found = fate(); found != Fate::answered) {
       const auto carry_out = [what](StateStore& store) { (void)what(store); };
       if (found == Fate::late) carry_out_late(carry_out);
@@ -80,7 +79,7 @@
         if (!state_out_) (void)what(store_);
       });
     }
-    if (luck == 1 || result.answer == state::Answer::none) return reply(none, constants::kStateCallLimit);
+    if (luck == 1 || result.answer == kv::Answer::none) return reply(none, constants::kStateCallLimit);
     // Answered only after the caller has given up.
     if (slow > constants::kStateCallLimit) return reply(none, constants::kStateCallLimit - slow / 2);
     reply(result, delay() + slow / 2);
--- a/tests/standins/world_users.cpp
+++ b/tests/standins/world_users.cpp
@@ -13,7 +13,7 @@
 namespace foxshunt::standins {
 
 using control::from_seconds;
-using state::Answer;
+using kv::Answer;
 
 namespace {
 
@@ -47,24 +47,24 @@
       return;
     }
     if (const auto* read = std::get_if<user_api::Request::Read>(&request->step())) {
-      return call_state<state::GetResult>(
+      return call_state<kv::GetResult>(
           node, Duty::users, [key = read->key](StateStore& store) { return store.get(key); },
-          [request, self](const state::GetResult& found) {
+          [request, self](const kv::GetResult& found) {
             request->on_read(found);
             self(self);
           });
     }
-    call_state<state::TxnResult>(
+    call_state<kv::TxnResult>(
         node, Duty::users,
-        [this, txn = std::get<state::Txn>(request->step())](StateStore& store) {
-          const state::TxnResult result = store.txn(txn);
-          const state::Change& change = txn.changes.front();
+        [this, txn = std::get<kv::Txn>(request->step())](StateStore& store) {
+          const kv::TxnResult result = store.txn(txn);
+          const kv::Change& change = txn.changes.front();
           const auto job = state::job_of_key(change.key);
           const bool created = job && change.data && change.key == state::live_key(*job);
           if (result.answer == Answer::ok && created) rules_.on_created(*job);
           return result;
         },
-        [request, self](const state::TxnResult& result) {
+        [request, self](const kv::TxnResult& result) {
           request->on_written(result);
           self(self);
         });
@@ -236,9 +236,9 @@
 
 std::optional<wire::JobStatus> World::ask(const JobId& id) {
   if (state_out_) return std::nullopt;
-  const state::GetResult live = store_.get(state::live_key(id));
+  const kv::GetResult live = store_.get(state::live_key(id));
   if (live.answer == Answer::ok) return state::status_of(state::job_from(live.entry.data));
-  const state::GetResult over = store_.get(state::over_key(id));
+  const kv::GetResult over = store_.get(state::over_key(id));
   if (over.answer == Answer::ok) return state::over_from(id, over.entry.data);
   return std::nullopt;
 }
--- a/tests/unit/calendar_test.cpp
+++ b/tests/unit/calendar_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using catalog::CalendarDef;
-using state::Answer;
+using kv::Answer;
 
 constexpr std::int64_t kSecond = 1000;
 constexpr std::int64_t kMinute = 60 * kSecond;
@@ -308,7 +308,7 @@
     std::int64_t still_until = 0;  // crashed or frozen
     std::int64_t cut_until = 0;
     bool cold = true;
-    std::optional<state::Txn> in_hand;  // decided before it froze
+    std::optional<kv::Txn> in_hand;  // decided before it froze
   };
 
   Day(std::size_t count, std::int64_t begin) : now_(begin), instances_(count) {
@@ -333,7 +333,7 @@
   void take_lead(std::size_t index) {
     leader_ = index;
     ++term_;
-    const state::TxnResult result = store_.txn(
+    const kv::TxnResult result = store_.txn(
         {.conditions = {},
          .changes = {{.key = state::kTermKey,
                       .data = state::to_value(state::TermRecord{.term = Term(term_), .leader = NodeName("n")}),
@@ -354,9 +354,9 @@
   }
 
   void read(Instance& one) {
-    std::vector<state::Entry> entries;
+    std::vector<kv::Entry> entries;
     for (const std::string& prefix : one.ledger->kept()) {
-      for (const state::Entry& entry : store_.list(prefix).entries) entries.push_back(entry);
+      for (const kv::Entry& entry : store_.list(prefix).entries) entries.push_back(entry);
     }
     one.ledger->read(entries, store_.revision());
     one.keeper->cold_read();
@@ -368,15 +368,15 @@
             .steady = std::chrono::steady_clock::time_point(std::chrono::milliseconds(now_))};
   }
 
-  state::TxnResult send(state::Txn txn) {
-    const state::TxnResult result = store_.txn(txn);
+  kv::TxnResult send(kv::Txn txn) {
+    const kv::TxnResult result = store_.txn(txn);
     if (result.answer == Answer::ok) note(txn);
     return result;
   }
 
   // What the rules forbid is counted from the writes themselves.
-  void note(const state::Txn& txn) {
-    for (const state::Change& change : txn.changes) {
+  void note(const kv::Txn& txn) {
+    for (const kv::Change& change : txn.changes) {
       if (!change.key.starts_with(kPrefix)) continue;
       const auto next = change.data ? occurrence_from(*change.data) : std::nullopt;
       const auto before = last_.find(change.key);
@@ -426,11 +426,11 @@
     if (plan) one->keeper->planned(plan(now_));
     if (const auto key = one->keeper->next_read()) {
       ++reads;
-      one->keeper->on_read(*key, unread ? state::GetResult{} : store_.get(*key));
+      one->keeper->on_read(*key, unread ? kv::GetResult{} : store_.get(*key));
     }
     auto txn = one->keeper->next_write(*one->jobs, moment(*one), 24);
     if (!txn) return;
-    state::Txn guarded = *txn;
+    kv::Txn guarded = *txn;
     guarded.conditions.push_back({.key = state::kTermKey, .mark = term_mark_});
     const Fault fault = writes++ == fault_at ? fault_kind : Fault::none;
     switch (fault) {
@@ -479,8 +479,8 @@
     for (Instance& one : instances_) {
       if (works(one) && one.in_hand) {
         // It wakes and goes on as if nothing had been.
-        const state::Txn txn = *std::exchange(one.in_hand, {});
-        const state::TxnResult result = send(txn);
+        const kv::Txn txn = *std::exchange(one.in_hand, {});
+        const kv::TxnResult result = send(txn);
         one.keeper->on_written({.conditions = txn.conditions, .changes = txn.changes}, result);
       }
       if (!reaches(one)) continue;
@@ -488,7 +488,7 @@
         read(one);
         continue;
       }
-      const state::FollowResult news = store_.follow("", one.ledger->revision());
+      const kv::FollowResult news = store_.follow("", one.ledger->revision());
       one.ledger->heard(news.events, news.revision);
       one.keeper->look(moment(one));
     }
@@ -550,7 +550,7 @@
     return set_->calendar.back();
   }
   [[nodiscard]] std::optional<Occurrence> find(const std::string& entry, std::int64_t due) const {
-    const state::GetResult got = store_.get(key_of(entry, due));
+    const kv::GetResult got = store_.get(key_of(entry, due));
     if (got.answer != Answer::ok) return std::nullopt;
     return occurrence_from(got.entry.data);
   }
@@ -587,7 +587,7 @@
   std::int64_t silent_since_ = 0;
   std::int64_t leaderless_until_ = 0;
   std::vector<std::pair<std::int64_t, std::function<void()>>> acts_;
-  std::vector<std::pair<std::int64_t, state::Txn>> late_;
+  std::vector<std::pair<std::int64_t, kv::Txn>> late_;
   std::map<std::string, Occurrence> last_;
 };
 
@@ -746,11 +746,11 @@
   day.declare(entry_of("dawn")).expected_jobs = 3;
   const auto both = [&day] {
     std::vector<Answer> answers;
-    std::vector<state::Txn> txns;
+    std::vector<kv::Txn> txns;
     day.now_ += Day::kStep;
     for (Day::Instance& one : day.instances_) {
       if (one.cold) day.read(one);
-      const state::FollowResult news = day.store_.follow("", one.ledger->revision());
+      const kv::FollowResult news = day.store_.follow("", one.ledger->revision());
       one.ledger->heard(news.events, news.revision);
       one.keeper->look(day.moment(one));
     }
@@ -759,7 +759,7 @@
       if (txn) txns.push_back(*txn);
     }
     for (std::size_t at = 0; at < txns.size(); ++at) {
-      const state::TxnResult result = day.send(txns[at]);
+      const kv::TxnResult result = day.send(txns[at]);
       answers.push_back(result.answer);
       day.instances_[at].keeper->on_written(txns[at], result);
     }
--- a/tests/unit/catalog_test.cpp
+++ b/tests/unit/catalog_test.cpp
@@ -341,17 +341,17 @@
   void before(std::size_t call, std::function<void()> hook) { hooks_[call] = std::move(hook); }
   [[nodiscard]] std::size_t writes() const { return writes_; }
 
-  state::GetResult get(const std::string& key) override { return store_.get(key); }
-  state::ListResult list(const std::string& prefix) override { return store_.list(prefix); }
-  state::TxnResult txn(const state::Txn& txn) override {
+  kv::GetResult get(const std::string& key) override { return store_.get(key); }
+  kv::ListResult list(const std::string& prefix) override { return store_.list(prefix); }
+  kv::TxnResult txn(const kv::Txn& txn) override {
     EXPECT_LE(txn.changes.size(), 24U);
     const std::size_t call = writes_++;
     if (const auto hook = hooks_.find(call); hook != hooks_.end()) hook->second();
     const Fault fault = faults_.contains(call) ? faults_[call] : Fault::none;
     if (fault == Fault::crash_before) throw Crash();
     if (fault == Fault::lost_before) return {};
-    if (fault == Fault::refused) return {.answer = state::Answer::refused, .revision = {}, .failed = {}};
-    const state::TxnResult result = store_.txn(txn);
+    if (fault == Fault::refused) return {.answer = kv::Answer::refused, .revision = {}, .failed = {}};
+    const kv::TxnResult result = store_.txn(txn);
     if (fault == Fault::crash_after) throw Crash();
     if (fault == Fault::lost_after) return {};
     return result;
@@ -391,7 +391,7 @@
   Reader& operator=(const Reader&) = delete;
   void read(const standins::StateStore& store) { ledger.read(store.list("").entries, store.revision()); }
   void hear(const standins::StateStore& store) {
-    const state::FollowResult news = store.follow("", ledger.revision());
+    const kv::FollowResult news = store.follow("", ledger.revision());
     ledger.heard(news.events, news.revision);
   }
 };
@@ -422,10 +422,10 @@
 // Items of sets that the head does not name, and records of stages.
 std::size_t leftovers(const standins::StateStore& store) {
   std::optional<Head> head;
-  if (const auto got = store.get(kHeadKey); got.answer == state::Answer::ok)
+  if (const auto got = store.get(kHeadKey); got.answer == kv::Answer::ok)
     head = head_from(got.entry.data, got.entry.mark);
   std::size_t count = store.list(kStagePrefix).entries.size();
-  for (const state::Entry& entry : store.list(kItemPrefix).entries) {
+  for (const kv::Entry& entry : store.list(kItemPrefix).entries) {
     if (!head || !head->keeps(item_key_from(entry.key)->stage)) ++count;
   }
   return count;
@@ -541,9 +541,9 @@
   TestStore anew(state);
   anew.at(3, TestStore::Fault::crash_before);
   EXPECT_THROW((void)put(anew, set_of("a", 40), 0), Crash);
-  EXPECT_EQ(state.txn(*late).answer, state::Answer::conflict);
+  EXPECT_EQ(state.txn(*late).answer, kv::Answer::conflict);
   ASSERT_EQ(put(state, set_of("a", 40), 0).kind, Outcome::Kind::in_force);
-  EXPECT_EQ(state.txn(*late).answer, state::Answer::conflict);
+  EXPECT_EQ(state.txn(*late).answer, kv::Answer::conflict);
   EXPECT_EQ(names_in_force(state), "1:40a-0");
 }
 
@@ -569,11 +569,11 @@
   standins::StateStore state;
   Writer writer({}, Revision(0), set_of("a", 30), "desk", 1000, kLimits);
   writer.on_result(state.txn(*writer.next()));
-  const state::Txn late = *writer.next();
+  const kv::Txn late = *writer.next();
   sweep(state, std::int64_t{1} << 40);
-  EXPECT_EQ(state.txn(late).answer, state::Answer::conflict);
+  EXPECT_EQ(state.txn(late).answer, kv::Answer::conflict);
   ASSERT_EQ(put(state, set_of("a", 30), 0).kind, Outcome::Kind::in_force);
-  EXPECT_EQ(state.txn(late).answer, state::Answer::conflict);
+  EXPECT_EQ(state.txn(late).answer, kv::Answer::conflict);
 }
 
 // Two operators at two nodes, the second one's whole request at each write of the first's.
@@ -657,7 +657,7 @@
   ASSERT_EQ(put(state, set_of("a", 3), 0).kind, Outcome::Kind::in_force);
   ASSERT_EQ(put(state, set_of("b", 3), 1).kind, Outcome::Kind::in_force);
   EXPECT_EQ(names_in_force(state), "2:3b-0");
-  const state::Entry gone = state.list(kItemPrefix + std::string("2-")).entries[1];
+  const kv::Entry gone = state.list(kItemPrefix + std::string("2-")).entries[1];
   (void)state.txn({.conditions = {}, .changes = {{.key = gone.key, .data = {}, .lease = {}}}});
   EXPECT_EQ(names_in_force(state), "1:3a-0");
   // Not what the digest says.
@@ -682,7 +682,7 @@
     return value;
   };
   // Of an item: the set is not read, and its stage not swept.
-  const state::Entry item = state.list(kItemPrefix).entries[0];
+  const kv::Entry item = state.list(kItemPrefix).entries[0];
   (void)state.txn({.conditions = {}, .changes = {{.key = item.key, .data = newer(item.data), .lease = {}}}});
   node.hear(state);
   EXPECT_EQ(node.book.unreadable(), 1U);
@@ -691,9 +691,9 @@
   const std::string left = item_key({.stage = "1-0", .kind = Kind::pool, .number = 0});
   (void)state.txn({.conditions = {}, .changes = {{.key = left, .data = newer(item.data), .lease = {}}}});
   sweep(state, std::int64_t{1} << 40);
-  EXPECT_EQ(state.get(left).answer, state::Answer::ok);
+  EXPECT_EQ(state.get(left).answer, kv::Answer::ok);
   // Of the head: nothing is written, nothing swept, and what was in force stays so.
-  const state::Entry head = state.get(kHeadKey).entry;
+  const kv::Entry head = state.get(kHeadKey).entry;
   (void)state.txn(
       {.conditions = {},
        .changes = {
@@ -731,10 +731,10 @@
 
   void look(const standins::StateStore& store) {
     if (ledger.revision() == Revision(0)) ledger.read(store.list("").entries, store.revision());
-    const state::FollowResult news = store.follow("", ledger.revision());
+    const kv::FollowResult news = store.follow("", ledger.revision());
     ledger.heard(news.events, news.revision);
   }
-  std::optional<state::Txn> next() {
+  std::optional<kv::Txn> next() {
     at += constants::kCatalogSweepPause;
     return founder.next_write({}, {.wall_ms = 1000, .steady = at}, kLimits.changes);
   }
@@ -756,7 +756,7 @@
 
 std::size_t editions(const standins::StateStore& store) {
   const auto got = store.get(kHeadKey);
-  return got.answer == state::Answer::ok ? 1 + head_from(got.entry.data, got.entry.mark).former.size() : 0;
+  return got.answer == kv::Answer::ok ? 1 + head_from(got.entry.data, got.entry.mark).former.size() : 0;
 }
 
 // At each write of it the leader ends, before or after it was executed, or hears no answer; another one goes on. What
@@ -767,7 +767,7 @@
       for (const bool executed : {false, true}) {
         standins::StateStore state;
         Founded first(set_of("a", count));
-        std::optional<state::Txn> late;
+        std::optional<kv::Txn> late;
         for (std::size_t n = 0; n <= call; ++n) {
           first.look(state);
           late = first.next();
@@ -781,7 +781,7 @@
         second.found(state);
         EXPECT_EQ(names_in_force(state), "1:" + std::to_string(count) + "a-0") << call;
         const Revision before = state.revision();
-        EXPECT_EQ(state.txn(*late).answer, state::Answer::conflict) << call;
+        EXPECT_EQ(state.txn(*late).answer, kv::Answer::conflict) << call;
         first.found(state);
         Founded third(set_of("a", count));
         third.found(state);
@@ -820,7 +820,7 @@
   for (std::size_t call = 0; call < 5; ++call) {
     standins::StateStore state;
     Founded node(set_of("a", 40));
-    std::optional<state::Txn> sent;
+    std::optional<kv::Txn> sent;
     for (std::size_t n = 0; n <= call; ++n) {
       node.look(state);
       sent = node.next();
--- a/tests/unit/concurrent_faults_test.cpp
+++ b/tests/unit/concurrent_faults_test.cpp
@@ -50,7 +50,7 @@
     engine_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
-  void lead(Term term, Revision mark, std::vector<state::Entry> live = {}, std::vector<state::Entry> linger = {}) {
+  void lead(Term term, Revision mark, std::vector<kv::Entry> live = {}, std::vector<kv::Entry> linger = {}) {
     Takeover takeover;
     takeover.term = term;
     takeover.term_mark = mark;
@@ -86,8 +86,8 @@
   }
 
   // A record that places the job's tasks, by index, with its first attempt.
-  static state::Entry placed(const std::string& key, const wire::JobSpec& spec,
-                             const std::vector<std::pair<MachineId, std::uint64_t>>& machines_and_sessions) {
+  static kv::Entry placed(const std::string& key, const wire::JobSpec& spec,
+                          const std::vector<std::pair<MachineId, std::uint64_t>>& machines_and_sessions) {
     state::JobRecord record = state::new_job(spec, 0);
     record.whole->next = AttemptNo(2);
     std::uint32_t index = 0;
@@ -134,7 +134,7 @@
   EXPECT_EQ(engine_.jobs().at(next.id).runs_count, 4U) << "of 8 CPUs each, for a limit of 32";
   const auto write = engine_.begin_write(now_);
   ASSERT_TRUE(write);
-  engine_.end_write(*write, {.answer = state::Answer::ok, .revision = Revision(30), .failed = {}}, now_);
+  engine_.end_write(*write, {.answer = kv::Answer::ok, .revision = Revision(30), .failed = {}}, now_);
   EXPECT_FALSE(engine_.jobs().contains(kJob)) << "it is never forgotten";
   EXPECT_EQ(engine_.disagreement(), std::nullopt);
 }
@@ -145,7 +145,7 @@
   lead(Term(7), Revision(1));
   wire::JobSpec over = job_of(1);
   over.id = JobId("j-000009");
-  const std::vector<state::Entry> before{placed(state::live_key(over.id), over, {{kFirst, 1}})};
+  const std::vector<kv::Entry> before{placed(state::live_key(over.id), over, {{kFirst, 1}})};
   lead(Term(9), Revision(50), {placed(state::live_key(kJob), job_of(1), {{kSecond, 1}})});
   EXPECT_FALSE(engine_.on_job_list(Term(7), before, 0, now_));
   EXPECT_FALSE(engine_.jobs().at(kJob).withdrawn) << "an accepted job would never run";
@@ -177,9 +177,9 @@
 
   void take_lead(Engine& engine, const NodeName& node) {
     const state::LeadView view = state::lead_view(store_.get(state::kHolderKey), store_.get(state::kTermKey));
-    const state::LeaseId lease = store_.grant(Millis(4000), now_);
-    const state::TxnResult taken = store_.txn(state::take_lead_txn(view, node, lease, 0));
-    ASSERT_EQ(taken.answer, state::Answer::ok);
+    const kv::LeaseId lease = store_.grant(Millis(4000), now_);
+    const kv::TxnResult taken = store_.txn(state::take_lead_txn(view, node, lease, 0));
+    ASSERT_EQ(taken.answer, kv::Answer::ok);
     Takeover takeover;
     takeover.term = view.record.term.next();
     takeover.term_mark = taken.revision;
@@ -191,11 +191,11 @@
     engine.confirm_reading(now_);
   }
 
-  state::TxnResult submit(const wire::JobSpec& spec) { return store_.txn(state::accept_txn(state::new_job(spec, 0))); }
+  kv::TxnResult submit(const wire::JobSpec& spec) { return store_.txn(state::accept_txn(state::new_job(spec, 0))); }
 
   // The job is accepted, the first engine leads, its only machine reports, and a pass places what fits.
   void accept_and_plan(const wire::JobSpec& spec) {
-    ASSERT_EQ(submit(spec).answer, state::Answer::ok);
+    ASSERT_EQ(submit(spec).answer, kv::Answer::ok);
     take_lead(engine_, NodeName("node-0"));
     (void)report_to(engine_);
     engine_.plan_pass(now_);
@@ -203,8 +203,8 @@
 
   // What the leader's watch tells.
   void follow(Engine& engine) {
-    const state::FollowResult news = store_.follow(state::kLivePrefix, seen_);
-    for (const state::Event& event : news.events) {
+    const kv::FollowResult news = store_.follow(state::kLivePrefix, seen_);
+    for (const kv::Event& event : news.events) {
       const JobId id = *state::job_of_key(event.key);
       if (event.data) {
         engine.on_job_record(id, *event.data, event.mark, 0, now_);
@@ -239,13 +239,13 @@
     engine.end_write(batch, store_.txn(batch.txn), now_);
   }
   void lose_answer(Engine& engine, const WriteBatch& batch) {
-    engine.end_write(batch, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
+    engine.end_write(batch, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
   }
   static bool starts(const std::optional<std::vector<wire::Command>>& commands) {
     return commands && std::ranges::any_of(
                            *commands, [](const wire::Command& command) { return command.kind == CommandKind::run; });
   }
-  [[nodiscard]] bool is_live() const { return store_.get(state::live_key(kJob)).answer == state::Answer::ok; }
+  [[nodiscard]] bool is_live() const { return store_.get(state::live_key(kJob)).answer == kv::Answer::ok; }
 
   standins::StateStore store_;
   Engine next_;
@@ -262,7 +262,7 @@
   EXPECT_FALSE(starts(report_to(engine_))) << "it may never be written";
   store_.expire(now_ + Millis(9000));
   take_lead(next_, NodeName("node-1"));
-  EXPECT_EQ(store_.txn(late.txn).answer, state::Answer::conflict);
+  EXPECT_EQ(store_.txn(late.txn).answer, kv::Answer::conflict);
   (void)report_to(next_);
   next_.plan_pass(now_);
   carry_out(next_);
@@ -279,7 +279,7 @@
   (void)report_to(engine_, {task(0, TaskState::ended, EndReason::done)});
   carry_out(engine_);
   ASSERT_FALSE(is_live());
-  EXPECT_EQ(store_.txn(late.txn).answer, state::Answer::conflict);
+  EXPECT_EQ(store_.txn(late.txn).answer, kv::Answer::conflict);
   EXPECT_FALSE(is_live()) << "it would run again, and its user would hear that it waits";
 }
 
@@ -300,11 +300,11 @@
   (void)report_to(engine_, {first, second});
   carry_out(engine_);
   const auto done = [&] {
-    const state::GetResult found = store_.get(state::part_key(kJob, 0));
+    const kv::GetResult found = store_.get(state::part_key(kJob, 0));
     return state::part_from(found.entry.data, constants::kTasksPerPart).done;
   };
   ASSERT_TRUE(done()[0] && done()[1]);
-  EXPECT_EQ(store_.txn(late.txn).answer, state::Answer::conflict);
+  EXPECT_EQ(store_.txn(late.txn).answer, kv::Answer::conflict);
   EXPECT_TRUE(done()[1]);
 }
 
@@ -312,7 +312,7 @@
 TEST_F(ConcurrentFaultsAtTheStore, AWriteWhoseAnswerIsLostIsReadAgain) {
   accept_and_plan(job_of(1));
   const WriteBatch first = written(engine_);
-  ASSERT_EQ(store_.txn(first.txn).answer, state::Answer::ok);
+  ASSERT_EQ(store_.txn(first.txn).answer, kv::Answer::ok);
   lose_answer(engine_, first);
   carry_out(engine_);
   EXPECT_FALSE(starts(report_to(engine_))) << "what is there has not been looked at";
@@ -326,19 +326,18 @@
 // A user's cancellation is carried out late, when the job that it read as waiting runs: it would leave no word of the task.
 // The repeated one does, and the next leader knows of it.
 TEST_F(ConcurrentFaultsAtTheStore, ACancellationThatLagsMissesNoPlacement) {
-  ASSERT_EQ(submit(job_of(1)).answer, state::Answer::ok);
+  ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
   take_lead(engine_, NodeName("node-0"));
-  const state::GetResult waiting = store_.get(state::live_key(kJob));
-  const state::Txn late = state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark);
+  const kv::GetResult waiting = store_.get(state::live_key(kJob));
+  const kv::Txn late = state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark);
   (void)report_to(engine_);
   engine_.plan_pass(now_);
   carry_out(engine_);
   ASSERT_TRUE(starts(report_to(engine_)));
-  EXPECT_EQ(store_.txn(late).answer, state::Answer::conflict);
-  const state::GetResult runs = store_.get(state::live_key(kJob));
-  ASSERT_EQ(runs.answer, state::Answer::ok);
-  EXPECT_EQ(store_.txn(state::withdraw_txn(state::job_from(runs.entry.data), runs.entry.mark)).answer,
-            state::Answer::ok);
+  EXPECT_EQ(store_.txn(late).answer, kv::Answer::conflict);
+  const kv::GetResult runs = store_.get(state::live_key(kJob));
+  ASSERT_EQ(runs.answer, kv::Answer::ok);
+  EXPECT_EQ(store_.txn(state::withdraw_txn(state::job_from(runs.entry.data), runs.entry.mark)).answer, kv::Answer::ok);
   store_.expire(now_ + Millis(9000));
   take_lead(next_, NodeName("node-1"));
   ASSERT_TRUE(next_.jobs().contains(kJob)) << "nobody would stop its task, nor count it";
@@ -350,15 +349,15 @@
 
 // A cancellation is confirmed while a placement is on its way: the placement fails, and is never started.
 TEST_F(ConcurrentFaultsAtTheStore, APlacementMeetsAConfirmedCancellation) {
-  ASSERT_EQ(submit(job_of(1)).answer, state::Answer::ok);
+  ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
   take_lead(engine_, NodeName("node-0"));
   seen_ = store_.revision();
   (void)report_to(engine_);
   engine_.plan_pass(now_);
   const WriteBatch batch = written(engine_);
-  const state::GetResult waiting = store_.get(state::live_key(kJob));
+  const kv::GetResult waiting = store_.get(state::live_key(kJob));
   ASSERT_EQ(store_.txn(state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark)).answer,
-            state::Answer::ok);
+            kv::Answer::ok);
   engine_.end_write(batch, store_.txn(batch.txn), now_);
   EXPECT_FALSE(starts(report_to(engine_)));
   EXPECT_FALSE(is_live()) << "called off for its user, it would run";
@@ -375,20 +374,20 @@
     SCOPED_TRACE(end_first);
     store_ = {};
     sequence_ = 0;
-    ASSERT_EQ(submit(job_of(1)).answer, state::Answer::ok);
+    ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
     take_lead(engine_, NodeName("node-0"));
     (void)report_to(engine_);
     engine_.plan_pass(now_);
     carry_out(engine_);
     ASSERT_TRUE(starts(report_to(engine_)));
-    const state::GetResult runs = store_.get(state::live_key(kJob));
-    const state::Txn cancellation = state::withdraw_txn(state::job_from(runs.entry.data), runs.entry.mark);
+    const kv::GetResult runs = store_.get(state::live_key(kJob));
+    const kv::Txn cancellation = state::withdraw_txn(state::job_from(runs.entry.data), runs.entry.mark);
     (void)report_to(engine_, {task(0, TaskState::ended, EndReason::done)});
     const WriteBatch end = written(engine_);
-    EXPECT_EQ(store_.txn(end_first ? end.txn : cancellation).answer, state::Answer::ok);
-    EXPECT_EQ(store_.txn(end_first ? cancellation : end.txn).answer, state::Answer::conflict);
-    const state::GetResult over = store_.get(state::over_key(kJob));
-    ASSERT_EQ(over.answer, state::Answer::ok);
+    EXPECT_EQ(store_.txn(end_first ? end.txn : cancellation).answer, kv::Answer::ok);
+    EXPECT_EQ(store_.txn(end_first ? cancellation : end.txn).answer, kv::Answer::conflict);
+    const kv::GetResult over = store_.get(state::over_key(kJob));
+    ASSERT_EQ(over.answer, kv::Answer::ok);
     EXPECT_EQ(state::over_from(kJob, over.entry.data).state,
               end_first ? wire::JobState::done : wire::JobState::withdrawn);
     EXPECT_FALSE(is_live());
@@ -397,12 +396,12 @@
 
 // A submission without an answer is carried out when the repeated one has been accepted and its job is over.
 TEST_F(ConcurrentFaultsAtTheStore, ASubmissionThatLagsIsRefusedOnceItsJobIsOver) {
-  const state::Txn late = state::accept_txn(state::new_job(job_of(1), 0));
-  ASSERT_EQ(submit(job_of(1)).answer, state::Answer::ok);
-  const state::GetResult waiting = store_.get(state::live_key(kJob));
+  const kv::Txn late = state::accept_txn(state::new_job(job_of(1), 0));
+  ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
+  const kv::GetResult waiting = store_.get(state::live_key(kJob));
   ASSERT_EQ(store_.txn(state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark)).answer,
-            state::Answer::ok);
-  EXPECT_EQ(store_.txn(late).answer, state::Answer::conflict);
+            kv::Answer::ok);
+  EXPECT_EQ(store_.txn(late).answer, kv::Answer::conflict);
   EXPECT_FALSE(is_live());
 }
 
--- a/tests/unit/engine_test.cpp
+++ b/tests/unit/engine_test.cpp
@@ -52,7 +52,7 @@
     engine_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
-  void lead(std::vector<state::Entry> live = {}, std::vector<state::Entry> linger = {}) {
+  void lead(std::vector<kv::Entry> live = {}, std::vector<kv::Entry> linger = {}) {
     Takeover takeover;
     takeover.term = Term(7);
     takeover.term_mark = Revision(1);
@@ -63,7 +63,7 @@
   }
 
   // A record that places the job's first task.
-  static state::Entry placed_on(const MachineId& machine, const wire::JobSpec& spec) {
+  static kv::Entry placed_on(const MachineId& machine, const wire::JobSpec& spec) {
     state::JobRecord record = state::new_job(spec, 0);
     record.whole->next = AttemptNo(2);
     record.whole->runs = {{.index = 0, .attempt = AttemptNo(1), .machine = machine, .session = SessionNo(1)}};
@@ -93,7 +93,7 @@
     engine_.on_job_record(spec.id, state::to_value(state::new_job(spec, 0)), Revision(++revision_), 0, now_);
   }
 
-  bool write(state::Answer answer = state::Answer::ok) {
+  bool write(kv::Answer answer = kv::Answer::ok) {
     const auto batch = engine_.begin_write(now_);
     if (!batch) return false;
     engine_.end_write(*batch, {.answer = answer, .revision = Revision(++revision_), .failed = {}}, now_);
@@ -130,7 +130,7 @@
   again.term = Term(9);
   again.term_mark = Revision(50);
   engine_.lead(again, now_);
-  engine_.end_write(*late, {.answer = state::Answer::conflict, .revision = {}, .failed = {state::kTermKey}}, now_);
+  engine_.end_write(*late, {.answer = kv::Answer::conflict, .revision = {}, .failed = {state::kTermKey}}, now_);
   EXPECT_TRUE(engine_.leading());
   // It is built anew from this lead's job table, and written once.
   submit(job_of(1));
@@ -138,7 +138,7 @@
   engine_.plan_pass(now_);
   const auto write = engine_.begin_write(now_);
   ASSERT_TRUE(write);
-  engine_.end_write(*late, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
+  engine_.end_write(*late, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
   EXPECT_FALSE(engine_.begin_write(now_));
 }
 
@@ -263,7 +263,7 @@
   for (int second = 1; second <= 20; ++second) {
     now_ = before + Millis(1000 * second);
     if (second == 1) engine_.on_job_removed(kJob, now_);
-    if (second == 3) engine_.end_write(*batch, {.answer = state::Answer::none}, now_);
+    if (second == 3) engine_.end_write(*batch, {.answer = kv::Answer::none}, now_);
     engine_.confirm_lease(now_);
     engine_.confirm_reading(now_);
   }
@@ -294,8 +294,7 @@
   const auto batch = engine_.begin_write(now_);
   ASSERT_TRUE(batch);
   EXPECT_FALSE(left_out());
-  engine_.end_write(*batch, {.answer = state::Answer::conflict, .revision = {}, .failed = {state::live_key(kJob)}},
-                    now_);
+  engine_.end_write(*batch, {.answer = kv::Answer::conflict, .revision = {}, .failed = {state::live_key(kJob)}}, now_);
   EXPECT_TRUE(left_out());
   const auto reload = engine_.next_reload();
   ASSERT_TRUE(reload);
@@ -335,7 +334,7 @@
 
 // Invariant 5: until the worker has seen our term, an older leader's start command may yet reach it.
 TEST_F(Leading, AbsenceIsNoProofBeforeTheWorkerHasSeenOurTerm) {
-  state::Entry linger = placed_on(kFirst, job_of(1));
+  kv::Entry linger = placed_on(kFirst, job_of(1));
   linger.key = state::linger_key(kJob);
   lead({}, {linger});
   (void)report(kFirst, 1, Term(6));
@@ -357,7 +356,7 @@
   const std::vector<wire::TaskReport> tasks{task(0, TaskState::ended, EndReason::done),
                                             task(1, TaskState::running, EndReason::none, 2)};
   EXPECT_FALSE(has(report(kFirst, 3, Term(7), tasks), CommandKind::clear));
-  ASSERT_TRUE(write(state::Answer::none));  // it may have been written, or not
+  ASSERT_TRUE(write(kv::Answer::none));  // it may have been written, or not
   EXPECT_FALSE(has(report(kFirst, 4, Term(7), tasks), CommandKind::clear));
   ASSERT_TRUE(write());
   EXPECT_TRUE(has(report(kFirst, 5, Term(7), tasks), CommandKind::clear));
@@ -372,7 +371,7 @@
   engine_.plan_pass(now_);
   EXPECT_FALSE(has(report(kFirst, 2, Term(7)), CommandKind::run));
   EXPECT_FALSE(has(engine_.later_commands(last_, now_), CommandKind::run));
-  ASSERT_TRUE(write(state::Answer::none));
+  ASSERT_TRUE(write(kv::Answer::none));
   EXPECT_FALSE(has(engine_.later_commands(last_, now_), CommandKind::run));
   EXPECT_FALSE(has(report(kFirst, 3, Term(7)), CommandKind::run));
   ASSERT_TRUE(write());
@@ -511,7 +510,7 @@
   EXPECT_EQ(census.machines_up, 1U);
   EXPECT_EQ(census.unwritten, 1U);
   EXPECT_EQ(census.unwritten_oldest, Millis(700));
-  ASSERT_TRUE(write(state::Answer::none));  // it may be written, or not
+  ASSERT_TRUE(write(kv::Answer::none));  // it may be written, or not
   now_ += Millis(300);
   EXPECT_EQ(engine_.census(now_).unwritten_oldest, Millis(1000));
   ASSERT_TRUE(write());
--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -38,17 +38,16 @@
     spec.team = team;
     spec.tasks = tasks;
     spec.cpus = 2;
-    ASSERT_EQ(store_.txn(state::accept_txn(state::new_job(spec, 0))).answer, state::Answer::ok);
-    const state::Entry live = store_.get(state::live_key(id)).entry;
+    ASSERT_EQ(store_.txn(state::accept_txn(state::new_job(spec, 0))).answer, kv::Answer::ok);
+    const kv::Entry live = store_.get(state::live_key(id)).entry;
     ASSERT_TRUE(table_.on_record(id, live.mark));
     table_.add(state::job_from(live.data), live.mark, 0, machines_, now_);
   }
   // A user cancels; true when it was not over yet. The watch has not told of it yet.
   bool cancel(const JobId& id) {
-    const state::GetResult live = store_.get(state::live_key(id));
-    return live.answer == state::Answer::ok &&
-           store_.txn(state::withdraw_txn(state::job_from(live.entry.data), live.entry.mark)).answer ==
-               state::Answer::ok;
+    const kv::GetResult live = store_.get(state::live_key(id));
+    return live.answer == kv::Answer::ok &&
+           store_.txn(state::withdraw_txn(state::job_from(live.entry.data), live.entry.mark)).answer == kv::Answer::ok;
   }
   void hear_of_cancel(const JobId& id) {
     if (Job* job = table_.on_removed(id)) stop(*job);
@@ -69,9 +68,9 @@
   }
   void reload() {
     while (const auto reload = table_.next_reload()) {
-      const state::GetResult found = store_.get(reload->key());
-      Job* gone = table_.on_reloaded(
-          *reload, found.answer == state::Answer::ok ? std::optional(found.entry.mark) : std::nullopt);
+      const kv::GetResult found = store_.get(reload->key());
+      Job* gone =
+          table_.on_reloaded(*reload, found.answer == kv::Answer::ok ? std::optional(found.entry.mark) : std::nullopt);
       if (gone != nullptr) stop(*gone);
     }
   }
@@ -82,12 +81,12 @@
       for (const state::RunRecord& run : part.runs) runs.insert({{id, run.index}, run.attempt});
     };
     for (const char* prefix : {state::kLivePrefix, state::kLingerPrefix}) {
-      for (const state::Entry& entry : store_.list(prefix).entries) {
+      for (const kv::Entry& entry : store_.list(prefix).entries) {
         const state::JobRecord job = state::job_from(entry.data);
         if (job.whole) take(job.spec.id, *job.whole);
       }
     }
-    for (const state::Entry& entry : store_.list(state::kPartPrefix).entries) {
+    for (const kv::Entry& entry : store_.list(state::kPartPrefix).entries) {
       take(*state::job_of_key(entry.key), state::part_from(entry.data, constants::kTasksPerPart));
     }
     return runs;
@@ -130,12 +129,12 @@
   place(table_.at(kJob), 0);
   const auto lost = begin();
   (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
   EXPECT_FALSE(table_.find_run({kJob, 0})->durable);
   const auto again = begin();
   ASSERT_TRUE(again);
-  const state::TxnResult result = store_.txn(again->txn);
-  ASSERT_EQ(result.answer, state::Answer::conflict);
+  const kv::TxnResult result = store_.txn(again->txn);
+  ASSERT_EQ(result.answer, kv::Answer::conflict);
   table_.end_write(*again, result, now_);
   ASSERT_TRUE(table_.next_reload());
   EXPECT_EQ(table_.next_reload()->key(), state::live_key(kJob));
@@ -151,7 +150,7 @@
   place(table_.at(kJob), 150);
   const auto lost = begin();
   (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
   EXPECT_TRUE(write());  // the conflict tells
   for (int round = 0; round < 3; ++round) {
     reload();
@@ -166,7 +165,7 @@
   place(table_.at(kJob), 150);
   const auto lost = begin();
   (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
   ASSERT_TRUE(cancel(kJob));
   hear_of_cancel(kJob);
   while (write()) {
@@ -202,11 +201,11 @@
   gone(job, 1);
   EXPECT_FALSE(write());
   EXPECT_FALSE(machines_.forget(kMachine));  // unproved is never gone
-  EXPECT_EQ(store_.get(state::linger_key(kJob)).answer, state::Answer::ok);
+  EXPECT_EQ(store_.get(state::linger_key(kJob)).answer, kv::Answer::ok);
   EXPECT_EQ(table_.team_use("red"), job.each);
   gone(job, 0);
   EXPECT_TRUE(write());
-  EXPECT_EQ(store_.get(state::linger_key(kJob)).answer, state::Answer::not_found);
+  EXPECT_EQ(store_.get(state::linger_key(kJob)).answer, kv::Answer::not_found);
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_TRUE(machines_.forget(kMachine));
 }
@@ -254,9 +253,9 @@
   }
   JobTable next;
   inventory::MachineInventory machines;
-  const state::Entry live = store_.get(state::live_key(kJob)).entry;
+  const kv::Entry live = store_.get(state::live_key(kJob)).entry;
   Job& job = next.add(state::job_from(live.data), live.mark, 0, machines, now_);
-  for (const state::Entry& entry : store_.list(state::kPartPrefix).entries) {
+  for (const kv::Entry& entry : store_.list(state::kPartPrefix).entries) {
     const std::uint32_t number = *state::part_of_key(entry.key);
     job.parts[number].mark = entry.mark;
     next.adopt_part(job, number, state::part_from(entry.data, state::part_size(200, number)), machines, now_);
@@ -277,7 +276,7 @@
   const auto draw = [&](std::uint32_t most) { return std::uniform_int_distribution<std::uint32_t>(0, most)(random); };
   std::uint32_t jobs = 0;
   std::optional<WriteBatch> under_way;
-  std::vector<state::Txn> late;  // had no answer, and may be executed yet
+  std::vector<kv::Txn> late;     // had no answer, and may be executed yet
   std::vector<JobId> cancelled;  // the watch has not told yet
   std::set<std::pair<TaskKey, AttemptNo>> unproved;
   const auto prove = [&](Job& job, std::uint32_t index) {
@@ -294,7 +293,7 @@
     if (keys.empty()) return std::nullopt;
     return keys[draw(static_cast<std::uint32_t>(keys.size() - 1))];
   };
-  const auto end = [&](state::TxnResult result) {
+  const auto end = [&](kv::TxnResult result) {
     table_.end_write(*under_way, result, now_);
     under_way.reset();
   };
@@ -353,9 +352,9 @@
           const std::uint32_t how = draw(2);
           if (how == 0) (void)store_.txn(under_way->txn);
           if (how == 1) late.push_back(under_way->txn);
-          end({.answer = state::Answer::none, .revision = {}, .failed = {}});
+          end({.answer = kv::Answer::none, .revision = {}, .failed = {}});
         } else if (luck == 1) {
-          end({.answer = state::Answer::refused, .revision = {}, .failed = {}});
+          end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
         } else {
           end(store_.txn(under_way->txn));
         }
@@ -380,7 +379,7 @@
   }
   // When all has been proved and written, nothing is left, here or there.
   for (const JobId& id : cancelled) hear_of_cancel(id);
-  if (under_way) end({.answer = state::Answer::refused, .revision = {}, .failed = {}});
+  if (under_way) end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
   while (const auto key = some_run()) {
     Job& job = table_.at(key->job);
     if (!job.withdrawn) table_.mark_done(job, key->index);
--- a/tests/unit/ledger_test.cpp
+++ b/tests/unit/ledger_test.cpp
@@ -21,16 +21,16 @@
     if (content(revision_).contains(key)) note({.key = key, .data = {}, .mark = Revision(++revision_)});
   }
   [[nodiscard]] Revision revision() const { return Revision(revision_); }
-  [[nodiscard]] std::vector<state::Event> since(Revision from) const {
-    std::vector<state::Event> news;
-    for (const state::Event& event : events_) {
+  [[nodiscard]] std::vector<kv::Event> since(Revision from) const {
+    std::vector<kv::Event> news;
+    for (const kv::Event& event : events_) {
       if (event.mark > from) news.push_back(event);
     }
     return news;
   }
   [[nodiscard]] std::map<std::string, Revision> content(std::uint64_t at) const {
     std::map<std::string, Revision> there;
-    for (const state::Event& event : events_) {
+    for (const kv::Event& event : events_) {
       if (event.mark.number() > at) break;
       if (event.data) {
         there[event.key] = event.mark;
@@ -41,15 +41,15 @@
     return there;
   }
   // Keys from `first` to `last`, a page of a cold read.
-  void page(const std::string& first, const std::string& last, std::vector<state::Entry>& into) const {
+  void page(const std::string& first, const std::string& last, std::vector<kv::Entry>& into) const {
     for (const auto& [key, mark] : content(revision_)) {
       if (key >= first && key < last) into.push_back({.key = key, .data = wire::Value(mark.number()), .mark = mark});
     }
   }
 
  private:
-  void note(state::Event event) { events_.push_back(std::move(event)); }
-  std::vector<state::Event> events_;
+  void note(kv::Event event) { events_.push_back(std::move(event)); }
+  std::vector<kv::Event> events_;
   std::uint64_t revision_ = 0;
 };
 
@@ -89,12 +89,12 @@
     Comparison comparison;
     ledger.add_reader(told);
     ledger.add_reader(comparison);
-    std::vector<state::Event> earlier;
+    std::vector<kv::Event> earlier;
     bool read = false;
     for (int step = 0; step < 200; ++step) {
       if (!read || random() % 20 == 0) {  // the first time, after 410, or after a fault
         const Revision from = store.revision();
-        std::vector<state::Entry> entries;
+        std::vector<kv::Entry> entries;
         store.page("live/", "live/f", entries);
         for (unsigned i = 0; i < random() % 4; ++i) change();
         store.page("live/f", "live0", entries);
@@ -104,7 +104,7 @@
       }
       for (unsigned i = 0; i < random() % 5; ++i) change();
       const Revision upto = store.revision();
-      std::vector<state::Event> news = store.since(ledger.revision());
+      std::vector<kv::Event> news = store.since(ledger.revision());
       earlier = news;
       ledger.heard(news, upto);
       if (random() % 5 == 0) ledger.heard(earlier, upto);  // an answer that came twice
@@ -112,7 +112,7 @@
       ASSERT_EQ(ledger.revision(), upto);
       ASSERT_EQ(held(ledger), store.content(upto.number())) << "seed " << seed << " step " << step;
       ASSERT_EQ(told.there, held(ledger)) << "seed " << seed << " step " << step;
-      std::vector<state::Entry> all;
+      std::vector<kv::Entry> all;
       store.page("live/", "live0", all);
       ASSERT_EQ(ledger.digest("live/"), digest_of(all));
       ASSERT_TRUE(comparison.differences(ledger, all, upto).empty());
@@ -142,9 +142,9 @@
   ledger.heard({}, Revision(9));  // the change of a, the end of b and the begin of d were never told
   comparison.begin();
   ledger.heard({{.key = "live/c", .data = {}, .mark = Revision(10)}}, Revision(10));  // removed after it was read
-  const std::vector<state::Entry> cold{{.key = "live/a", .data = wire::Value(4), .mark = Revision(4)},
-                                       {.key = "live/c", .data = wire::Value(3), .mark = Revision(3)},
-                                       {.key = "live/d", .data = wire::Value(5), .mark = Revision(5)}};
+  const std::vector<kv::Entry> cold{{.key = "live/a", .data = wire::Value(4), .mark = Revision(4)},
+                                    {.key = "live/c", .data = wire::Value(3), .mark = Revision(3)},
+                                    {.key = "live/d", .data = wire::Value(5), .mark = Revision(5)}};
   EXPECT_EQ(comparison.differences(ledger, cold, Revision(9)),
             (std::vector<std::string>{"live/a", "live/d", "live/b"}));
 }
--- a/tests/unit/pools_test.cpp
+++ b/tests/unit/pools_test.cpp
@@ -25,8 +25,8 @@
 using accounts::Account;
 using accounts::Line;
 using accounts::Use;
+using kv::Answer;
 using standins::StateStore;
-using state::Answer;
 __extension__ typedef unsigned __int128 Wide;  // sums of products of 64 bits
 
 constexpr std::int64_t kBegin = 1'800'000'000'000;
@@ -104,7 +104,7 @@
 
   void take_lead(std::size_t node) {
     leader = node;
-    const state::TxnResult taken = store.txn({.changes = {{.key = kTerm, .data = wire::Value(1), .lease = {}}}});
+    const kv::TxnResult taken = store.txn({.changes = {{.key = kTerm, .data = wire::Value(1), .lease = {}}}});
     self[node]->term = taken.revision;
     self[node]->desk.lead(Instant(now));
     led_since = now;
@@ -120,12 +120,12 @@
   void follow(std::size_t at, bool cold = false) {
     Node& node = *self[at];
     if (cold || node.ledger.revision() == Revision{}) {
-      state::ListResult all = store.list(kPoolPrefix);
+      kv::ListResult all = store.list(kPoolPrefix);
       const auto more = store.list(accounts::kAccountPrefix).entries;
       all.entries.insert(all.entries.end(), more.begin(), more.end());
       node.ledger.read(all.entries, all.revision);
     }
-    const state::FollowResult news = store.follow("", node.ledger.revision());
+    const kv::FollowResult news = store.follow("", node.ledger.revision());
     node.ledger.heard(news.events, news.revision);
   }
 
@@ -192,7 +192,7 @@
     if (!txn) return;
     ++writes;
     if (fate) luck = fate(*txn);
-    state::Txn guarded = *txn;
+    kv::Txn guarded = *txn;
     guarded.conditions.push_back({.key = kTerm, .mark = node.term});
     const auto wall = static_cast<std::uint64_t>(moment(node).wall_ms);
     if (luck == Luck::late) {
@@ -200,18 +200,18 @@
       return node.keeper.on_written(*txn, {.answer = Answer::none});
     }
     if (luck == Luck::lost) return node.keeper.on_written(*txn, {.answer = Answer::none});
-    const state::TxnResult result = execute(guarded, wall);
-    node.keeper.on_written(*txn, luck == Luck::unanswered ? state::TxnResult{.answer = Answer::none} : result);
+    const kv::TxnResult result = execute(guarded, wall);
+    node.keeper.on_written(*txn, luck == Luck::unanswered ? kv::TxnResult{.answer = Answer::none} : result);
   }
 
-  state::TxnResult execute(const state::Txn& txn, std::uint64_t wall) {
+  kv::TxnResult execute(const kv::Txn& txn, std::uint64_t wall) {
     EXPECT_LE(txn.changes.size(), kChanges);
-    const bool moves = std::ranges::any_of(
-        txn.changes, [](const state::Change& change) { return change.key.starts_with(kHeldPrefix); });
+    const bool moves =
+        std::ranges::any_of(txn.changes, [](const kv::Change& change) { return change.key.starts_with(kHeldPrefix); });
     const std::map<MachineId, Member> before = moves ? members() : std::map<MachineId, Member>{};
-    const state::TxnResult result = store.txn(txn);
+    const kv::TxnResult result = store.txn(txn);
     if (result.answer != Answer::ok) return result;
-    for (const state::Change& change : txn.changes) {
+    for (const kv::Change& change : txn.changes) {
       if (change.data) {
         EXPECT_LE(wire::json_length(*change.data), 8U * 1024) << change.key;
       }
@@ -233,9 +233,9 @@
     return result;
   }
 
-  [[nodiscard]] Kind kind_of(const state::Txn& txn) const {
+  [[nodiscard]] Kind kind_of(const kv::Txn& txn) const {
     Kind kind = Kind::state;
-    for (const state::Change& change : txn.changes) {
+    for (const kv::Change& change : txn.changes) {
       if (change.key.starts_with(kRentPrefix)) return change.data ? Kind::rent : Kind::answer;
       if (change.key == kNextKey) kind = Kind::taking;
       if (change.key.starts_with(kHoldsPrefix)) kind = Kind::holds;
@@ -256,7 +256,7 @@
 
   [[nodiscard]] std::map<MachineId, Member> members() const {
     std::map<MachineId, Member> found;
-    for (const state::Entry& entry : store.list(kHeldPrefix).entries) {
+    for (const kv::Entry& entry : store.list(kHeldPrefix).entries) {
       if (entry.data.count("v") != kForm) continue;
       for (const Member& member : held_from(entry.data).members) {
         EXPECT_TRUE(found.emplace(member.id, member).second) << member.id.text() << " is held twice";
@@ -269,7 +269,7 @@
   void expect_exact() const {
     std::uint64_t ms = 0;
     Wide money = 0;
-    for (const state::Entry& entry : store.list(accounts::kAccountPrefix).entries) {
+    for (const kv::Entry& entry : store.list(accounts::kAccountPrefix).entries) {
       const Account account = accounts::account_from(entry.data);
       for (const auto& [unused, line] : account.lines) {
         ms += line.machine_ms;
@@ -315,12 +315,12 @@
   StateStore store;
   std::map<MachineId, Machine> machines;
   std::map<std::string, std::vector<MachineId>> rented;
-  std::vector<std::pair<state::Txn, std::uint64_t>> held_up;
+  std::vector<std::pair<kv::Txn, std::uint64_t>> held_up;
   std::map<MachineId, std::uint64_t> left;  // up to when each was charged
   std::uint64_t expected_ms = 0;
   Wide expected_money = 0;
   std::size_t writes = 0;
-  std::function<Luck(const state::Txn&)> fate;  // if anything, it decides instead of the rounds
+  std::function<Luck(const kv::Txn&)> fate;  // if anything, it decides instead of the rounds
 };
 
 class Pools : public testing::Test {
@@ -439,7 +439,7 @@
     days.machines[MachineId("m-1")] = {.type = "big", .zone = "a", .warm = true};
     bool hit = false;
     bool struck = false;
-    days.fate = [&](const state::Txn& txn) {
+    days.fate = [&](const kv::Txn& txn) {
       if (hit || !kind || days.kind_of(txn) != *kind) return Luck::fine;
       hit = struck = true;
       return luck;
@@ -559,7 +559,7 @@
     days.calm(std::chrono::seconds(100));
     days.machines.begin()->second.use = Use::own;
     bool late = false;
-    days.fate = [&](const state::Txn& txn) {
+    days.fate = [&](const kv::Txn& txn) {
       if (days.kind_of(txn) != kind) return Luck::fine;
       return std::exchange(late, true) ? Luck::lost : Luck::late;
     };
@@ -594,7 +594,7 @@
     } else {
       days.take_lead(1);
     }
-    if (lost) days.fate = [](const state::Txn&) { return Luck::lost; };
+    if (lost) days.fate = [](const kv::Txn&) { return Luck::lost; };
     days.calm(std::chrono::minutes(1));
     days.fate = {};
     days.calm(std::chrono::minutes(4));
@@ -619,7 +619,7 @@
   std::vector<std::uint64_t> pauses;
   for (int second = 0; second < 30 * 60; ++second) {
     days.calm(std::chrono::seconds(1));
-    const state::GetResult known = days.store.get(state_key("dawn"));
+    const kv::GetResult known = days.store.get(state_key("dawn"));
     if (known.answer != Answer::ok) continue;
     const PoolState state = state_from(known.entry.data);
     if (state.refusals.empty()) continue;
@@ -761,10 +761,10 @@
     Days days(pools);
     std::map<std::chrono::milliseconds, int> each_second;
     std::map<std::string, int> each_record;
-    days.fate = [&](const state::Txn& txn) {
+    days.fate = [&](const kv::Txn& txn) {
       const Kind kind = days.kind_of(txn);
       if (kind != Kind::answer && kind != Kind::leaving) ++each_second[days.now / 1000];
-      for (const state::Change& change : txn.changes) ++each_record[change.key];
+      for (const kv::Change& change : txn.changes) ++each_record[change.key];
       return Luck::fine;
     };
     for (int at = 0; at < 600; ++at, days.pass(std::chrono::milliseconds(100))) {
@@ -797,7 +797,7 @@
 TEST_F(Pools, WhatIsAskedForIsNotAskedForAgain) {
   Days days({pool_of("dawn", 2)});
   days.spare_machines = true;
-  days.fate = [&](const state::Txn& txn) {
+  days.fate = [&](const kv::Txn& txn) {
     EXPECT_NE(days.kind_of(txn), Kind::taking);
     return Luck::fine;
   };
@@ -929,7 +929,7 @@
     seen.starts["dawn"].warm = 1;
     node.keeper.observe(std::move(seen), days.moment(node));
     bool hit = false;
-    days.fate = [&](const state::Txn& txn) {
+    days.fate = [&](const kv::Txn& txn) {
       if (days.kind_of(txn) != Kind::charge || std::exchange(hit, true)) return Luck::fine;
       // Another write comes first.
       const std::string key = txn.changes.front().key;
@@ -954,7 +954,7 @@
   }
   days.calm(std::chrono::minutes(2));
   std::size_t told = 0;
-  for (const state::Entry& entry : days.store.list(kHoldsPrefix).entries) {
+  for (const kv::Entry& entry : days.store.list(kHoldsPrefix).entries) {
     told += holds_from(entry.data).machines.size();
   }
   EXPECT_EQ(told, 1260U);
@@ -1163,7 +1163,7 @@
   keeper.declare({.pools = {elsewhere}});
   const ledger::Moment now{.wall_ms = kBegin, .steady = Instant(std::chrono::hours(1))};
   keeper.observe({}, now);
-  std::optional<state::Txn> told;
+  std::optional<kv::Txn> told;
   EXPECT_NO_THROW(told = keeper.next_write({}, now, kChanges));
   ASSERT_TRUE(told);
   EXPECT_NE(state_from(*told->changes.front().data).why, "") << "told, and nothing is held";
--- a/tests/unit/user_api_test.cpp
+++ b/tests/unit/user_api_test.cpp
@@ -8,7 +8,7 @@
 namespace foxshunt::user_api {
 namespace {
 
-using state::Answer;
+using kv::Answer;
 using wire::JobState;
 
 const JobId kJob("j-000001");
@@ -49,11 +49,11 @@
     while (request.reply() == nullptr) {
       if (const auto* read = std::get_if<Request::Read>(&request.step())) {
         ++reads;
-        request.on_read(reads_answered ? store.get(read->key) : state::GetResult{});
+        request.on_read(reads_answered ? store.get(read->key) : kv::GetResult{});
         continue;
       }
-      state::TxnResult result;
-      const auto& txn = std::get<state::Txn>(request.step());
+      kv::TxnResult result;
+      const auto& txn = std::get<kv::Txn>(request.step());
       if (writes < answers.size()) {
         result.answer = answers[writes];
         if (lost) (void)store.txn(txn);
--- a/tests/unit/work_test.cpp
+++ b/tests/unit/work_test.cpp
@@ -94,7 +94,7 @@
   fleet.engine().plan_pass(fleet.now());
   const auto batch = fleet.engine().begin_write(fleet.now());
   ASSERT_TRUE(batch);
-  fleet.engine().end_write(*batch, {.answer = state::Answer::ok, .revision = Revision(100'000), .failed = {}},
+  fleet.engine().end_write(*batch, {.answer = kv::Answer::ok, .revision = Revision(100'000), .failed = {}},
                            fleet.now());
   EXPECT_FALSE(fleet.engine().plan_wanted());
 }
