--- /dev/null
+++ b/src/jobs/job.h
@@ -0,0 +1,93 @@
+// A job as the leader holds it in memory: its specification, its parts (the units in which its tasks are recorded), its runs
+// (allocations of tasks to machines) and what is planned for it. Plain data; changed by JobTable and by the modules that
+// decide on jobs.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <vector>
+
+#include "plan/planner.h"
+#include "wire/ids.h"
+#include "wire/messages.h"
+
+namespace foxshunt::jobs {
+
+using plan::Amounts;
+using plan::Instant;
+using plan::Millis;
+
+// A task's placement on a machine, from the moment it is decided until it is proved gone.
+struct Run {
+  AttemptNo attempt;
+  MachineId machine;
+  SessionNo session;
+  bool durable = false;  // written; only then may the start command be sent
+  bool adopted = false;  // of an earlier leader's record
+  bool halting = false;
+  double grace_s = 0;
+  Instant halt_due;                     // when the halt is sent directly, if it is still needed
+  std::optional<wire::TaskState> seen;  // as last reported
+  Instant placed;
+  std::optional<Instant> running_since;
+  std::optional<Instant> told_began;  // as a sibling's word has it; counts once a report says that it runs
+  plan::BookingId booking = 0;
+};
+
+struct Part {
+  Revision mark;          // of its own key, in a job of several parts
+  bool recorded = false;  // that key may be there: also by a write that had no answer
+  bool reload = false;    // a write met a record at another revision than `mark`
+  AttemptNo next{1};
+  std::vector<bool> done;
+  std::uint32_t done_count = 0;
+  std::map<std::uint32_t, Run> runs;  // by the task's index in the job
+  bool dirty = false;                 // memory is ahead of the record
+  Instant dirty_since;                // that or the write under way
+  bool in_flight = false;             // a transaction on it is under way
+
+  [[nodiscard]] bool settled() const { return !dirty && !in_flight; }
+};
+
+// What the leader plans for a job. The job table carries it along and reads nothing of it.
+struct Outlook {
+  std::vector<plan::BookingId> booked;   // of tasks that have not been placed
+  std::optional<Instant> planned_start;  // of its first task that waits
+  bool borrowed = false;                 // does not fit into its team's guarantee
+  std::optional<Instant> displaced;      // when it was last stopped for other work
+  Instant displaces_after;               // it makes others give way no sooner
+  std::uint32_t overdue_tasks = 0;       // late for a calendar that a machine rented now would keep
+  std::uint32_t late_tasks = 0;          // booked later than they should wait, or not at all
+  std::uint32_t stranded = 0;            // tasks in zones that are being left
+  Instant stranded_until;                // when all of these are proved gone, if nothing is heard
+};
+
+struct Job : Outlook {
+  wire::JobSpec spec;
+  Amounts each;
+  Instant submitted;
+  std::int64_t submitted_wall_ms = 0;
+  Revision mark;  // of live/<job>
+  std::vector<Part> parts;
+  std::uint32_t done_count = 0;
+  std::uint32_t runs_count = 0;
+  bool withdrawn = false;
+  bool had_runs = false;  // there may be a linger/ record
+  bool begun = false;     // seen running by this leader
+  Instant shown;          // when the counts of a job in parts were last written
+  bool reload = false;    // a write met a record that is not the one in memory
+  Instant not_before;     // after errors
+  int errors = 0;         // in a row, on different machines
+  std::set<MachineId> failed_on;
+  std::map<std::uint32_t, Millis> saved;  // progress known to be saved, by task
+  std::optional<Instant> gather_until;    // a gang that lacks a task before its start gets another one until then
+  bool in_stages = false;                 // a gang whose tasks that fetch longest are placed first
+
+  [[nodiscard]] std::uint32_t pending() const { return spec.tasks - done_count - runs_count; }
+  // Whether a write on any of it is under way.
+  [[nodiscard]] bool in_flight() const;
+};
+
+}  // namespace foxshunt::jobs
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -13,90 +13,17 @@
 #include <utility>
 #include <vector>
 
-#include "plan/planner.h"
 #include "inventory/machine_inventory.h"
-#include "state/records.h"
+#include "jobs/job.h"
+#include "jobs/write_batch.h"
 #include "kv/txn.h"
+#include "plan/planner.h"
+#include "state/records.h"
 #include "wire/ids.h"
 #include "wire/messages.h"
 
 namespace foxshunt::jobs {
 
-using plan::Amounts;
-using plan::Instant;
-using plan::Millis;
-
-// A task's placement on a machine, from the moment it is decided until it is proved gone.
-struct Run {
-  AttemptNo attempt;
-  MachineId machine;
-  SessionNo session;
-  bool durable = false;  // written; only then may the start command be sent
-  bool adopted = false;  // of an earlier leader's record
-  bool halting = false;
-  double grace_s = 0;
-  Instant halt_due;                     // when the halt is sent directly, if it is still needed
-  std::optional<wire::TaskState> seen;  // as last reported
-  Instant placed;
-  std::optional<Instant> running_since;
-  std::optional<Instant> told_began;  // as a sibling's word has it; counts once a report says that it runs
-  plan::BookingId booking = 0;
-};
-
-struct Part {
-  Revision mark;          // of its own key, in a job of several parts
-  bool recorded = false;  // that key may be there: also by a write that had no answer
-  bool reload = false;    // a write met a record at another revision than `mark`
-  AttemptNo next{1};
-  std::vector<bool> done;
-  std::uint32_t done_count = 0;
-  std::map<std::uint32_t, Run> runs;  // by the task's index in the job
-  bool dirty = false;                 // memory is ahead of the record
-  Instant dirty_since;                // that or the write under way
-  bool in_flight = false;             // a transaction on it is under way
-
-  [[nodiscard]] bool settled() const { return !dirty && !in_flight; }
-};
-
-// What the leader plans for a job. The job table carries it along and reads nothing of it.
-struct Outlook {
-  std::vector<plan::BookingId> booked;   // of tasks that have not been placed
-  std::optional<Instant> planned_start;  // of its first task that waits
-  bool borrowed = false;                 // does not fit into its team's guarantee
-  std::optional<Instant> displaced;      // when it was last stopped for other work
-  Instant displaces_after;               // it makes others give way no sooner
-  std::uint32_t overdue_tasks = 0;       // late for a calendar that a machine rented now would keep
-  std::uint32_t late_tasks = 0;          // booked later than they should wait, or not at all
-  std::uint32_t stranded = 0;            // tasks in zones that are being left
-  Instant stranded_until;                // when all of these are proved gone, if nothing is heard
-};
-
-struct Job : Outlook {
-  wire::JobSpec spec;
-  Amounts each;
-  Instant submitted;
-  std::int64_t submitted_wall_ms = 0;
-  Revision mark;  // of live/<job>
-  std::vector<Part> parts;
-  std::uint32_t done_count = 0;
-  std::uint32_t runs_count = 0;
-  bool withdrawn = false;
-  bool had_runs = false;  // there may be a linger/ record
-  bool begun = false;     // seen running by this leader
-  Instant shown;          // when the counts of a job in parts were last written
-  bool reload = false;    // a write met a record that is not the one in memory
-  Instant not_before;     // after errors
-  int errors = 0;         // in a row, on different machines
-  std::set<MachineId> failed_on;
-  std::map<std::uint32_t, Millis> saved;  // progress known to be saved, by task
-  std::optional<Instant> gather_until;    // a gang that lacks a task before its start gets another one until then
-  bool in_stages = false;                 // a gang whose tasks that fetch longest are placed first
-
-  [[nodiscard]] std::uint32_t pending() const { return spec.tasks - done_count - runs_count; }
-  // Whether a write on any of it is under way.
-  [[nodiscard]] bool in_flight() const;
-};
-
 // A record that has to be read again: the job's own, or that of a part.
 struct Reload {
   JobId job;
@@ -105,21 +32,6 @@
   [[nodiscard]] std::string key() const { return part ? state::part_key(job, *part) : state::live_key(job); }
 };
 
-struct WriteItem {
-  enum class Kind : std::uint8_t { update, finish, forget };
-  Kind kind = Kind::update;
-  JobId job;
-  std::uint32_t part = 0;
-  bool header = false;                                    // the job's own record is written too
-  std::vector<std::pair<std::uint32_t, AttemptNo>> runs;  // that the write makes durable
-};
-
-struct WriteBatch {
-  Revision term_mark;  // of the lead from whose job table it is built
-  std::vector<WriteItem> items;
-  kv::Txn txn;
-};
-
 class JobTable {
  public:
   // ---- who is known ----
