--- a/src/config/constants.h
+++ b/src/config/constants.h
@@ -92,6 +92,12 @@
 inline constexpr milliseconds kZoneSteady = 120s;        // whole for so long, a zone's settling time is halved
 inline constexpr milliseconds kZoneKeep = 60s;  // a lost zone's machines are kept for it: as long as boots take
 
+// ---- jobs ----
+inline constexpr std::size_t kMaxWriteBatchBytes =
+    kBodyLimitBytes / 2;                                   // of data, before the last item: each is far smaller
+inline constexpr std::size_t kMaxConditionsPerChange = 4;  // of a transaction, times the changes that it may have
+inline constexpr std::size_t kMaxWriteItemConditions = 2;  // the job's record, and a part's or the final one
+
 // ---- control ----
 inline constexpr milliseconds kShowEvery = 2s;          // counts shown of a job in parts lag by this at most
 inline constexpr milliseconds kTick = 250ms;            // what is due within it counts as due
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -86,6 +86,10 @@
   bool in_stages = false;                 // a gang whose tasks that fetch longest are placed first
 
   [[nodiscard]] std::uint32_t pending() const { return spec.tasks - done_count - runs_count; }
+  // Whether all tasks are done and nothing may run any more.
+  [[nodiscard]] bool is_complete() const { return !withdrawn && done_count == spec.tasks && runs_count == 0; }
+  // Whether no task is wanted and nothing may run any more.
+  [[nodiscard]] bool is_removable() const { return withdrawn && runs_count == 0; }
   // Whether a write on any of it is under way.
   [[nodiscard]] bool in_flight() const;
 };
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -167,7 +167,7 @@
 }
 
 Job JobTable::take_out(const JobId& id) {
-  dirty_.erase(dirty_.lower_bound({id, 0}), dirty_.upper_bound({id, UINT32_MAX}));
+  erase_dirty_parts(id);
   return std::move(jobs_.extract(id).mapped());
 }
 
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -91,12 +91,30 @@
   [[nodiscard]] std::optional<std::string> disagreement(const inventory::MachineInventory& machines) const;
 
  private:
-  void add_update(Job& job, std::uint32_t number, std::size_t ops_most, WriteBatch& batch, Instant now);
+  struct PartKey {
+    JobId job;
+    std::uint32_t part = 0;
+    friend auto operator<=>(const PartKey&, const PartKey&) = default;
+  };
+  using DirtyParts = std::set<PartKey>;
+
   void touch(Job& job, std::uint32_t number, Instant now);
   Job take_out(const JobId& id);
 
+  // Steps of begin_write(). They return the first dirty part behind what they took.
+  DirtyParts::iterator on_part_write_begun(Job& job, const PartKey& key);
+  DirtyParts::iterator on_job_write_begun(Job& job);
+  DirtyParts::iterator erase_dirty_parts(const JobId& job);
+
+  // Steps of end_write().
+  void on_write_failed(Job& job, const WriteItem& item, const kv::TxnResult& result);
+  void on_updated(Job& job, const WriteItem& item, Revision revision, Instant now);
+  void on_finished(Job& job, Instant now);
+  void on_records_removed(Job& job, const WriteItem& item);
+  static void make_durable(Part& part, const std::vector<RunReference>& written, Instant now);
+
   std::map<JobId, Job> jobs_;
-  std::set<std::pair<JobId, std::uint32_t>> dirty_;
+  DirtyParts dirty_;                         // memory is ahead of their records
   std::set<JobId> ended_;                    // removed by us; the watch may still tell of them
   std::map<std::string, Amounts> team_use_;  // everything placed and not proved gone
 };
