--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -51,8 +51,9 @@
   [[nodiscard]] bool settled() const { return !dirty && !in_flight; }
 };
 
-// What the leader plans for a job. The job table carries it along and reads nothing of it.
-struct Outlook {
+// What the scheduler has planned for a job and remembers about it between passes. It is in no record, and the job table reads
+// nothing of it.
+struct SchedulingState {
   std::vector<plan::BookingId> booked;   // of tasks that have not been placed
   std::optional<Instant> planned_start;  // of its first task that waits
   bool borrowed = false;                 // does not fit into its team's guarantee
@@ -64,7 +65,7 @@
   Instant stranded_until;                // when all of these are proved gone, if nothing is heard
 };
 
-struct Job : Outlook {
+struct Job : SchedulingState {
   wire::JobSpec spec;
   Amounts each;
   Instant submitted;
