--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -91,6 +91,8 @@
   [[nodiscard]] std::optional<std::string> disagreement(const inventory::MachineInventory& machines) const;
 
  private:
+  class ConsistencyCheck;  // in job_table_consistency.cpp
+
   struct PartKey {
     JobId job;
     std::uint32_t part = 0;
