--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -26,8 +26,8 @@
 #include "state/records.h"
 #include "wire/messages.h"
 #include "jobs/job_table.h"
-#include "zone/grants.h"
-#include "zone/view.h"
+#include "zone/delegation_table.h"
+#include "zone/zone_health.h"
 
 namespace foxshunt::control {
 
--- a/src/control/times.h
+++ b/src/control/times.h
@@ -4,7 +4,7 @@
 #include "config/constants.h"
 #include "config/settings.h"
 #include "plan/usage_vector.h"
-#include "zone/grants.h"
+#include "zone/delegation.h"
 
 namespace foxshunt::control {
 
--- a/src/node/zones.cpp
+++ b/src/node/zones.cpp
@@ -5,7 +5,7 @@
 #include "config/constants.h"
 #include "control/times.h"
 #include "node/front.h"
-#include "zone/words.h"
+#include "zone/messages.h"
 
 namespace foxshunt::node {
 
--- a/src/node/zones.h
+++ b/src/node/zones.h
@@ -8,7 +8,7 @@
 
 #include "net/http.h"
 #include "node/context.h"
-#include "zone/grants.h"
+#include "zone/delegated_lease.h"
 
 namespace foxshunt::node {
 
--- /dev/null
+++ b/src/zone/delegated_lease.h
@@ -0,0 +1,47 @@
+// What a node that does not lead may answer for the leader. Pure: the time is passed in; not thread-safe.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+
+#include "plan/usage_vector.h"
+#include "wire/ids.h"
+#include "zone/delegation.h"
+
+namespace foxshunt::zone {
+
+// A sibling's side: the newest grant in hand.
+class Holder {
+ public:
+  Holder() = default;
+  Holder(const NodeName& self, const std::string& zone, std::uint64_t life, const Spans& spans);
+
+  // The next word to the leader of that term. What was given in an older term is dropped first.
+  [[nodiscard]] Ask next_ask(Term leaders, Instant now);
+  // The answer to the word that was sent at `asked`; false when it is not for this node and then nothing is taken.
+  bool on_grant(const Grant& grant, Instant asked);
+  // Ends what was given in a term before this one.
+  void hear_of(Term term);
+  // Whether the report of a machine that has seen the term `seen` may be answered, in the term that is given back;
+  // counts as a use if so.
+  [[nodiscard]] std::optional<Term> answers(const MachineId& machine, const std::string& zone, Term seen, Instant now);
+
+  [[nodiscard]] std::optional<Instant> until() const;  // the grant's end
+  [[nodiscard]] std::size_t machines_used() const { return used_.size(); }
+
+ private:
+  NodeName self_;
+  std::string zone_;
+  std::uint64_t life_ = 0;
+  Spans spans_;
+  std::uint64_t sequence_ = 0;
+  std::optional<Grant> grant_;
+  std::set<MachineId> except_;
+  Instant until_;
+  std::map<MachineId, Instant> used_;
+};
+
+}  // namespace foxshunt::zone
--- a/src/zone/words.cpp
+++ b/src/zone/messages.cpp
@@ -1,4 +1,6 @@
-#include "zone/words.h"
+#include "zone/messages.h"
+
+#include <algorithm>
 
 #include "config/constants.h"
 
--- a/src/zone/words.h
+++ b/src/zone/messages.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "wire/value.h"
-#include "zone/grants.h"
+#include "zone/delegation.h"
 
 namespace foxshunt::zone {
 
--- a/src/zone/view.cpp
+++ b/src/zone/zone_health.cpp
@@ -1,4 +1,4 @@
-#include "zone/view.h"
+#include "zone/zone_health.h"
 
 #include <algorithm>
 
--- a/tests/explorer/model.h
+++ b/tests/explorer/model.h
@@ -18,7 +18,7 @@
 #include "standins/rules.h"
 #include "standins/state_store.h"
 #include "standins/worker.h"
-#include "zone/grants.h"
+#include "zone/delegated_lease.h"
 
 namespace foxshunt::explorer {
 
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -29,7 +29,7 @@
 #include "standins/state_store.h"
 #include "standins/worker.h"
 #include "user_api/request.h"
-#include "zone/grants.h"
+#include "zone/delegated_lease.h"
 
 namespace foxshunt::standins {
 
--- a/tests/unit/grants_test.cpp
+++ b/tests/unit/grants_test.cpp
@@ -1,6 +1,6 @@
 // Grants to answer a zone's workers: whatever is lost, late, restarted or frozen, and however the clocks drift, the giver
 // never takes a lease for over that a holder may still have renewed.
-#include "zone/grants.h"
+#include "zone/delegated_lease.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,8 @@
 
 #include "config/constants.h"
 #include "control/times.h"
-#include "zone/words.h"
+#include "zone/delegation_table.h"
+#include "zone/messages.h"
 
 namespace foxshunt::zone {
 namespace {
--- a/tests/unit/zone_view_test.cpp
+++ b/tests/unit/zone_view_test.cpp
@@ -1,5 +1,5 @@
 // Whether zones are there: what is one event, what is none, and how a zone comes back.
-#include "zone/view.h"
+#include "zone/zone_health.h"
 
 #include <gtest/gtest.h>
 
