--- a/src/zone/delegation_table.h
+++ b/src/zone/delegation_table.h
@@ -50,26 +50,26 @@
   [[nodiscard]] std::vector<Standing> standings() const;
 
  private:
-  struct Given {
+  struct IssuedDelegation {
     GrantNo number;
     Instant until;
     std::set<MachineId> except;
   };
-  struct Holder {
+  struct Sibling {
     std::string zone;
     std::uint64_t life = 0;
     std::uint64_t sequence = 0;
     std::optional<Instant> heard;
     GrantNo holds;
-    std::vector<Given> given;    // not yet replaced, oldest first
-    std::vector<Given> earlier;  // to processes that have ended, with what they can't tell any more
+    std::vector<IssuedDelegation> issued;          // not yet replaced, oldest first
+    std::vector<IssuedDelegation> issued_earlier;  // to processes that have ended, with what they can't tell any more
     std::map<MachineId, Instant> used;
   };
   void learn_older_over();
 
   Spans spans_;
-  std::map<NodeName, Holder> holders_;
-  GrantNo last_;
+  std::map<NodeName, Sibling> siblings_;
+  GrantNo last_number_;
   std::optional<GrantNo> all_heard_at_;  // grants above it were given after every sibling had been heard
   bool older_over_ = false;
 };
