--- a/src/calendar/keeper.cpp
+++ b/src/calendar/keeper.cpp
@@ -8,7 +8,8 @@
 #include <tuple>
 
 #include "config/constants.h"
-#include "state/records.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 
 namespace foxshunt::calendar {
 namespace {
--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -23,7 +23,7 @@
 #include "inventory/machine_inventory.h"
 #include "standby/picture.h"
 #include "kv/client.h"
-#include "state/records.h"
+#include "state/job_records.h"
 #include "wire/messages.h"
 #include "jobs/job_table.h"
 #include "zone/delegation_table.h"
--- a/src/control/readiness.h
+++ b/src/control/readiness.h
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "plan/usage_vector.h"
-#include "state/records.h"
+#include "state/leadership_records.h"
 #include "wire/ids.h"
 
 namespace foxshunt::control {
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "config/constants.h"
+#include "state/job_records.h"
 
 namespace foxshunt::jobs {
 
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -18,7 +18,8 @@
 #include "jobs/write_batch.h"
 #include "kv/txn.h"
 #include "plan/planner.h"
-#include "state/records.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 #include "wire/ids.h"
 #include "wire/messages.h"
 
--- a/src/jobs/job_table_writes.cpp
+++ b/src/jobs/job_table_writes.cpp
@@ -9,6 +9,7 @@
 
 #include "config/guards.h"
 #include "jobs/job_table.h"
+#include "state/keys.h"
 
 namespace foxshunt::jobs {
 
--- a/src/jobs/write_batch.cpp
+++ b/src/jobs/write_batch.cpp
@@ -5,7 +5,8 @@
 
 #include "config/constants.h"
 #include "config/guards.h"
-#include "state/records.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 
 namespace foxshunt::jobs {
 
--- a/src/ledger/jobs.cpp
+++ b/src/ledger/jobs.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 
 #include "config/constants.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 
 namespace foxshunt::ledger {
 
--- a/src/ledger/jobs.h
+++ b/src/ledger/jobs.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "ledger/ledger.h"
-#include "state/records.h"
+#include "wire/messages.h"
 
 namespace foxshunt::ledger {
 
--- a/src/node/cloud.cpp
+++ b/src/node/cloud.cpp
@@ -10,6 +10,7 @@
 #include <utility>
 
 #include "config/constants.h"
+#include "state/keys.h"
 
 namespace foxshunt::node {
 
--- a/src/node/leadership.cpp
+++ b/src/node/leadership.cpp
@@ -8,6 +8,8 @@
 #include "config/constants.h"
 #include "control/readiness.h"
 #include "control/times.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::node {
 
--- a/src/node/leadership.h
+++ b/src/node/leadership.h
@@ -5,6 +5,7 @@
 
 #include "node/context.h"
 #include "kv/client.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::node {
 
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -4,7 +4,7 @@
 
 #include "config/constants.h"
 #include "node/front.h"
-#include "state/records.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::node {
 
--- a/src/node/shared.cpp
+++ b/src/node/shared.cpp
@@ -10,7 +10,7 @@
 #include "node/catalog.h"
 #include "node/context.h"
 #include "node/queue.h"
-#include "state/records.h"
+#include "state/keys.h"
 
 namespace foxshunt::node {
 
--- a/src/state/records.cpp
+++ b/src/state/job_records.cpp
@@ -1,39 +1,18 @@
-#include "state/records.h"
+#include "state/job_records.h"
 
 #include <algorithm>
+#include <string>
+#include <string_view>
 
 #include "config/constants.h"
 #include "config/guards.h"
+#include "state/keys.h"
 
 namespace foxshunt::state {
 
 using wire::Malformed;
 using wire::Value;
 
-std::string live_key(const JobId& job) { return kLivePrefix + job.text(); }
-std::string over_key(const JobId& job) { return kOverPrefix + job.text(); }
-std::string linger_key(const JobId& job) { return kLingerPrefix + job.text(); }
-std::string part_key(const JobId& job, std::uint32_t part) {
-  return kPartPrefix + job.text() + "/" + std::to_string(part);
-}
-
-std::optional<JobId> job_of_key(const std::string& key) {
-  const std::size_t slash = key.find('/');
-  if (slash == std::string::npos) return std::nullopt;
-  const std::string rest = key.substr(slash + 1, key.find('/', slash + 1) - slash - 1);
-  if (!wire::is_job_id(rest)) return std::nullopt;
-  return JobId(rest);
-}
-
-std::optional<std::uint32_t> part_of_key(const std::string& key) {
-  const std::string text = key.substr(key.rfind('/') + 1);
-  if (!key.starts_with(kPartPrefix) || text.empty() || text.size() > 9 ||
-      text.find_first_not_of("0123456789") != std::string::npos) {
-    return std::nullopt;
-  }
-  return static_cast<std::uint32_t>(std::stoul(text));
-}
-
 std::uint32_t parts_of(std::uint32_t tasks) {
   return (tasks + constants::kTasksPerPart - 1) / constants::kTasksPerPart;
 }
@@ -186,41 +165,4 @@
   return txn;
 }
 
-LeadView lead_view(const kv::GetResult& holder, const kv::GetResult& term) {
-  LeadView view{.holder_mark = holder.entry.mark, .term_mark = term.entry.mark};
-  if (holder.answer == kv::Answer::ok && !holder.entry.data["tether"].is_null()) {
-    view.holder_lease = holder.entry.data.count("tether");
-  }
-  if (term.answer == kv::Answer::ok) {
-    view.record = term_from(term.entry.data);
-    view.others_until_wall_ms = static_cast<std::int64_t>(term.entry.data.count("until"));
-  }
-  return view;
-}
-
-std::int64_t others_until(const LeadView& view, std::int64_t wall_ms, std::int64_t fence_ms, std::int64_t skew_ms) {
-  if (view.term_mark == Revision{}) return 0;
-  // The last leader reckons its fence, and the end of what it granted to siblings, from when its lease was last
-  // confirmed, which was before now. That holds also if it was this node's earlier life: its holders live on.
-  return wall_ms + fence_ms + 2 * skew_ms;
-}
-
-kv::Txn take_lead_txn(const LeadView& view, const NodeName& node, kv::LeaseId lease,
-                      std::int64_t others_until_wall_ms) {
-  Value record = to_value(TermRecord{.term = view.record.term.next(), .leader = node});
-  record.as_map()->emplace_back("until", static_cast<std::uint64_t>(others_until_wall_ms));
-  return {.conditions = {{.key = kHolderKey, .mark = view.holder_mark}, {.key = kTermKey, .mark = view.term_mark}},
-          .changes = {
-              {.key = kHolderKey, .data = Value::Map{{"node", node.text()}, {"tether", lease.number}}, .lease = lease},
-              {.key = kTermKey, .data = record, .lease = {}}}};
-}
-
-Value to_value(const TermRecord& term) {
-  return Value::Map{{"term", term.term.number()}, {"leader", term.leader.text()}};
-}
-
-TermRecord term_from(const Value& value) {
-  return {.term = Term(value.count("term")), .leader = NodeName(value.text("leader"))};
-}
-
 }  // namespace foxshunt::state
--- /dev/null
+++ b/src/state/leadership_records.cpp
@@ -0,0 +1,46 @@
+#include "state/leadership_records.h"
+
+#include "state/keys.h"
+
+namespace foxshunt::state {
+
+using wire::Value;
+
+LeadView lead_view(const kv::GetResult& holder, const kv::GetResult& term) {
+  LeadView view{.holder_mark = holder.entry.mark, .term_mark = term.entry.mark};
+  if (holder.answer == kv::Answer::ok && !holder.entry.data["tether"].is_null()) {
+    view.holder_lease = holder.entry.data.count("tether");
+  }
+  if (term.answer == kv::Answer::ok) {
+    view.record = term_from(term.entry.data);
+    view.others_until_wall_ms = static_cast<std::int64_t>(term.entry.data.count("until"));
+  }
+  return view;
+}
+
+std::int64_t others_until(const LeadView& view, std::int64_t wall_ms, std::int64_t fence_ms, std::int64_t skew_ms) {
+  if (view.term_mark == Revision{}) return 0;
+  // The last leader reckons its fence, and the end of what it granted to siblings, from when its lease was last
+  // confirmed, which was before now. That holds also if it was this node's earlier life: its holders live on.
+  return wall_ms + fence_ms + 2 * skew_ms;
+}
+
+kv::Txn take_lead_txn(const LeadView& view, const NodeName& node, kv::LeaseId lease,
+                      std::int64_t others_until_wall_ms) {
+  Value record = to_value(TermRecord{.term = view.record.term.next(), .leader = node});
+  record.as_map()->emplace_back("until", static_cast<std::uint64_t>(others_until_wall_ms));
+  return {.conditions = {{.key = kHolderKey, .mark = view.holder_mark}, {.key = kTermKey, .mark = view.term_mark}},
+          .changes = {
+              {.key = kHolderKey, .data = Value::Map{{"node", node.text()}, {"tether", lease.number}}, .lease = lease},
+              {.key = kTermKey, .data = record, .lease = {}}}};
+}
+
+Value to_value(const TermRecord& term) {
+  return Value::Map{{"term", term.term.number()}, {"leader", term.leader.text()}};
+}
+
+TermRecord term_from(const Value& value) {
+  return {.term = Term(value.count("term")), .leader = NodeName(value.text("leader"))};
+}
+
+}  // namespace foxshunt::state
--- a/src/user_api/request.cpp
+++ b/src/user_api/request.cpp
@@ -7,6 +7,8 @@
 
 #include "config/constants.h"
 #include "config/guards.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 
 namespace foxshunt::user_api {
 
--- a/src/user_api/request.h
+++ b/src/user_api/request.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "state/records.h"
+#include "state/job_records.h"
 #include "kv/txn.h"
 #include "wire/messages.h"
 
--- a/tests/bench/benchmarks.cpp
+++ b/tests/bench/benchmarks.cpp
@@ -11,7 +11,7 @@
 #include "classes/classes.h"
 #include "config/constants.h"
 #include "net/http.h"
-#include "state/records.h"
+#include "state/job_records.h"
 
 namespace foxshunt::bench {
 namespace {
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -2,6 +2,9 @@
 #include <algorithm>
 
 #include "explorer/model.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::explorer {
 
--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -9,6 +9,9 @@
 #include "config/guards.h"
 #include "control/readiness.h"
 #include "control/times.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::explorer {
 
--- a/tests/explorer/model.h
+++ b/tests/explorer/model.h
@@ -18,6 +18,8 @@
 #include "standins/rules.h"
 #include "standins/state_store.h"
 #include "standins/worker.h"
+#include "state/job_records.h"
+#include "state/leadership_records.h"
 #include "zone/delegated_lease.h"
 
 namespace foxshunt::explorer {
--- a/tests/smoke/refused_test.cpp
+++ b/tests/smoke/refused_test.cpp
@@ -17,7 +17,8 @@
 #include "config/settings.h"
 #include "control/times.h"
 #include "smoke/processes.h"
-#include "state/records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 #include "wire/messages.h"
 
 namespace foxshunt::smoke {
--- a/tests/smoke/restart_test.cpp
+++ b/tests/smoke/restart_test.cpp
@@ -10,7 +10,8 @@
 #include <thread>
 
 #include "smoke/processes.h"
-#include "state/records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 #include "wire/messages.h"
 
 namespace foxshunt::smoke {
--- a/tests/smoke/smoke_test.cpp
+++ b/tests/smoke/smoke_test.cpp
@@ -14,7 +14,7 @@
 #include "node/front.h"
 #include "node/limits.h"
 #include "smoke/processes.h"
-#include "state/records.h"
+#include "state/keys.h"
 #include "wire/messages.h"
 
 namespace foxshunt::smoke {
--- a/tests/smoke/takeover_test.cpp
+++ b/tests/smoke/takeover_test.cpp
@@ -7,6 +7,9 @@
 
 #include "node/leadership.h"
 #include "standins/http_world.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::smoke {
 namespace {
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -28,6 +28,7 @@
 #include "standins/served.h"
 #include "standins/state_store.h"
 #include "standins/worker.h"
+#include "state/leadership_records.h"
 #include "user_api/request.h"
 #include "zone/delegated_lease.h"
 
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -10,6 +10,8 @@
 #include "config/constants.h"
 #include "control/times.h"
 #include "standins/world_state_calls.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::standins {
 
--- a/tests/standins/world_records.cpp
+++ b/tests/standins/world_records.cpp
@@ -8,6 +8,7 @@
 #include "calendar/plans.h"
 #include "config/constants.h"
 #include "standins/world_state_calls.h"
+#include "state/keys.h"
 
 namespace foxshunt::standins {
 
--- a/tests/standins/world_users.cpp
+++ b/tests/standins/world_users.cpp
@@ -9,6 +9,8 @@
 #include "config/constants.h"
 #include "control/times.h"
 #include "standins/world_state_calls.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 
 namespace foxshunt::standins {
 
--- a/tests/unit/calendar_test.cpp
+++ b/tests/unit/calendar_test.cpp
@@ -10,7 +10,9 @@
 #include "calendar/view.h"
 #include "config/constants.h"
 #include "standins/state_store.h"
-#include "state/records.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::calendar {
 namespace {
--- a/tests/unit/concurrent_faults_test.cpp
+++ b/tests/unit/concurrent_faults_test.cpp
@@ -6,6 +6,9 @@
 #include "control/engine.h"
 #include "config/constants.h"
 #include "standins/state_store.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::control {
 namespace {
--- a/tests/unit/ledger_test.cpp
+++ b/tests/unit/ledger_test.cpp
@@ -7,6 +7,7 @@
 #include "ledger/comparison.h"
 #include "ledger/jobs.h"
 #include "ledger/ledger.h"
+#include "state/job_records.h"
 
 namespace foxshunt::ledger {
 namespace {
--- a/tests/unit/peers_test.cpp
+++ b/tests/unit/peers_test.cpp
@@ -5,7 +5,7 @@
 #include <thread>
 
 #include "node/peers.h"
-#include "state/records.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::node {
 namespace {
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -1,4 +1,5 @@
-#include "state/records.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/user_api_test.cpp
+++ b/tests/unit/user_api_test.cpp
@@ -4,6 +4,8 @@
 
 #include "config/constants.h"
 #include "standins/state_store.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 
 namespace foxshunt::user_api {
 namespace {
