--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -7,6 +7,23 @@
 namespace foxshunt::kv {
 namespace {
 
+// PROTOCOL's field names, beside the terms that are used everywhere else.
+constexpr const char* kErrorField = "error";
+constexpr const char* kRevisionField = "mark";
+constexpr const char* kStoreRevisionField = "tally";
+constexpr const char* kDataField = "data";
+constexpr const char* kItemsField = "items";
+constexpr const char* kKeyField = "k";
+constexpr const char* kMoreField = "more";
+constexpr const char* kSetField = "set";
+constexpr const char* kRemoveField = "remove";
+constexpr const char* kLeaseField = "tether";
+constexpr const char* kPreconditionsField = "if";
+constexpr const char* kChangesField = "then";
+constexpr const char* kFailedField = "failed";
+constexpr const char* kTtlMsField = "ttlMs";
+constexpr const char* kEventsField = "news";
+
 Answer answer_of(int status) {
   switch (status) {
     case 200: return Answer::ok;
@@ -42,7 +59,7 @@
     return {};
   }
   if (raw.answer == Answer::rejected || raw.answer == Answer::none) {
-    const std::string* why = raw.body["error"].as_text();
+    const std::string* why = raw.body[kErrorField].as_text();
     spdlog::warn("state service: {} {}: status {} {}", method, path, answer->status, why == nullptr ? "" : *why);
   }
   return raw;
@@ -53,8 +70,8 @@
   GetResult result{.answer = raw.answer, .entry = {.key = key, .data = {}, .mark = {}}};
   if (raw.answer != Answer::ok) return result;
   try {
-    result.entry.mark = Revision(raw.body.count("mark"));
-    result.entry.data = raw.body["data"];
+    result.entry.mark = Revision(raw.body.count(kRevisionField));
+    result.entry.data = raw.body[kDataField];
   } catch (const wire::Malformed& error) {
     spdlog::warn("state service: get {}: {}", key, error.what());
     result.answer = Answer::none;
@@ -77,11 +94,12 @@
     result.answer = raw.answer;
     if (raw.answer != Answer::ok) return result;
     try {
-      if (from.empty()) result.revision = Revision(raw.body.count("tally"));
-      for (const wire::Value& item : raw.body.list("items")) {
-        result.entries.push_back({.key = item.text("k"), .data = item["data"], .mark = Revision(item.count("mark"))});
+      if (from.empty()) result.revision = Revision(raw.body.count(kStoreRevisionField));
+      for (const wire::Value& item : raw.body.list(kItemsField)) {
+        result.entries.push_back(
+            {.key = item.text(kKeyField), .data = item[kDataField], .mark = Revision(item.count(kRevisionField))});
       }
-      const bool* more = raw.body["more"].as_bool();
+      const bool* more = raw.body[kMoreField].as_bool();
       if (more == nullptr || !*more || result.entries.empty() || result.entries.back().key == from) return result;
       from = result.entries.back().key;
     } catch (const wire::Malformed& error) {
@@ -95,27 +113,28 @@
 TxnResult Client::txn(const Txn& txn, net::Deadline until) {
   wire::Value::List conditions;
   for (const Condition& condition : txn.conditions) {
-    conditions.emplace_back(wire::Value::Map{{"k", condition.key}, {"mark", condition.mark.number()}});
+    conditions.emplace_back(wire::Value::Map{{kKeyField, condition.key}, {kRevisionField, condition.mark.number()}});
   }
   wire::Value::List changes;
   for (const Change& change : txn.changes) {
     wire::Value::Map entry;
     if (change.data) {
-      entry.emplace_back("set", change.key);
-      entry.emplace_back("data", *change.data);
-      if (change.lease) entry.emplace_back("tether", change.lease->number);
+      entry.emplace_back(kSetField, change.key);
+      entry.emplace_back(kDataField, *change.data);
+      if (change.lease) entry.emplace_back(kLeaseField, change.lease->number);
     } else {
-      entry.emplace_back("remove", change.key);
+      entry.emplace_back(kRemoveField, change.key);
     }
     changes.emplace_back(std::move(entry));
   }
-  const wire::Value body = wire::Value::Map{{"if", std::move(conditions)}, {"then", std::move(changes)}};
+  const wire::Value body =
+      wire::Value::Map{{kPreconditionsField, std::move(conditions)}, {kChangesField, std::move(changes)}};
   const Raw raw = call("POST", "/txn", &body, static_cast<double>(txn.changes.size()), until);
   TxnResult result{.answer = raw.answer, .revision = {}, .failed = {}};
   try {
-    if (raw.answer == Answer::ok) result.revision = Revision(raw.body.count("tally"));
+    if (raw.answer == Answer::ok) result.revision = Revision(raw.body.count(kStoreRevisionField));
     if (raw.answer == Answer::conflict) {
-      for (const wire::Value& key : raw.body.list("failed")) {
+      for (const wire::Value& key : raw.body.list(kFailedField)) {
         if (const std::string* text = key.as_text()) result.failed.push_back(*text);
       }
     }
@@ -127,11 +146,11 @@
 }
 
 std::optional<LeaseId> Client::grant(std::chrono::milliseconds ttl, net::Deadline until) {
-  const wire::Value body = wire::Value::Map{{"ttlMs", static_cast<std::uint64_t>(ttl.count())}};
+  const wire::Value body = wire::Value::Map{{kTtlMsField, static_cast<std::uint64_t>(ttl.count())}};
   const Raw raw = call("POST", "/leases", &body, 0, until);
   if (raw.answer != Answer::ok) return std::nullopt;
   try {
-    return LeaseId{raw.body.count("tether")};
+    return LeaseId{raw.body.count(kLeaseField)};
   } catch (const wire::Malformed& error) {
     spdlog::warn("state service: lease: {}", error.what());
     return std::nullopt;
@@ -155,14 +174,14 @@
   FollowResult result{.answer = raw.answer, .revision = from, .events = {}};
   if (raw.answer != Answer::ok) return result;
   try {
-    result.revision = Revision(raw.body.count("tally"));
-    for (const wire::Value& item : raw.body.list("news")) {
-      Event event{.key = {}, .data = {}, .mark = Revision(item.count("mark"))};
-      if (!item["set"].is_null()) {
-        event.key = item.text("set");
-        event.data = item["data"];
+    result.revision = Revision(raw.body.count(kStoreRevisionField));
+    for (const wire::Value& item : raw.body.list(kEventsField)) {
+      Event event{.key = {}, .data = {}, .mark = Revision(item.count(kRevisionField))};
+      if (!item[kSetField].is_null()) {
+        event.key = item.text(kSetField);
+        event.data = item[kDataField];
       } else {
-        event.key = item.text("remove");
+        event.key = item.text(kRemoveField);
       }
       result.events.push_back(std::move(event));
     }
--- a/src/state/job_records.cpp
+++ b/src/state/job_records.cpp
@@ -23,6 +23,16 @@
 
 namespace {
 
+// Fields of the stored records; they stay as they are, so that old records can be read.
+constexpr const char* kSpecField = "spec";
+constexpr const char* kSubmittedMsField = "at";
+constexpr const char* kOnlyPartField = "whole";
+constexpr const char* kNextAttemptField = "next";
+constexpr const char* kDoneField = "done";
+constexpr const char* kRunningField = "running";
+constexpr const char* kRunsField = "runs";
+constexpr const char* kFinalStateField = "end";
+
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 
 // Which tasks are done, four a digit, lowest first; trailing zeros are left out.
@@ -43,10 +53,10 @@
   std::vector<bool> bits(size);
   for (std::size_t at = 0; at < text.size(); ++at) {
     const std::size_t digit = kHexDigits.find(text[at]);
-    if (digit == std::string_view::npos) throw Malformed("done: not a hexadecimal digit");
+    if (digit == std::string_view::npos) throw Malformed(std::string(kDoneField) + ": not a hexadecimal digit");
     for (std::size_t bit = 0; bit < 4; ++bit) {
       if ((digit >> bit & 1U) == 0) continue;
-      if (at * 4 + bit >= size) throw Malformed("done: too many tasks");
+      if (at * 4 + bit >= size) throw Malformed(std::string(kDoneField) + ": too many tasks");
       bits[at * 4 + bit] = true;
     }
   }
@@ -61,18 +71,19 @@
     runs.emplace_back(
         Value::List{std::uint64_t{run.index}, run.attempt.number(), run.machine.text(), run.session.number()});
   }
-  return Value::Map{{"next", part.next.number()}, {"done", bits_to_text(part.done)}, {"runs", std::move(runs)}};
+  return Value::Map{
+      {kNextAttemptField, part.next.number()}, {kDoneField, bits_to_text(part.done)}, {kRunsField, std::move(runs)}};
 }
 
 PartRecord part_from(const Value& value, std::uint32_t size) {
   PartRecord part;
-  part.next = AttemptNo(value.count("next"));
-  part.done = bits_from_text(value.text("done"), size);
-  for (const Value& entry : value.list("runs")) {
+  part.next = AttemptNo(value.count(kNextAttemptField));
+  part.done = bits_from_text(value.text(kDoneField), size);
+  for (const Value& entry : value.list(kRunsField)) {
     const Value::List* run = entry.as_list();
     if (run == nullptr || run->size() != 4 || (*run)[0].as_count() == nullptr || (*run)[1].as_count() == nullptr ||
         (*run)[2].as_text() == nullptr || (*run)[3].as_count() == nullptr) {
-      throw Malformed("runs: entry is not a placement");
+      throw Malformed(std::string(kRunsField) + ": entry is not a placement");
     }
     part.runs.push_back({.index = static_cast<std::uint32_t>(*(*run)[0].as_count()),
                          .attempt = AttemptNo(*(*run)[1].as_count()),
@@ -83,39 +94,42 @@
 }
 
 Value to_value(const JobRecord& job) {
-  Value::Map map{{"spec", wire::to_value(job.spec)}, {"at", static_cast<std::uint64_t>(job.submitted_wall_ms)}};
+  Value::Map map{{kSpecField, wire::to_value(job.spec)},
+                 {kSubmittedMsField, static_cast<std::uint64_t>(job.submitted_wall_ms)}};
   if (job.whole) {
-    map.emplace_back("whole", to_value(*job.whole));
+    map.emplace_back(kOnlyPartField, to_value(*job.whole));
   } else {
-    map.emplace_back("done", job.done_shown);
-    map.emplace_back("running", job.running_shown);
+    map.emplace_back(kDoneField, job.done_shown);
+    map.emplace_back(kRunningField, job.running_shown);
   }
   return map;
 }
 
 JobRecord job_from(const Value& value) {
   JobRecord job;
-  job.spec = wire::job_spec_from(value["spec"]);
-  job.submitted_wall_ms = static_cast<std::int64_t>(value.count("at"));
-  if (!value["whole"].is_null()) {
-    job.whole = part_from(value["whole"], part_size(job.spec.tasks, 0));
+  job.spec = wire::job_spec_from(value[kSpecField]);
+  job.submitted_wall_ms = static_cast<std::int64_t>(value.count(kSubmittedMsField));
+  if (!value[kOnlyPartField].is_null()) {
+    job.whole = part_from(value[kOnlyPartField], part_size(job.spec.tasks, 0));
   } else {
-    job.done_shown = value.count("done");
-    job.running_shown = value.count("running");
+    job.done_shown = value.count(kDoneField);
+    job.running_shown = value.count(kRunningField);
   }
   return job;
 }
 
 Value over_value(const wire::JobStatus& status) {
-  return Value::Map{{"end", wire::name_of(status.state)}, {"done", status.done}};
+  return Value::Map{{kFinalStateField, wire::name_of(status.state)}, {kDoneField, status.done}};
 }
 
 wire::JobStatus over_from(const JobId& job, const Value& value) {
-  const std::string& end = value.text("end");
-  if (end != "done" && end != "withdrawn") throw Malformed("end: unknown value");
+  const std::string& end = value.text(kFinalStateField);
+  if (end != wire::name_of(wire::JobState::done) && end != wire::name_of(wire::JobState::withdrawn)) {
+    throw Malformed(std::string(kFinalStateField) + ": unknown value");
+  }
   return {.id = job,
-          .state = end == "done" ? wire::JobState::done : wire::JobState::withdrawn,
-          .done = value.count("done"),
+          .state = end == wire::name_of(wire::JobState::done) ? wire::JobState::done : wire::JobState::withdrawn,
+          .done = value.count(kDoneField),
           .running = 0};
 }
 
--- a/src/state/leadership_records.cpp
+++ b/src/state/leadership_records.cpp
@@ -6,14 +6,25 @@
 
 using wire::Value;
 
+namespace {
+
+// Fields of the stored records; they stay as they are, so that old records can be read.
+constexpr const char* kNodeField = "node";
+constexpr const char* kLeaseField = "tether";
+constexpr const char* kTermField = "term";
+constexpr const char* kLeaderField = "leader";
+constexpr const char* kOlderLeadersUntilField = "until";
+
+}  // namespace
+
 LeadView lead_view(const kv::GetResult& holder, const kv::GetResult& term) {
   LeadView view{.holder_mark = holder.entry.mark, .term_mark = term.entry.mark};
-  if (holder.answer == kv::Answer::ok && !holder.entry.data["tether"].is_null()) {
-    view.holder_lease = holder.entry.data.count("tether");
+  if (holder.answer == kv::Answer::ok && !holder.entry.data[kLeaseField].is_null()) {
+    view.holder_lease = holder.entry.data.count(kLeaseField);
   }
   if (term.answer == kv::Answer::ok) {
     view.record = term_from(term.entry.data);
-    view.others_until_wall_ms = static_cast<std::int64_t>(term.entry.data.count("until"));
+    view.others_until_wall_ms = static_cast<std::int64_t>(term.entry.data.count(kOlderLeadersUntilField));
   }
   return view;
 }
@@ -28,19 +39,20 @@
 kv::Txn take_lead_txn(const LeadView& view, const NodeName& node, kv::LeaseId lease,
                       std::int64_t others_until_wall_ms) {
   Value record = to_value(TermRecord{.term = view.record.term.next(), .leader = node});
-  record.as_map()->emplace_back("until", static_cast<std::uint64_t>(others_until_wall_ms));
+  record.as_map()->emplace_back(kOlderLeadersUntilField, static_cast<std::uint64_t>(others_until_wall_ms));
   return {.conditions = {{.key = kHolderKey, .mark = view.holder_mark}, {.key = kTermKey, .mark = view.term_mark}},
-          .changes = {
-              {.key = kHolderKey, .data = Value::Map{{"node", node.text()}, {"tether", lease.number}}, .lease = lease},
-              {.key = kTermKey, .data = record, .lease = {}}}};
+          .changes = {{.key = kHolderKey,
+                       .data = Value::Map{{kNodeField, node.text()}, {kLeaseField, lease.number}},
+                       .lease = lease},
+                      {.key = kTermKey, .data = record, .lease = {}}}};
 }
 
 Value to_value(const TermRecord& term) {
-  return Value::Map{{"term", term.term.number()}, {"leader", term.leader.text()}};
+  return Value::Map{{kTermField, term.term.number()}, {kLeaderField, term.leader.text()}};
 }
 
 TermRecord term_from(const Value& value) {
-  return {.term = Term(value.count("term")), .leader = NodeName(value.text("leader"))};
+  return {.term = Term(value.count(kTermField)), .leader = NodeName(value.text(kLeaderField))};
 }
 
 }  // namespace foxshunt::state
--- a/src/zone/messages.cpp
+++ b/src/zone/messages.cpp
@@ -11,6 +11,21 @@
 
 namespace {
 
+// Fields of the messages between controllers. They stay as they are, so that controllers of two releases understand
+// each other.
+constexpr const char* kNodeField = "node";
+constexpr const char* kLifeField = "life";
+constexpr const char* kSequenceField = "sequence";
+constexpr const char* kTermField = "term";
+constexpr const char* kHeldField = "holds";
+constexpr const char* kUsesField = "uses";
+constexpr const char* kMachineField = "machine";
+constexpr const char* kAgoField = "ago";
+constexpr const char* kNumberField = "number";
+constexpr const char* kZoneField = "zone";
+constexpr const char* kAgeField = "age";
+constexpr const char* kExceptField = "except";
+
 // A day: no span that zones hang on is as long.
 constexpr std::uint64_t kSpanMostMs = 86'400'000;
 
@@ -33,23 +48,22 @@
 Value to_value(const Ask& ask) {
   Value::List uses;
   for (const Use& use : ask.uses) {
-    uses.push_back(Value::Map{{"machine", use.machine.text()}, {"ago", count_ms(use.ago)}});
+    uses.push_back(Value::Map{{kMachineField, use.machine.text()}, {kAgoField, count_ms(use.ago)}});
   }
-  return Value::Map{{"node", ask.node.text()},     {"life", ask.life},
-                    {"sequence", ask.sequence},    {"term", ask.term.number()},
-                    {"holds", ask.holds.number()}, {"uses", std::move(uses)}};
+  return Value::Map{{kNodeField, ask.node.text()},   {kLifeField, ask.life},           {kSequenceField, ask.sequence},
+                    {kTermField, ask.term.number()}, {kHeldField, ask.holds.number()}, {kUsesField, std::move(uses)}};
 }
 
 Ask ask_from(const Value& value) {
-  Ask ask{.node = NodeName(value.text("node")),
-          .life = value.count("life"),
-          .sequence = value.count("sequence"),
-          .term = Term(value.count("term")),
-          .holds = GrantNo(value.count("holds")),
+  Ask ask{.node = NodeName(value.text(kNodeField)),
+          .life = value.count(kLifeField),
+          .sequence = value.count(kSequenceField),
+          .term = Term(value.count(kTermField)),
+          .holds = GrantNo(value.count(kHeldField)),
           .uses = {}};
-  if (ask.sequence == 0) throw Malformed("sequence: must be above 0");
-  for (const Value& use : machines(value, "uses")) {
-    ask.uses.push_back({.machine = MachineId(use.text("machine")), .ago = span(use, "ago")});
+  if (ask.sequence == 0) throw Malformed(std::string(kSequenceField) + ": must be above 0");
+  for (const Value& use : machines(value, kUsesField)) {
+    ask.uses.push_back({.machine = MachineId(use.text(kMachineField)), .ago = span(use, kAgoField)});
   }
   return ask;
 }
@@ -57,23 +71,23 @@
 Value to_value(const Grant& grant) {
   Value::List except;
   for (const MachineId& machine : grant.except) except.emplace_back(machine.text());
-  return Value::Map{{"number", grant.number.number()},
-                    {"term", grant.term.number()},
-                    {"zone", grant.zone},
-                    {"age", count_ms(grant.age)},
-                    {"except", std::move(except)}};
+  return Value::Map{{kNumberField, grant.number.number()},
+                    {kTermField, grant.term.number()},
+                    {kZoneField, grant.zone},
+                    {kAgeField, count_ms(grant.age)},
+                    {kExceptField, std::move(except)}};
 }
 
 Grant grant_from(const Value& value) {
-  Grant grant{.number = GrantNo(value.count("number")),
-              .term = Term(value.count("term")),
-              .zone = value.text("zone"),
-              .age = span(value, "age"),
+  Grant grant{.number = GrantNo(value.count(kNumberField)),
+              .term = Term(value.count(kTermField)),
+              .zone = value.text(kZoneField),
+              .age = span(value, kAgeField),
               .except = {}};
-  if (grant.number == GrantNo{}) throw Malformed("number: must be above 0");
-  for (const Value& machine : machines(value, "except")) {
+  if (grant.number == GrantNo{}) throw Malformed(std::string(kNumberField) + ": must be above 0");
+  for (const Value& machine : machines(value, kExceptField)) {
     const std::string* name = machine.as_text();
-    if (name == nullptr || name->empty()) throw Malformed("except: must be names of machines");
+    if (name == nullptr || name->empty()) throw Malformed(std::string(kExceptField) + ": must be names of machines");
     grant.except.emplace_back(*name);
   }
   return grant;
