--- a/src/config/constants.h
+++ b/src/config/constants.h
@@ -6,21 +6,23 @@
 #include <cstddef>
 #include <cstdint>
 
+#include "wire/limits.h"
+
 namespace foxshunt::constants {
 
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
 
 // ---- PROTOCOL's fixed figures ----
-inline constexpr std::size_t kBodyLimitBytes = 64 * 1024;   // request bodies, and answers to users
-inline constexpr std::uint64_t kTasksPerJobMost = 100'000;  // `cubs`
-inline constexpr std::uint64_t kRentCountMost = 50;         // machines a rental request may ask for
-inline constexpr std::size_t kReturnNamesMost = 100;        // names a return request may hold
-inline constexpr std::uint64_t kListMost = 500;             // machines in one page of the cloud's list
-inline constexpr std::uint64_t kStateItemsMost = 1000;      // items in one page of a state listing
-inline constexpr milliseconds kReportAnswerLimit = 4s;      // a worker gives a report up after this
-inline constexpr double kClockDrift = 0.0005;               // steady clocks differ by up to this share
-inline constexpr milliseconds kStateLeaseLate = 100ms;      // a state lease may end this much late
+inline constexpr std::size_t kBodyLimitBytes = 64 * 1024;  // request bodies, and answers to users
+using wire::kTasksPerJobMost;
+inline constexpr std::uint64_t kRentCountMost = 50;     // machines a rental request may ask for
+inline constexpr std::size_t kReturnNamesMost = 100;    // names a return request may hold
+inline constexpr std::uint64_t kListMost = 500;         // machines in one page of the cloud's list
+inline constexpr std::uint64_t kStateItemsMost = 1000;  // items in one page of a state listing
+inline constexpr milliseconds kReportAnswerLimit = 4s;  // a worker gives a report up after this
+inline constexpr double kClockDrift = 0.0005;           // steady clocks differ by up to this share
+inline constexpr milliseconds kStateLeaseLate = 100ms;  // a state lease may end this much late
 
 // ---- net ----
 inline constexpr std::size_t kThreadStackBytes = 128 * 1024;  // deepest use measured is under half of it
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -5,7 +5,7 @@
 #include <charconv>
 #include <limits>
 
-#include "config/constants.h"
+#include "wire/limits.h"
 
 namespace foxshunt::wire {
 namespace {
@@ -123,7 +123,7 @@
   spec.kind = kKinds.from(body, "gait");
   spec.priority = kPriorities.from(body, "rank");
   const std::uint64_t tasks = body.count("cubs");
-  if (tasks < 1 || tasks > constants::kTasksPerJobMost) throw Malformed("cubs: must be 1 to 100000");
+  if (tasks < 1 || tasks > kTasksPerJobMost) throw Malformed("cubs: must be 1 to 100000");
   spec.tasks = static_cast<std::uint32_t>(tasks);
   spec.cpus = amount_below(body, "cpus", kMostAmount);
   spec.gpus = amount_below(body, "cards", kMostAmount);
