--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -3,6 +3,7 @@
 // decide on jobs.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -19,12 +20,27 @@
 using plan::Instant;
 using plan::Millis;
 
+class JobTable;
+
+// Whether the store is known to hold a run's placement. Never unset; only the job table sets it, so that nothing can be
+// started by a flag that was set elsewhere.
+class DurableFlag {
+ public:
+  operator bool() const { return is_set_; }
+
+ private:
+  friend class JobTable;
+  void set() { is_set_ = true; }
+
+  bool is_set_ = false;
+};
+
 // A task's placement on a machine, from the moment it is decided until it is proved gone.
 struct Run {
   AttemptNo attempt;
   MachineId machine;
   SessionNo session;
-  bool durable = false;  // written; only then may the start command be sent
+  DurableFlag durable;   // only then may the start command be sent
   bool adopted = false;  // of an earlier leader's record
   bool halting = false;
   double grace_s = 0;
@@ -36,6 +52,32 @@
   plan::BookingId booking = 0;
 };
 
+// The runs of a part, by their tasks' indices in the job. Their fields may be changed through it; only the job table adds
+// and removes runs, so that none that may be running can be lost.
+class PartRuns {
+ public:
+  using Map = std::map<std::uint32_t, Run>;
+
+  [[nodiscard]] Map::iterator begin() { return runs_.begin(); }
+  [[nodiscard]] Map::iterator end() { return runs_.end(); }
+  [[nodiscard]] Map::const_iterator begin() const { return runs_.begin(); }
+  [[nodiscard]] Map::const_iterator end() const { return runs_.end(); }
+  [[nodiscard]] Map::iterator find(std::uint32_t index) { return runs_.find(index); }
+  [[nodiscard]] Map::const_iterator find(std::uint32_t index) const { return runs_.find(index); }
+  [[nodiscard]] Run& at(std::uint32_t index) { return runs_.at(index); }
+  [[nodiscard]] const Run& at(std::uint32_t index) const { return runs_.at(index); }
+  [[nodiscard]] bool contains(std::uint32_t index) const { return runs_.contains(index); }
+  [[nodiscard]] bool empty() const { return runs_.empty(); }
+  [[nodiscard]] std::size_t size() const { return runs_.size(); }
+
+ private:
+  friend class JobTable;
+  Run& add(std::uint32_t index, const Run& run) { return runs_.emplace(index, run).first->second; }
+  void remove(Map::iterator run) { runs_.erase(run); }
+
+  Map runs_;
+};
+
 struct Part {
   Revision mark;          // of its own key, in a job of several parts
   bool recorded = false;  // that key may be there: also by a write that had no answer
@@ -43,10 +85,10 @@
   AttemptNo next{1};
   std::vector<bool> done;
   std::uint32_t done_count = 0;
-  std::map<std::uint32_t, Run> runs;  // by the task's index in the job
-  bool dirty = false;                 // memory is ahead of the record
-  Instant dirty_since;                // that or the write under way
-  bool in_flight = false;             // a transaction on it is under way
+  PartRuns runs;
+  bool dirty = false;      // memory is ahead of the record
+  Instant dirty_since;     // that or the write under way
+  bool in_flight = false;  // a transaction on it is under way
 
   [[nodiscard]] bool settled() const { return !dirty && !in_flight; }
 };
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -73,12 +73,12 @@
   job.done_count += part.done_count;
   for (const state::RunRecord& record_run : record.runs) {
     Run run{.attempt = record_run.attempt, .machine = record_run.machine, .session = record_run.session};
-    run.durable = true;
+    run.durable.set();
     run.adopted = true;
     run.placed = now;
     machines.know(run.machine, now).machine.runs.insert({job.spec.id, record_run.index});
     team_use_[job.spec.team] += job.each;
-    part.runs.emplace(record_run.index, run);
+    part.runs.add(record_run.index, run);
     ++job.runs_count;
     job.had_runs = true;
   }
@@ -183,7 +183,7 @@
   part.next = std::max(part.next, attempt.next());
   ++job.runs_count;
   touch(job, index / constants::kTasksPerPart, now);
-  return part.runs.emplace(index, run).first->second;
+  return part.runs.add(index, run);
 }
 
 void JobTable::mark_done(Job& job, std::uint32_t index) {
@@ -201,7 +201,7 @@
   const auto entry = part.runs.find(index);
   if (entry == part.runs.end()) return std::nullopt;
   const Run run = entry->second;
-  part.runs.erase(entry);
+  part.runs.remove(entry);
   --job.runs_count;
   team_use_[job.spec.team] -= job.each;
   if (const auto machine = machines.find(run.machine); machine != machines.end()) {
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -1,8 +1,16 @@
 // The job table: the jobs that this leader knows, their parts, and the runs (allocations of tasks to machines): what is
-// durable, what memory is ahead of the records, which writes are under way, and what teams use. It builds the writes; what is
-// placed, halted or taken for terminated the engine decides. Pure: the time is passed in; not thread-safe.
+// durable, what memory is ahead of the records, which writes are under way, and what teams use. It builds the writes;
+// what is placed, halted or taken for terminated its callers decide.
 //
-// Nothing that may run leaves it but by prove_gone(), and nothing is started that is not `durable`.
+// It keeps two invariants, each in one place:
+//
+//   Durable before start. Nothing is started whose placement the store may not hold. Run::durable says that it does; it
+//   is set by make_durable(), when a write is known to have succeeded, and by adopt_part(), for what a record holds.
+//
+//   Confirmed before removal. Nothing that may run leaves the table unconfirmed. A run leaves it by prove_gone() alone,
+//   and a job is taken out, or its records are removed, when it has no run left (Job::is_complete, is_removable).
+//
+// Pure: the time is passed in. Not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/jobs/job_table_writes.cpp
+++ b/src/jobs/job_table_writes.cpp
@@ -145,7 +145,7 @@
   for (const auto& [index, attempt] : written) {
     const auto run = part.runs.find(index);
     if (run == part.runs.end() || run->second.attempt != attempt) continue;
-    run->second.durable = true;
+    run->second.durable.set();
     run->second.placed = now;
   }
 }
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -107,8 +107,9 @@
         out << part.next << part.dirty << part.in_flight << part.reload;
         for (const bool done : part.done) out << (done ? 1 : 0);
         for (const auto& [index, run] : part.runs) {
-          out << index << run.attempt << run.machine.text() << run.session << run.durable << run.adopted << run.halting
-              << away(run.halt_due) << (run.seen ? static_cast<int>(*run.seen) : -1) << away(run.placed);
+          out << index << run.attempt << run.machine.text() << run.session << static_cast<bool>(run.durable)
+              << run.adopted << run.halting << away(run.halt_due) << (run.seen ? static_cast<int>(*run.seen) : -1)
+              << away(run.placed);
         }
       }
     }
