--- /dev/null
+++ b/tests/unit/write_batch_test.cpp
@@ -0,0 +1,121 @@
+// What a transaction of the leader changes, and on which preconditions.
+#include "jobs/write_batch.h"
+
+#include <gtest/gtest.h>
+
+#include "config/constants.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+
+namespace foxshunt::jobs {
+namespace {
+
+constexpr std::size_t kMaxChanges = 6;
+constexpr Revision kTermRevision{7};
+constexpr Revision kJobRevision{11};
+constexpr Instant kNow{Millis(1'000'000)};
+const JobId kJob("j-000001");
+
+Job job_of(std::uint32_t tasks) {
+  Job job;
+  job.spec.id = kJob;
+  job.spec.job_class = job.spec.team = job.spec.image = "x";
+  job.spec.tasks = tasks;
+  job.mark = kJobRevision;
+  job.shown = kNow;
+  job.parts.resize(state::parts_of(tasks));
+  for (std::uint32_t part = 0; part < job.parts.size(); ++part) {
+    job.parts[part].done.resize(state::part_size(tasks, part));
+  }
+  return job;
+}
+
+std::vector<std::string> changed_keys(const WriteBatch& batch) {
+  std::vector<std::string> keys;
+  for (const kv::Change& change : batch.txn.changes) keys.push_back((change.data ? "set " : "remove ") + change.key);
+  return keys;
+}
+
+std::vector<std::string> required_keys(const WriteBatch& batch) {
+  std::vector<std::string> keys;
+  for (const kv::Condition& condition : batch.txn.conditions) {
+    keys.push_back(condition.key + "@" + std::to_string(condition.mark.number()));
+  }
+  return keys;
+}
+
+using Keys = std::vector<std::string>;
+
+TEST(WriteBatchBuilder, AnUpdateOfAJobOfOnePartWritesItsOwnRecord) {
+  WriteBatchBuilder builder(kTermRevision, kMaxChanges);
+  EXPECT_TRUE(builder.is_empty());
+  Job job = job_of(5);
+  builder.add_update(job, 0, kNow);
+  EXPECT_TRUE(builder.has_job(kJob));
+  const WriteBatch batch = builder.take();
+  EXPECT_EQ(changed_keys(batch), (Keys{"set live/j-000001"}));
+  EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11"}));
+}
+
+TEST(WriteBatchBuilder, TwoPartsOfAJobAreConditionedOnTheJobOnce) {
+  WriteBatchBuilder builder(kTermRevision, kMaxChanges);
+  Job job = job_of(2 * constants::kTasksPerPart);
+  job.parts[1].mark = Revision(9);
+  builder.add_update(job, 0, kNow);
+  builder.add_update(job, 1, kNow);
+  EXPECT_TRUE(job.parts[0].recorded && job.parts[1].recorded);
+  const WriteBatch batch = builder.take();
+  EXPECT_EQ(changed_keys(batch), (Keys{"set part/j-000001/0", "set part/j-000001/1"}));
+  EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11", "part/j-000001/0@0", "part/j-000001/1@9"}));
+}
+
+TEST(WriteBatchBuilder, DisplayedCountsOfAJobInPartsAreWrittenOnceTheyAreOld) {
+  WriteBatchBuilder builder(kTermRevision, kMaxChanges);
+  Job job = job_of(2 * constants::kTasksPerPart);
+  builder.add_update(job, 0, kNow + constants::kShowEvery);
+  builder.add_update(job, 1, kNow + constants::kShowEvery);
+  const WriteBatch batch = builder.take();
+  EXPECT_EQ(changed_keys(batch), (Keys{"set part/j-000001/0", "set live/j-000001", "set part/j-000001/1"}));
+  EXPECT_TRUE(batch.items[0].header);
+  EXPECT_FALSE(batch.items[1].header);
+}
+
+TEST(WriteBatchBuilder, AFinishedJobInPartsIsKeptInSightUntilItsPartsAreRemoved) {
+  WriteBatchBuilder builder(kTermRevision, kMaxChanges);
+  builder.add_finish(job_of(2 * constants::kTasksPerPart));
+  const WriteBatch batch = builder.take();
+  EXPECT_EQ(changed_keys(batch), (Keys{"remove live/j-000001", "set over/j-000001", "set linger/j-000001"}));
+  EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11", "over/j-000001@0"}));
+}
+
+TEST(WriteBatchBuilder, ARemovalTakesPartsAsFarAsThereIsRoomAndTheLastRecordWithTheLastOfThem) {
+  Job job = job_of(8 * constants::kTasksPerPart);
+  for (Part& part : job.parts) part.recorded = true;
+  WriteBatchBuilder first(kTermRevision, kMaxChanges);
+  first.add_removal(job);
+  const WriteBatch some = first.take();
+  EXPECT_EQ(some.items[0].removed_parts, (std::vector<std::uint32_t>{0, 1, 2, 3, 4}));
+  EXPECT_FALSE(some.items[0].removes_last);
+  for (const std::uint32_t part : some.items[0].removed_parts) job.parts[part].recorded = false;
+  WriteBatchBuilder second(kTermRevision, kMaxChanges);
+  second.add_removal(job);
+  const WriteBatch rest = second.take();
+  EXPECT_EQ(changed_keys(rest), (Keys{"remove part/j-000001/5", "remove part/j-000001/6", "remove part/j-000001/7",
+                                      "remove linger/j-000001"}));
+  EXPECT_TRUE(rest.items[0].removes_last);
+}
+
+TEST(WriteBatchBuilder, HasRoomUpToTheStoresLimits) {
+  WriteBatchBuilder builder(kTermRevision, 3);
+  Job one = job_of(5);
+  const Job in_parts = job_of(2 * constants::kTasksPerPart);
+  EXPECT_TRUE(builder.has_room_for(in_parts, WriteItem::Kind::finish));
+  builder.add_update(one, 0, kNow);
+  EXPECT_FALSE(builder.has_room_for(in_parts, WriteItem::Kind::finish)) << "which needs three changes";
+  EXPECT_TRUE(builder.has_room_for(one, WriteItem::Kind::finish));
+  builder.add_finish(one);
+  EXPECT_FALSE(builder.has_room_for(one, WriteItem::Kind::update));
+}
+
+}  // namespace
+}  // namespace foxshunt::jobs
