--- a/src/kv/budget.h
+++ b/src/kv/budget.h
@@ -1,15 +1,16 @@
-// The state service's two limits (requests and changes a second), of which each node takes its part without
-// asking the others.
+// The key-value store limits requests and changes a second over all nodes. Each node keeps to its share of both by token
+// buckets, without asking the others.
 #pragma once
 
 #include <chrono>
-#include <condition_variable>
 #include <mutex>
 
 namespace foxshunt::kv {
 
-enum class Urgency { duty, user };  // users' polls leave a reserve to leadership, records and leases
+// Users' requests leave a reserve to those that keep leadership, records and leases.
+enum class Urgency { duty, user };
 
+// Thread-safe.
 class RateBudget {
  public:
   using Clock = std::chrono::steady_clock;
--- a/src/kv/txn.h
+++ b/src/kv/txn.h
@@ -1,4 +1,7 @@
-// Requests to the state service and its answers, as values.
+// Requests to the key-value store and what comes back, as values.
+//
+// The store counts its changes: each has a revision, each key the revision of its last change. A transaction is a
+// compare-and-swap on any number of keys: it names the revisions that keys must have, and what to change if they do.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +14,7 @@
 
 namespace foxshunt::kv {
 
+// How a request went.
 enum class Answer {
   ok,
   not_found,  // 404
@@ -21,6 +25,7 @@
   none,       // no answer: it may have been executed, or may be yet
 };
 
+// A key, its value and the revision of its last change.
 struct Entry {
   std::string key;
   wire::Value data;
@@ -42,17 +47,20 @@
   std::uint64_t number = 0;
 };
 
+// A key must have this revision.
 struct Condition {
   std::string key;
   Revision mark;  // 0: must not exist
 };
 
+// A key is set, or removed.
 struct Change {
   std::string key;
   std::optional<wire::Value> data;  // nothing: remove
   std::optional<LeaseId> lease;
 };
 
+// All changes are made, if all conditions hold, or none.
 struct Txn {
   std::vector<Condition> conditions;
   std::vector<Change> changes;
@@ -60,10 +68,11 @@
 
 struct TxnResult {
   Answer answer = Answer::none;
-  Revision revision;
-  std::vector<std::string> failed;
+  Revision revision;                // if `ok`: of all keys that were set
+  std::vector<std::string> failed;  // if `conflict`: keys that had another revision
 };
 
+// What a watch tells of a key.
 struct Event {
   std::string key;
   std::optional<wire::Value> data;  // nothing: removed
@@ -72,7 +81,7 @@
 
 struct FollowResult {
   Answer answer = Answer::none;
-  Revision revision;
+  Revision revision;  // up to which nothing is missing
   std::vector<Event> events;
 };
 
