--- a/src/inventory/machine_inventory.cpp
+++ b/src/inventory/machine_inventory.cpp
@@ -47,8 +47,8 @@
     machine.spot = report.spot;
     if (booted) {
       machine.state = MachineState::up;
-      spdlog::info("machine {} ({} in {}{}) is up after {:.1f} s", machine.id.text(), machine.type, machine.zone,
-                   machine.spot ? ", spot" : "", std::chrono::duration<double>(now - machine.since).count());
+      spdlog::info("machine_up machine={} type={} zone={} spot={} boot_s={:.1f}", machine.id.text(), machine.type,
+                   machine.zone, machine.spot, std::chrono::duration<double>(now - machine.since).count());
     }
     machine.ready = now;
   }
@@ -79,8 +79,8 @@
   if (known.fresh) {
     machine.since = now - std::chrono::ceil<Millis>(std::chrono::duration<double>(entry.age_s));
     machine.ready = std::max(now, machine.since + boot);
-    spdlog::info("machine {} ({} in {}{}) is listed", entry.id.text(), entry.type, entry.zone,
-                 entry.spot ? ", spot" : "");
+    spdlog::info("machine_listed machine={} type={} zone={} spot={}", entry.id.text(), entry.type, entry.zone,
+                 entry.spot);
   }
   return known;
 }
@@ -90,7 +90,7 @@
   if (known == machines_.end()) return true;
   // Unproved is never gone: what may run there has to find its machine.
   if (!known->second.runs.empty()) {
-    spdlog::error("machine {} is kept: {} tasks may run on it", id.text(), known->second.runs.size());
+    spdlog::error("machine_kept machine={} allocations={}", id.text(), known->second.runs.size());
     return false;
   }
   machines_.erase(known);
--- a/src/jobs/job_table_writes.cpp
+++ b/src/jobs/job_table_writes.cpp
@@ -152,7 +152,7 @@
 
 void JobTable::on_finished(Job& job, Instant now) {
   const JobId& id = job.spec.id;
-  spdlog::info("job {}: done, {} tasks, {:.1f} s after its submission", id.text(), job.spec.tasks,
+  spdlog::info("job_finished job={} tasks={} since_submission_s={:.1f}", id.text(), job.spec.tasks,
                std::chrono::duration<double>(now - job.submitted).count());
   ended_.insert(id);
   if (job.parts.size() == 1) return;
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -55,12 +55,13 @@
   try {
     if (!answer->body.empty()) raw.body = wire::decode(answer->body);
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: {} {}: malformed answer: {}", method, path, error.what());
+    spdlog::warn("store_response_malformed method={} path={} error=\"{}\"", method, path, error.what());
     return {};
   }
   if (raw.answer == Answer::rejected || raw.answer == Answer::none) {
     const std::string* why = raw.body[kErrorField].as_text();
-    spdlog::warn("state service: {} {}: status {} {}", method, path, answer->status, why == nullptr ? "" : *why);
+    spdlog::warn("store_request_failed method={} path={} status={} error=\"{}\"", method, path, answer->status,
+                 why == nullptr ? "" : *why);
   }
   return raw;
 }
@@ -73,7 +74,7 @@
     result.entry.mark = Revision(raw.body.count(kRevisionField));
     result.entry.data = raw.body[kDataField];
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: get {}: {}", key, error.what());
+    spdlog::warn("store_response_malformed call=get key={} error=\"{}\"", key, error.what());
     result.answer = Answer::none;
   }
   return result;
@@ -103,7 +104,7 @@
       if (more == nullptr || !*more || result.entries.empty() || result.entries.back().key == from) return result;
       from = result.entries.back().key;
     } catch (const wire::Malformed& error) {
-      spdlog::warn("state service: list {}: {}", prefix, error.what());
+      spdlog::warn("store_response_malformed call=list prefix={} error=\"{}\"", prefix, error.what());
       result.answer = Answer::none;
       return result;
     }
@@ -139,7 +140,7 @@
       }
     }
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: txn: {}", error.what());
+    spdlog::warn("store_response_malformed call=txn error=\"{}\"", error.what());
     result.answer = Answer::none;
   }
   return result;
@@ -152,7 +153,7 @@
   try {
     return LeaseId{raw.body.count(kLeaseField)};
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: lease: {}", error.what());
+    spdlog::warn("store_response_malformed call=grant_lease error=\"{}\"", error.what());
     return std::nullopt;
   }
 }
@@ -186,7 +187,7 @@
       result.events.push_back(std::move(event));
     }
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: follow {}: {}", prefix, error.what());
+    spdlog::warn("store_response_malformed call=watch prefix={} error=\"{}\"", prefix, error.what());
     result.answer = Answer::none;
   }
   return result;
