--- a/src/zone/zone_health.cpp
+++ b/src/zone/zone_health.cpp
@@ -17,32 +17,56 @@
   return "";
 }
 
+namespace {
+
+std::size_t missing(const Sighting& seen) { return seen.silent + seen.ended; }
+std::size_t expected(const Sighting& seen) { return seen.heard + missing(seen); }
+
+bool has_many_missing(const Sighting& seen) {
+  return missing(seen) >= constants::kZoneSilentLeast &&
+         static_cast<double>(missing(seen)) >= constants::kZoneDoubtful * static_cast<double>(expected(seen));
+}
+
+// A controller that is heard of shows that the way there is open: its machines have failed, not the zone.
+bool is_unreachable(const Sighting& seen) {
+  if (seen.own) return false;
+  return !seen.sibling || !seen.sibling_silent || *seen.sibling_silent > constants::kContactLost;
+}
+
+bool is_away(State state) { return state == State::cut || state == State::lost; }
+
+// Of a zone that nothing is heard of.
+State away_state(const Sighting& seen) { return seen.silent == 0 ? State::lost : State::cut; }
+
+State next_of_doubtful(const Sighting& seen) {
+  if (!has_many_missing(seen)) return State::whole;
+  return seen.heard == 0 && is_unreachable(seen) ? away_state(seen) : State::doubtful;
+}
+
+State next_of_away(State state, const Sighting& seen, Millis in_state) {
+  if (seen.heard > 0 || (seen.sibling && !is_unreachable(seen))) return State::returning;
+  // Nothing is left there by which its return could be seen: it is tried by renting.
+  if (expected(seen) == 0 && in_state > constants::kZoneKeep) return State::whole;
+  return state == State::lost ? State::lost : away_state(seen);
+}
+
+State next_of_returning(const Sighting& seen, Millis in_state, Millis settle) {
+  const bool many_missing = has_many_missing(seen);
+  if (many_missing && is_unreachable(seen) && seen.heard == 0) return away_state(seen);
+  if (in_state < settle) return State::returning;
+  const bool is_back = static_cast<double>(seen.heard) >= constants::kZoneBack * static_cast<double>(expected(seen));
+  return is_back || !many_missing ? State::whole : State::returning;
+}
+
+}  // namespace
+
 State View::next(const Standing& zone, const Sighting& seen, Instant now) {
-  const std::size_t missing = seen.silent + seen.ended;
-  const std::size_t all = seen.heard + missing;
-  const bool many = missing >= constants::kZoneSilentLeast &&
-                    static_cast<double>(missing) >= constants::kZoneDoubtful * static_cast<double>(all);
-  // A controller that is heard of shows that the way there is open: its machines have failed, not the zone.
-  const bool mute =
-      !seen.own && (!seen.sibling || !seen.sibling_silent || *seen.sibling_silent > constants::kContactLost);
-  const State gone = seen.silent == 0 ? State::lost : State::cut;
   switch (zone.state) {
-    case State::whole: return many ? State::doubtful : State::whole;
-    case State::doubtful:
-      if (!many) return State::whole;
-      return seen.heard == 0 && mute ? gone : State::doubtful;
+    case State::whole: return has_many_missing(seen) ? State::doubtful : State::whole;
+    case State::doubtful: return next_of_doubtful(seen);
     case State::cut:
-    case State::lost:
-      if (seen.heard > 0 || (seen.sibling && !mute)) return State::returning;
-      // Nothing is left there by which its return could be seen: it is tried by renting.
-      if (all == 0 && now - zone.since > constants::kZoneKeep) return State::whole;
-      return zone.state == State::lost ? State::lost : gone;
-    case State::returning:
-      if (many && mute && seen.heard == 0) return gone;
-      if (now - zone.since < zone.settle) return State::returning;
-      return static_cast<double>(seen.heard) >= constants::kZoneBack * static_cast<double>(all) || !many
-                 ? State::whole
-                 : State::returning;
+    case State::lost: return next_of_away(zone.state, seen, now - zone.since);
+    case State::returning: return next_of_returning(seen, now - zone.since, zone.settle);
   }
   return zone.state;
 }
@@ -50,9 +74,9 @@
 std::vector<Change> View::look(const std::map<std::string, Sighting>& zones, Instant now) {
   std::vector<Change> changes;
   for (const auto& [name, seen] : zones) {
-    const auto [entry, fresh] = zones_.try_emplace(name);
+    const auto [entry, is_new] = zones_.try_emplace(name);
     Standing& zone = entry->second;
-    if (fresh) {
+    if (is_new) {
       zone.since = now;
       zone.settle = constants::kZoneSettle;
     }
@@ -60,29 +84,35 @@
     // One step a look: a zone is never left on the evidence of a single moment.
     const State to = next(zone, seen, now);
     if (to == zone.state) {
-      if (to == State::whole && zone.settle > constants::kZoneSettle && now - zone.since > constants::kZoneSteady) {
-        zone.settle = std::max(constants::kZoneSettle, zone.settle / 2);
-        zone.since = now;
-      }
+      shorten_settling_if_steady(zone, now);
       continue;
     }
-    const bool was_away = zone.state == State::cut || zone.state == State::lost;
-    const bool is_away = to == State::cut || to == State::lost;
-    if (is_away && !was_away) {
-      const auto left = left_.find(name);
-      const bool again = left != left_.end();
-      zone.leaving = !again || now - left->second >= zone.settle;
-      if (zone.leaving) left_[name] = now;
-      if (again) zone.settle = std::min(constants::kZoneSettleMost, zone.settle * 2);
-    }
-    if (!is_away) zone.leaving = false;
     changes.push_back({.zone = name, .from = zone.state, .to = to, .seen = seen});
-    zone.state = to;
-    zone.since = now;
+    move_to(to, name, zone, now);
   }
   return changes;
 }
 
+void View::shorten_settling_if_steady(Standing& zone, Instant now) {
+  if (zone.state != State::whole || zone.settle <= constants::kZoneSettle) return;
+  if (now - zone.since <= constants::kZoneSteady) return;
+  zone.settle = std::max(constants::kZoneSettle, zone.settle / 2);
+  zone.since = now;
+}
+
+void View::move_to(State to, const std::string& name, Standing& zone, Instant now) {
+  if (is_away(to) && !is_away(zone.state)) {
+    const auto left = left_.find(name);
+    const bool was_left_before = left != left_.end();
+    zone.leaving = !was_left_before || now - left->second >= zone.settle;
+    if (zone.leaving) left_[name] = now;
+    if (was_left_before) zone.settle = std::min(constants::kZoneSettleMost, zone.settle * 2);
+  }
+  if (!is_away(to)) zone.leaving = false;
+  zone.state = to;
+  zone.since = now;
+}
+
 State View::of(const std::string& zone) const {
   const auto found = zones_.find(zone);
   return found == zones_.end() ? State::whole : found->second.state;
--- a/src/zone/zone_health.h
+++ b/src/zone/zone_health.h
@@ -66,6 +66,9 @@
 
  private:
   static State next(const Standing& zone, const Sighting& seen, Instant now);
+  static void shorten_settling_if_steady(Standing& zone, Instant now);
+  void move_to(State to, const std::string& name, Standing& zone, Instant now);
+
   std::map<std::string, Standing> zones_;
   std::map<std::string, Instant> left_;  // when its work was last made room for elsewhere
 };
