--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -37,6 +37,29 @@
   }
 }
 
+wire::Value to_value(const Change& change) {
+  if (!change.data) return wire::Value::Map{{kRemoveField, change.key}};
+  wire::Value::Map entry{{kSetField, change.key}, {kDataField, *change.data}};
+  if (change.lease) entry.emplace_back(kLeaseField, change.lease->number);
+  return entry;
+}
+
+wire::Value to_value(const Txn& txn) {
+  wire::Value::List conditions;
+  for (const Condition& condition : txn.conditions) {
+    conditions.emplace_back(wire::Value::Map{{kKeyField, condition.key}, {kRevisionField, condition.mark.number()}});
+  }
+  wire::Value::List changes;
+  for (const Change& change : txn.changes) changes.push_back(to_value(change));
+  return wire::Value::Map{{kPreconditionsField, std::move(conditions)}, {kChangesField, std::move(changes)}};
+}
+
+std::string list_path(const std::string& prefix, const std::string& from) {
+  std::string path = "/kv?starts=" + prefix;
+  if (!from.empty()) path += "&from=" + from;
+  return path + "&most=" + std::to_string(constants::kStateItemsMost);
+}
+
 }  // namespace
 
 Client::Client(net::Address to, RateBudget& budget, Urgency urgency)
@@ -85,13 +108,8 @@
   ListResult result;
   std::string from;
   while (true) {
-    std::string path = "/kv?starts=" + prefix;
-    if (!from.empty()) {
-      path += "&from=" + from;
-      if (between) between();
-    }
-    path += "&most=" + std::to_string(constants::kStateItemsMost);
-    const Raw raw = call("GET", path, nullptr, 0, net::Clock::now() + page_limit);
+    if (!from.empty() && between) between();
+    const Raw raw = call("GET", list_path(prefix, from), nullptr, 0, net::Clock::now() + page_limit);
     result.answer = raw.answer;
     if (raw.answer != Answer::ok) return result;
     try {
@@ -112,24 +130,7 @@
 }
 
 TxnResult Client::txn(const Txn& txn, net::Deadline until) {
-  wire::Value::List conditions;
-  for (const Condition& condition : txn.conditions) {
-    conditions.emplace_back(wire::Value::Map{{kKeyField, condition.key}, {kRevisionField, condition.mark.number()}});
-  }
-  wire::Value::List changes;
-  for (const Change& change : txn.changes) {
-    wire::Value::Map entry;
-    if (change.data) {
-      entry.emplace_back(kSetField, change.key);
-      entry.emplace_back(kDataField, *change.data);
-      if (change.lease) entry.emplace_back(kLeaseField, change.lease->number);
-    } else {
-      entry.emplace_back(kRemoveField, change.key);
-    }
-    changes.emplace_back(std::move(entry));
-  }
-  const wire::Value body =
-      wire::Value::Map{{kPreconditionsField, std::move(conditions)}, {kChangesField, std::move(changes)}};
+  const wire::Value body = to_value(txn);
   const Raw raw = call("POST", "/txn", &body, static_cast<double>(txn.changes.size()), until);
   TxnResult result{.answer = raw.answer, .revision = {}, .failed = {}};
   try {
