--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -1,22 +1,12 @@
 #include "jobs/job_table.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
-#include <chrono>
 
 #include "config/constants.h"
-#include "config/guards.h"
+#include "state/job_records.h"
 
 namespace foxshunt::jobs {
 
-using guards::Guard;
-using guards::kept;
-
-bool Job::in_flight() const {
-  return std::ranges::any_of(parts, [](const Part& part) { return part.in_flight; });
-}
-
 Run* JobTable::find_run(const TaskKey& task) {
   const auto job = jobs_.find(task.job);
   if (job == jobs_.end() || task.index >= job->second.spec.tasks) return nullptr;
@@ -83,12 +73,12 @@
   job.done_count += part.done_count;
   for (const state::RunRecord& record_run : record.runs) {
     Run run{.attempt = record_run.attempt, .machine = record_run.machine, .session = record_run.session};
-    run.durable = true;
+    run.durable.set();
     run.adopted = true;
     run.placed = now;
     machines.know(run.machine, now).machine.runs.insert({job.spec.id, record_run.index});
     team_use_[job.spec.team] += job.each;
-    part.runs.emplace(record_run.index, run);
+    part.runs.add(record_run.index, run);
     ++job.runs_count;
     job.had_runs = true;
   }
@@ -178,7 +168,7 @@
 }
 
 Job JobTable::take_out(const JobId& id) {
-  dirty_.erase(dirty_.lower_bound({id, 0}), dirty_.upper_bound({id, UINT32_MAX}));
+  erase_dirty_parts(id);
   return std::move(jobs_.extract(id).mapped());
 }
 
@@ -193,7 +183,7 @@
   part.next = std::max(part.next, attempt.next());
   ++job.runs_count;
   touch(job, index / constants::kTasksPerPart, now);
-  return part.runs.emplace(index, run).first->second;
+  return part.runs.add(index, run);
 }
 
 void JobTable::mark_done(Job& job, std::uint32_t index) {
@@ -211,7 +201,7 @@
   const auto entry = part.runs.find(index);
   if (entry == part.runs.end()) return std::nullopt;
   const Run run = entry->second;
-  part.runs.erase(entry);
+  part.runs.remove(entry);
   --job.runs_count;
   team_use_[job.spec.team] -= job.each;
   if (const auto machine = machines.find(run.machine); machine != machines.end()) {
@@ -221,234 +211,4 @@
   return run;
 }
 
-// ---- writes ----
-
-void JobTable::add_update(Job& job, std::uint32_t number, std::size_t ops_most, WriteBatch& batch, Instant now) {
-  Part& part = job.parts[number];
-  state::PartRecord record{.next = part.next, .done = part.done, .runs = {}};
-  WriteItem item{.kind = WriteItem::Kind::update, .job = job.spec.id, .part = number, .runs = {}};
-  for (const auto& [index, run] : part.runs) {
-    record.runs.push_back({.index = index, .attempt = run.attempt, .machine = run.machine, .session = run.session});
-    if (!run.durable) item.runs.emplace_back(index, run.attempt);
-  }
-  const std::string live = state::live_key(job.spec.id);
-  if (job.parts.size() == 1) {
-    const state::JobRecord whole{
-        .spec = job.spec, .submitted_wall_ms = job.submitted_wall_ms, .whole = std::move(record)};
-    batch.txn.changes.push_back({.key = live, .data = state::to_value(whole), .lease = {}});
-  } else {
-    const std::string key = state::part_key(job.spec.id, number);
-    if (kept(Guard::write_part)) batch.txn.conditions.push_back({.key = key, .mark = part.mark});
-    part.recorded = true;
-    batch.txn.changes.push_back({.key = key, .data = state::to_value(record), .lease = {}});
-    // What users are shown may lag a little.
-    if (now - job.shown >= constants::kShowEvery && batch.txn.changes.size() < ops_most) {
-      job.shown = now;
-      item.header = true;
-      const state::JobRecord header{.spec = job.spec,
-                                    .submitted_wall_ms = job.submitted_wall_ms,
-                                    .whole = {},
-                                    .done_shown = job.done_count,
-                                    .running_shown = job.runs_count};
-      batch.txn.changes.push_back({.key = live, .data = state::to_value(header), .lease = {}});
-    }
-  }
-  batch.items.push_back(std::move(item));
-}
-
-std::optional<WriteBatch> JobTable::begin_write(Revision term_mark, std::size_t ops_most, Instant now) {
-  if (dirty_.empty()) return std::nullopt;
-  WriteBatch batch{.term_mark = term_mark, .items = {}, .txn = {}};
-  if (kept(Guard::write_term)) batch.txn.conditions.push_back({.key = state::kTermKey, .mark = term_mark});
-  std::size_t bytes = 0;
-  for (auto at = dirty_.begin(); at != dirty_.end();) {
-    const auto [id, number] = *at;
-    const auto entry = jobs_.find(id);
-    if (entry == jobs_.end()) {
-      at = dirty_.erase(at);
-      continue;
-    }
-    Job& job = entry->second;
-    const bool busy = job.in_flight();
-    const bool same_batch = std::ranges::any_of(batch.items, [&](const WriteItem& item) { return item.job == id; });
-    const bool over = !job.withdrawn && job.done_count == job.spec.tasks && job.runs_count == 0;
-    const bool forget = job.withdrawn && job.runs_count == 0;
-    // Finishing and forgetting a job of several parts removes the parts as well, some at a time.
-    const std::size_t ops = over ? (job.parts.size() > 1 ? 3 : 2) : 1;
-    if ((busy && !same_batch) || job.reload || job.parts[number].reload ||
-        (same_batch && (over || forget || job.parts.size() == 1))) {
-      ++at;
-      continue;
-    }
-    if (batch.txn.changes.size() + ops > ops_most || bytes > constants::kBodyLimitBytes / 2 ||
-        batch.txn.conditions.size() + 2 > 4 * ops_most) {
-      break;
-    }
-    const std::string live = state::live_key(id);
-    const std::size_t before = batch.txn.changes.size();
-    if (forget) {
-      std::size_t room = ops_most - batch.txn.changes.size();
-      WriteItem item{.kind = WriteItem::Kind::forget, .job = id, .part = 0, .runs = {}};
-      if (job.parts.size() > 1) {
-        for (std::uint32_t part = 0; part < job.parts.size() && room > 1; ++part) {
-          if (!job.parts[part].recorded) continue;
-          batch.txn.changes.push_back({.key = state::part_key(id, part), .data = {}, .lease = {}});
-          item.runs.emplace_back(part, AttemptNo{});
-          --room;
-        }
-      }
-      const auto parts_left = std::ranges::count_if(job.parts, [](const Part& part) { return part.recorded; });
-      if (static_cast<std::size_t>(parts_left) == item.runs.size()) {
-        batch.txn.changes.push_back({.key = state::linger_key(id), .data = {}, .lease = {}});
-        item.part = 1;  // the last of it
-      }
-      batch.items.push_back(std::move(item));
-    } else {
-      if (!same_batch && kept(Guard::write_job)) batch.txn.conditions.push_back({.key = live, .mark = job.mark});
-      if (over) {
-        wire::JobStatus status{.id = id, .state = wire::JobState::done, .done = job.spec.tasks, .running = 0};
-        batch.txn.conditions.push_back({.key = state::over_key(id), .mark = Revision{}});
-        batch.txn.changes.push_back({.key = live, .data = {}, .lease = {}});
-        batch.txn.changes.push_back({.key = state::over_key(id), .data = state::over_value(status), .lease = {}});
-        if (job.parts.size() > 1) {
-          state::JobRecord rest{.spec = job.spec, .submitted_wall_ms = job.submitted_wall_ms, .whole = {}};
-          batch.txn.changes.push_back({.key = state::linger_key(id), .data = state::to_value(rest), .lease = {}});
-        }
-        batch.items.push_back({.kind = WriteItem::Kind::finish, .job = id, .part = 0, .runs = {}});
-      } else {
-        add_update(job, number, ops_most, batch, now);
-      }
-    }
-    for (std::size_t change = before; change < batch.txn.changes.size(); ++change) {
-      if (batch.txn.changes[change].data) bytes += wire::json_length(*batch.txn.changes[change].data);
-    }
-    if (over || forget) {
-      for (Part& part : job.parts) part.dirty = false;
-      job.parts.front().in_flight = true;
-      dirty_.erase(dirty_.lower_bound({id, 0}), dirty_.upper_bound({id, UINT32_MAX}));
-      at = dirty_.upper_bound({id, UINT32_MAX});
-    } else {
-      job.parts[number].dirty = false;
-      job.parts[number].in_flight = true;
-      at = dirty_.erase(at);
-    }
-  }
-  if (batch.items.empty()) return std::nullopt;
-  return batch;
-}
-
-std::vector<Job> JobTable::end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now) {
-  std::vector<Job> erased;
-  const auto failed = [&](const std::string& key) {
-    return std::ranges::find(result.failed, key) != result.failed.end();
-  };
-  for (const WriteItem& item : batch.items) {
-    const auto entry = jobs_.find(item.job);
-    if (entry == jobs_.end()) continue;
-    Job& job = entry->second;
-    const std::uint32_t number = item.kind == WriteItem::Kind::update ? item.part : 0;
-    Part& part = job.parts[number];
-    part.in_flight = false;
-    if (result.answer != state::Answer::ok) {
-      part.dirty = true;
-      dirty_.insert({item.job, number});
-      // Without an answer the write may be applied yet. The next write is conditioned on the same mark, so
-      // that one of the two fails, and a start command waits for a write that is known to have succeeded.
-      if (item.kind == WriteItem::Kind::forget) continue;
-      if (result.answer != state::Answer::conflict || !kept(Guard::write_reload)) continue;
-      if (failed(state::live_key(item.job)) || failed(state::over_key(item.job))) job.reload = true;
-      if (failed(state::part_key(item.job, number))) part.reload = true;
-      continue;
-    }
-    if (part.dirty) part.dirty_since = now;  // what has come meanwhile waits for the next write
-    switch (item.kind) {
-      case WriteItem::Kind::update:
-        if (job.parts.size() == 1) {
-          job.mark = result.revision;
-        } else {
-          part.mark = result.revision;
-          if (item.header) job.mark = result.revision;
-        }
-        for (const auto& [index, attempt] : item.runs) {
-          const auto run = part.runs.find(index);
-          if (run != part.runs.end() && run->second.attempt == attempt) {
-            run->second.durable = true;
-            run->second.placed = now;
-          }
-        }
-        if (!item.runs.empty()) job.had_runs = true;
-        break;
-      case WriteItem::Kind::finish:
-        spdlog::info("job {}: done, {} tasks, {:.1f} s after its submission", item.job.text(), job.spec.tasks,
-                     std::chrono::duration<double>(now - job.submitted).count());
-        ended_.insert(item.job);
-        if (job.parts.size() == 1) {
-          erased.push_back(take_out(item.job));
-        } else {
-          job.withdrawn = true;  // what is left of it, the parts, is removed like that of a withdrawn job
-          dirty_.insert({item.job, 0});
-        }
-        break;
-      case WriteItem::Kind::forget:
-        for (const auto& [gone, unused] : item.runs) {
-          job.parts[gone].mark = Revision{};
-          job.parts[gone].recorded = false;
-        }
-        if (item.part == 1) {
-          erased.push_back(take_out(item.job));
-        } else {
-          dirty_.insert({item.job, 0});
-        }
-        break;
-    }
-  }
-  return erased;
-}
-
-std::optional<std::string> JobTable::disagreement(const inventory::MachineInventory& machines) const {
-  std::map<std::string, Amounts> used;
-  std::map<MachineId, std::size_t> on_machine;
-  for (const auto& [id, job] : jobs_) {
-    std::uint32_t done = 0;
-    std::uint32_t runs = 0;
-    for (std::uint32_t number = 0; number < job.parts.size(); ++number) {
-      const Part& part = job.parts[number];
-      const std::string where = id.text() + " part " + std::to_string(number);
-      const auto done_here = static_cast<std::uint32_t>(std::ranges::count(part.done, true));
-      if (part.done_count != done_here) return where + ": its tasks done are miscounted";
-      done += done_here;
-      runs += static_cast<std::uint32_t>(part.runs.size());
-      for (const auto& [index, run] : part.runs) {
-        const TaskKey key{id, index};
-        if (index / constants::kTasksPerPart != number || index >= job.spec.tasks) return key.text() + ": not its part";
-        if (run.attempt >= part.next && !run.adopted) return key.text() + ": its attempt may be given again";
-        if (!run.durable && part.settled()) return key.text() + ": nobody writes its placement";
-        const auto machine = machines.find(run.machine);
-        if (machine == machines.end()) return key.text() + ": its machine is not known";
-        if (!machine->second.runs.contains(key)) return key.text() + ": its machine does not have it";
-        ++on_machine[run.machine];
-        used[job.spec.team] += job.each;
-      }
-      if (part.dirty && !job.withdrawn && !dirty_.contains({id, number})) return where + ": nobody writes it";
-    }
-    if (done != job.done_count) return id.text() + ": its tasks done are miscounted";
-    if (runs != job.runs_count) return id.text() + ": its runs are miscounted";
-    if (job.withdrawn && runs == 0 && !job.in_flight() && !dirty_.contains({id, 0})) {
-      return id.text() + ": nobody removes what is left of it";
-    }
-  }
-  for (const auto& [id, machine] : machines) {
-    const auto known = on_machine.find(id);
-    if (machine.runs.size() != (known == on_machine.end() ? 0 : known->second)) {
-      return id.text() + ": it has runs that no job has";
-    }
-  }
-  for (const auto& [team, amounts] : team_use_) {
-    if (amounts != used[team]) return "team " + team + ": its use is not the sum of its runs";
-    used.erase(team);
-  }
-  for (const auto& [team, unused] : used) return "team " + team + ": its use is not counted";
-  return std::nullopt;
-}
-
 }  // namespace foxshunt::jobs
--- a/src/state/client.cpp
+++ b/src/kv/client.cpp
@@ -1,12 +1,29 @@
-#include "state/client.h"
+#include "kv/client.h"
 
 #include <spdlog/spdlog.h>
 
 #include "config/constants.h"
 
-namespace foxshunt::state {
+namespace foxshunt::kv {
 namespace {
 
+// PROTOCOL's field names, beside the terms that are used everywhere else.
+constexpr const char* kErrorField = "error";
+constexpr const char* kRevisionField = "mark";
+constexpr const char* kStoreRevisionField = "tally";
+constexpr const char* kDataField = "data";
+constexpr const char* kItemsField = "items";
+constexpr const char* kKeyField = "k";
+constexpr const char* kMoreField = "more";
+constexpr const char* kSetField = "set";
+constexpr const char* kRemoveField = "remove";
+constexpr const char* kLeaseField = "tether";
+constexpr const char* kPreconditionsField = "if";
+constexpr const char* kChangesField = "then";
+constexpr const char* kFailedField = "failed";
+constexpr const char* kTtlMsField = "ttlMs";
+constexpr const char* kEventsField = "news";
+
 Answer answer_of(int status) {
   switch (status) {
     case 200: return Answer::ok;
@@ -20,6 +37,29 @@
   }
 }
 
+wire::Value to_value(const Change& change) {
+  if (!change.data) return wire::Value::Map{{kRemoveField, change.key}};
+  wire::Value::Map entry{{kSetField, change.key}, {kDataField, *change.data}};
+  if (change.lease) entry.emplace_back(kLeaseField, change.lease->number);
+  return entry;
+}
+
+wire::Value to_value(const Txn& txn) {
+  wire::Value::List conditions;
+  for (const Condition& condition : txn.conditions) {
+    conditions.emplace_back(wire::Value::Map{{kKeyField, condition.key}, {kRevisionField, condition.mark.number()}});
+  }
+  wire::Value::List changes;
+  for (const Change& change : txn.changes) changes.push_back(to_value(change));
+  return wire::Value::Map{{kPreconditionsField, std::move(conditions)}, {kChangesField, std::move(changes)}};
+}
+
+std::string list_path(const std::string& prefix, const std::string& from) {
+  std::string path = "/kv?starts=" + prefix;
+  if (!from.empty()) path += "&from=" + from;
+  return path + "&most=" + std::to_string(constants::kStateItemsMost);
+}
+
 }  // namespace
 
 Client::Client(net::Address to, RateBudget& budget, Urgency urgency)
@@ -38,12 +78,13 @@
   try {
     if (!answer->body.empty()) raw.body = wire::decode(answer->body);
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: {} {}: malformed answer: {}", method, path, error.what());
+    spdlog::warn("store_response_malformed method={} path={} error=\"{}\"", method, path, error.what());
     return {};
   }
   if (raw.answer == Answer::rejected || raw.answer == Answer::none) {
-    const std::string* why = raw.body["error"].as_text();
-    spdlog::warn("state service: {} {}: status {} {}", method, path, answer->status, why == nullptr ? "" : *why);
+    const std::string* why = raw.body[kErrorField].as_text();
+    spdlog::warn("store_request_failed method={} path={} status={} error=\"{}\"", method, path, answer->status,
+                 why == nullptr ? "" : *why);
   }
   return raw;
 }
@@ -53,10 +94,10 @@
   GetResult result{.answer = raw.answer, .entry = {.key = key, .data = {}, .mark = {}}};
   if (raw.answer != Answer::ok) return result;
   try {
-    result.entry.mark = Revision(raw.body.count("mark"));
-    result.entry.data = raw.body["data"];
+    result.entry.mark = Revision(raw.body.count(kRevisionField));
+    result.entry.data = raw.body[kDataField];
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: get {}: {}", key, error.what());
+    spdlog::warn("store_response_malformed call=get key={} error=\"{}\"", key, error.what());
     result.answer = Answer::none;
   }
   return result;
@@ -67,25 +108,21 @@
   ListResult result;
   std::string from;
   while (true) {
-    std::string path = "/kv?starts=" + prefix;
-    if (!from.empty()) {
-      path += "&from=" + from;
-      if (between) between();
-    }
-    path += "&most=" + std::to_string(constants::kStateItemsMost);
-    const Raw raw = call("GET", path, nullptr, 0, net::Clock::now() + page_limit);
+    if (!from.empty() && between) between();
+    const Raw raw = call("GET", list_path(prefix, from), nullptr, 0, net::Clock::now() + page_limit);
     result.answer = raw.answer;
     if (raw.answer != Answer::ok) return result;
     try {
-      if (from.empty()) result.revision = Revision(raw.body.count("tally"));
-      for (const wire::Value& item : raw.body.list("items")) {
-        result.entries.push_back({.key = item.text("k"), .data = item["data"], .mark = Revision(item.count("mark"))});
+      if (from.empty()) result.revision = Revision(raw.body.count(kStoreRevisionField));
+      for (const wire::Value& item : raw.body.list(kItemsField)) {
+        result.entries.push_back(
+            {.key = item.text(kKeyField), .data = item[kDataField], .mark = Revision(item.count(kRevisionField))});
       }
-      const bool* more = raw.body["more"].as_bool();
+      const bool* more = raw.body[kMoreField].as_bool();
       if (more == nullptr || !*more || result.entries.empty() || result.entries.back().key == from) return result;
       from = result.entries.back().key;
     } catch (const wire::Malformed& error) {
-      spdlog::warn("state service: list {}: {}", prefix, error.what());
+      spdlog::warn("store_response_malformed call=list prefix={} error=\"{}\"", prefix, error.what());
       result.answer = Answer::none;
       return result;
     }
@@ -93,47 +130,31 @@
 }
 
 TxnResult Client::txn(const Txn& txn, net::Deadline until) {
-  wire::Value::List conditions;
-  for (const Condition& condition : txn.conditions) {
-    conditions.emplace_back(wire::Value::Map{{"k", condition.key}, {"mark", condition.mark.number()}});
-  }
-  wire::Value::List changes;
-  for (const Change& change : txn.changes) {
-    wire::Value::Map entry;
-    if (change.data) {
-      entry.emplace_back("set", change.key);
-      entry.emplace_back("data", *change.data);
-      if (change.lease) entry.emplace_back("tether", change.lease->number);
-    } else {
-      entry.emplace_back("remove", change.key);
-    }
-    changes.emplace_back(std::move(entry));
-  }
-  const wire::Value body = wire::Value::Map{{"if", std::move(conditions)}, {"then", std::move(changes)}};
+  const wire::Value body = to_value(txn);
   const Raw raw = call("POST", "/txn", &body, static_cast<double>(txn.changes.size()), until);
   TxnResult result{.answer = raw.answer, .revision = {}, .failed = {}};
   try {
-    if (raw.answer == Answer::ok) result.revision = Revision(raw.body.count("tally"));
+    if (raw.answer == Answer::ok) result.revision = Revision(raw.body.count(kStoreRevisionField));
     if (raw.answer == Answer::conflict) {
-      for (const wire::Value& key : raw.body.list("failed")) {
+      for (const wire::Value& key : raw.body.list(kFailedField)) {
         if (const std::string* text = key.as_text()) result.failed.push_back(*text);
       }
     }
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: txn: {}", error.what());
+    spdlog::warn("store_response_malformed call=txn error=\"{}\"", error.what());
     result.answer = Answer::none;
   }
   return result;
 }
 
 std::optional<LeaseId> Client::grant(std::chrono::milliseconds ttl, net::Deadline until) {
-  const wire::Value body = wire::Value::Map{{"ttlMs", static_cast<std::uint64_t>(ttl.count())}};
+  const wire::Value body = wire::Value::Map{{kTtlMsField, static_cast<std::uint64_t>(ttl.count())}};
   const Raw raw = call("POST", "/leases", &body, 0, until);
   if (raw.answer != Answer::ok) return std::nullopt;
   try {
-    return LeaseId{raw.body.count("tether")};
+    return LeaseId{raw.body.count(kLeaseField)};
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: lease: {}", error.what());
+    spdlog::warn("store_response_malformed call=grant_lease error=\"{}\"", error.what());
     return std::nullopt;
   }
 }
@@ -155,22 +176,22 @@
   FollowResult result{.answer = raw.answer, .revision = from, .events = {}};
   if (raw.answer != Answer::ok) return result;
   try {
-    result.revision = Revision(raw.body.count("tally"));
-    for (const wire::Value& item : raw.body.list("news")) {
-      Event event{.key = {}, .data = {}, .mark = Revision(item.count("mark"))};
-      if (!item["set"].is_null()) {
-        event.key = item.text("set");
-        event.data = item["data"];
+    result.revision = Revision(raw.body.count(kStoreRevisionField));
+    for (const wire::Value& item : raw.body.list(kEventsField)) {
+      Event event{.key = {}, .data = {}, .mark = Revision(item.count(kRevisionField))};
+      if (!item[kSetField].is_null()) {
+        event.key = item.text(kSetField);
+        event.data = item[kDataField];
       } else {
-        event.key = item.text("remove");
+        event.key = item.text(kRemoveField);
       }
       result.events.push_back(std::move(event));
     }
   } catch (const wire::Malformed& error) {
-    spdlog::warn("state service: follow {}: {}", prefix, error.what());
+    spdlog::warn("store_response_malformed call=watch prefix={} error=\"{}\"", prefix, error.what());
     result.answer = Answer::none;
   }
   return result;
 }
 
-}  // namespace foxshunt::state
+}  // namespace foxshunt::kv
--- /dev/null
+++ b/src/state/job_records.cpp
@@ -0,0 +1,182 @@
+#include "state/job_records.h"
+
+#include <algorithm>
+#include <string>
+#include <string_view>
+
+#include "config/constants.h"
+#include "config/guards.h"
+#include "state/keys.h"
+
+namespace foxshunt::state {
+
+using wire::Malformed;
+using wire::Value;
+
+std::uint32_t parts_of(std::uint32_t tasks) {
+  return (tasks + constants::kTasksPerPart - 1) / constants::kTasksPerPart;
+}
+
+std::uint32_t part_size(std::uint32_t tasks, std::uint32_t part) {
+  return std::min(constants::kTasksPerPart, tasks - part * constants::kTasksPerPart);
+}
+
+namespace {
+
+// Fields of the stored records; they stay as they are, so that old records can be read.
+constexpr const char* kSpecField = "spec";
+constexpr const char* kSubmittedMsField = "at";
+constexpr const char* kOnlyPartField = "whole";
+constexpr const char* kNextAttemptField = "next";
+constexpr const char* kDoneField = "done";
+constexpr const char* kRunningField = "running";
+constexpr const char* kRunsField = "runs";
+constexpr const char* kFinalStateField = "end";
+
+constexpr std::string_view kHexDigits = "0123456789abcdef";
+
+// Which tasks are done, four a digit, lowest first; trailing zeros are left out.
+std::string bits_to_text(const std::vector<bool>& bits) {
+  std::string text((bits.size() + 3) / 4, '0');
+  for (std::size_t at = 0; at < text.size(); ++at) {
+    unsigned digit = 0;
+    for (std::size_t bit = 0; bit < 4 && at * 4 + bit < bits.size(); ++bit) {
+      if (bits[at * 4 + bit]) digit |= 1U << bit;
+    }
+    text[at] = kHexDigits[digit];
+  }
+  text.erase(text.find_last_not_of('0') + 1);
+  return text;
+}
+
+std::vector<bool> bits_from_text(const std::string& text, std::uint32_t size) {
+  std::vector<bool> bits(size);
+  for (std::size_t at = 0; at < text.size(); ++at) {
+    const std::size_t digit = kHexDigits.find(text[at]);
+    if (digit == std::string_view::npos) throw Malformed(std::string(kDoneField) + ": not a hexadecimal digit");
+    for (std::size_t bit = 0; bit < 4; ++bit) {
+      if ((digit >> bit & 1U) == 0) continue;
+      if (at * 4 + bit >= size) throw Malformed(std::string(kDoneField) + ": too many tasks");
+      bits[at * 4 + bit] = true;
+    }
+  }
+  return bits;
+}
+
+}  // namespace
+
+Value to_value(const PartRecord& part) {
+  Value::List runs;
+  for (const RunRecord& run : part.runs) {
+    runs.emplace_back(
+        Value::List{std::uint64_t{run.index}, run.attempt.number(), run.machine.text(), run.session.number()});
+  }
+  return Value::Map{
+      {kNextAttemptField, part.next.number()}, {kDoneField, bits_to_text(part.done)}, {kRunsField, std::move(runs)}};
+}
+
+PartRecord part_from(const Value& value, std::uint32_t size) {
+  PartRecord part;
+  part.next = AttemptNo(value.count(kNextAttemptField));
+  part.done = bits_from_text(value.text(kDoneField), size);
+  for (const Value& entry : value.list(kRunsField)) {
+    const Value::List* run = entry.as_list();
+    if (run == nullptr || run->size() != 4 || (*run)[0].as_count() == nullptr || (*run)[1].as_count() == nullptr ||
+        (*run)[2].as_text() == nullptr || (*run)[3].as_count() == nullptr) {
+      throw Malformed(std::string(kRunsField) + ": entry is not a placement");
+    }
+    part.runs.push_back({.index = static_cast<std::uint32_t>(*(*run)[0].as_count()),
+                         .attempt = AttemptNo(*(*run)[1].as_count()),
+                         .machine = MachineId(*(*run)[2].as_text()),
+                         .session = SessionNo(*(*run)[3].as_count())});
+  }
+  return part;
+}
+
+Value to_value(const JobRecord& job) {
+  Value::Map map{{kSpecField, wire::to_value(job.spec)},
+                 {kSubmittedMsField, static_cast<std::uint64_t>(job.submitted_wall_ms)}};
+  if (job.whole) {
+    map.emplace_back(kOnlyPartField, to_value(*job.whole));
+  } else {
+    map.emplace_back(kDoneField, job.done_shown);
+    map.emplace_back(kRunningField, job.running_shown);
+  }
+  return map;
+}
+
+JobRecord job_from(const Value& value) {
+  JobRecord job;
+  job.spec = wire::job_spec_from(value[kSpecField]);
+  job.submitted_wall_ms = static_cast<std::int64_t>(value.count(kSubmittedMsField));
+  if (!value[kOnlyPartField].is_null()) {
+    job.whole = part_from(value[kOnlyPartField], part_size(job.spec.tasks, 0));
+  } else {
+    job.done_shown = value.count(kDoneField);
+    job.running_shown = value.count(kRunningField);
+  }
+  return job;
+}
+
+Value over_value(const wire::JobStatus& status) {
+  return Value::Map{{kFinalStateField, wire::name_of(status.state)}, {kDoneField, status.done}};
+}
+
+wire::JobStatus over_from(const JobId& job, const Value& value) {
+  const std::string& end = value.text(kFinalStateField);
+  if (end != wire::name_of(wire::JobState::done) && end != wire::name_of(wire::JobState::withdrawn)) {
+    throw Malformed(std::string(kFinalStateField) + ": unknown value");
+  }
+  return {.id = job,
+          .state = end == wire::name_of(wire::JobState::done) ? wire::JobState::done : wire::JobState::withdrawn,
+          .done = value.count(kDoneField),
+          .running = 0};
+}
+
+wire::JobStatus status_of(const JobRecord& job) {
+  wire::JobStatus status{.id = job.spec.id};
+  if (job.whole) {
+    status.done = static_cast<std::uint64_t>(std::ranges::count(job.whole->done, true));
+    status.running = job.whole->runs.size();
+  } else {
+    status.done = job.done_shown;
+    status.running = job.running_shown;
+  }
+  status.state = status.running > 0 ? wire::JobState::running : wire::JobState::pending;
+  return status;
+}
+
+JobRecord new_job(const wire::JobSpec& spec, std::int64_t wall_ms) {
+  JobRecord job{.spec = spec, .submitted_wall_ms = wall_ms, .whole = {}};
+  if (parts_of(spec.tasks) == 1) {
+    job.whole = PartRecord{.next = AttemptNo{1}, .done = std::vector<bool>(spec.tasks), .runs = {}};
+  }
+  return job;
+}
+
+kv::Txn accept_txn(const JobRecord& job) {
+  const std::string live = live_key(job.spec.id);
+  if (!guards::kept(guards::Guard::accept_once)) {
+    return {.conditions = {}, .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
+  }
+  return {.conditions = {{.key = live, .mark = {}}, {.key = over_key(job.spec.id), .mark = {}}},
+          .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
+}
+
+kv::Txn withdraw_txn(const JobRecord& job, Revision mark) {
+  const JobId& id = job.spec.id;
+  const wire::JobStatus withdrawn{
+      .id = id, .state = wire::JobState::withdrawn, .done = status_of(job).done, .running = 0};
+  kv::Txn txn{.conditions = {{.key = live_key(id), .mark = mark}, {.key = over_key(id), .mark = {}}},
+              .changes = {{.key = live_key(id), .data = {}, .lease = {}},
+                          {.key = over_key(id), .data = over_value(withdrawn), .lease = {}}}};
+  if (!guards::kept(guards::Guard::withdraw_mark)) txn.conditions.clear();
+  if (!guards::kept(guards::Guard::withdraw_lingers)) return txn;
+  // What the job may have on machines is kept until a leader has proved it gone.
+  if (!job.whole || !job.whole->runs.empty()) {
+    txn.changes.push_back({.key = linger_key(id), .data = to_value(job), .lease = {}});
+  }
+  return txn;
+}
+
+}  // namespace foxshunt::state
--- /dev/null
+++ b/src/zone/messages.cpp
@@ -0,0 +1,96 @@
+#include "zone/messages.h"
+
+#include <algorithm>
+
+#include "config/constants.h"
+
+namespace foxshunt::zone {
+
+using wire::Malformed;
+using wire::Value;
+
+namespace {
+
+// Fields of the messages between controllers. They stay as they are, so that controllers of two releases understand
+// each other.
+constexpr const char* kNodeField = "node";
+constexpr const char* kLifeField = "life";
+constexpr const char* kSequenceField = "sequence";
+constexpr const char* kTermField = "term";
+constexpr const char* kHeldField = "holds";
+constexpr const char* kUsesField = "uses";
+constexpr const char* kMachineField = "machine";
+constexpr const char* kAgoField = "ago";
+constexpr const char* kNumberField = "number";
+constexpr const char* kZoneField = "zone";
+constexpr const char* kAgeField = "age";
+constexpr const char* kExceptField = "except";
+
+// A day: no span that zones hang on is as long.
+constexpr std::uint64_t kSpanMostMs = 86'400'000;
+
+Millis span(const Value& value, const char* field) {
+  const std::uint64_t ms = value.count(field);
+  if (ms > kSpanMostMs) throw Malformed(std::string(field) + ": too long a span");
+  return Millis(static_cast<Millis::rep>(ms));
+}
+
+const Value::List& machines(const Value& value, const char* field) {
+  const Value::List& list = value.list(field);
+  if (list.size() > constants::kGrantMachinesMost) throw Malformed(std::string(field) + ": too many machines");
+  return list;
+}
+
+std::uint64_t count_ms(Millis span) { return static_cast<std::uint64_t>(std::max(Millis(0), span).count()); }
+
+}  // namespace
+
+Value to_value(const Ask& ask) {
+  Value::List uses;
+  for (const Use& use : ask.uses) {
+    uses.push_back(Value::Map{{kMachineField, use.machine.text()}, {kAgoField, count_ms(use.ago)}});
+  }
+  return Value::Map{{kNodeField, ask.node.text()},   {kLifeField, ask.life},           {kSequenceField, ask.sequence},
+                    {kTermField, ask.term.number()}, {kHeldField, ask.holds.number()}, {kUsesField, std::move(uses)}};
+}
+
+Ask ask_from(const Value& value) {
+  Ask ask{.node = NodeName(value.text(kNodeField)),
+          .life = value.count(kLifeField),
+          .sequence = value.count(kSequenceField),
+          .term = Term(value.count(kTermField)),
+          .holds = GrantNo(value.count(kHeldField)),
+          .uses = {}};
+  if (ask.sequence == 0) throw Malformed(std::string(kSequenceField) + ": must be above 0");
+  for (const Value& use : machines(value, kUsesField)) {
+    ask.uses.push_back({.machine = MachineId(use.text(kMachineField)), .ago = span(use, kAgoField)});
+  }
+  return ask;
+}
+
+Value to_value(const Grant& grant) {
+  Value::List except;
+  for (const MachineId& machine : grant.except) except.emplace_back(machine.text());
+  return Value::Map{{kNumberField, grant.number.number()},
+                    {kTermField, grant.term.number()},
+                    {kZoneField, grant.zone},
+                    {kAgeField, count_ms(grant.age)},
+                    {kExceptField, std::move(except)}};
+}
+
+Grant grant_from(const Value& value) {
+  Grant grant{.number = GrantNo(value.count(kNumberField)),
+              .term = Term(value.count(kTermField)),
+              .zone = value.text(kZoneField),
+              .age = span(value, kAgeField),
+              .except = {}};
+  if (grant.number == GrantNo{}) throw Malformed(std::string(kNumberField) + ": must be above 0");
+  for (const Value& machine : machines(value, kExceptField)) {
+    const std::string* name = machine.as_text();
+    if (name == nullptr || name->empty()) throw Malformed(std::string(kExceptField) + ": must be names of machines");
+    grant.except.emplace_back(*name);
+  }
+  return grant;
+}
+
+}  // namespace foxshunt::zone
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -28,8 +28,9 @@
 #include "standins/served.h"
 #include "standins/state_store.h"
 #include "standins/worker.h"
+#include "state/leadership_records.h"
 #include "user_api/request.h"
-#include "zone/grants.h"
+#include "zone/delegated_lease.h"
 
 namespace foxshunt::standins {
 
@@ -232,7 +233,7 @@
     Instant refused_until;
     Instant alone_until;  // without siblings
     double drift = 0;
-    state::LeaseId lease;
+    kv::LeaseId lease;
     Revision follow_from;
     NodeName leader_seen;
     Term term_seen;
@@ -381,7 +382,7 @@
   void follow_duty(std::size_t node);
   void ledger_duty(std::size_t node);
   void calendar_duty(std::size_t node);
-  void note_occurrences(const state::Txn& txn);
+  void note_occurrences(const kv::Txn& txn);
   [[nodiscard]] std::map<JobId, int> slack(const Node& node) const;
   void write_duty(std::size_t node);
   void cloud_duty(std::size_t node);
