--- a/src/control/demand.cpp
+++ b/src/control/demand.cpp
@@ -5,6 +5,7 @@
 #include <cmath>
 
 #include "config/constants.h"
+#include "control/job_requirements.h"
 
 namespace foxshunt::control {
 
@@ -33,10 +34,10 @@
 // PAPER 5.4, "expensive resources": X cores are kept free for jobs requesting GPUs.
 Amounts Demand::offered(const wire::JobSpec& spec, const wire::MachineType& kind,
                         const std::vector<wire::MachineType>& types) const {
-  Amounts all = Amounts::from(kind.cpus, kind.gpus, kind.ram_gb);
+  Amounts all = capacity_of(kind);
   if (spec.gpus > 0 || kind.gpus <= 0) return all;
   const bool elsewhere = std::ranges::any_of(types, [&](const wire::MachineType& other) {
-    return other.gpus <= 0 && (spec.types.empty() || std::ranges::find(spec.types, other.name) != spec.types.end()) &&
+    return other.gpus <= 0 && is_type_allowed(spec, other.name) &&
            Amounts::from(spec.cpus, 0, spec.ram_gb).fits(Amounts::from(other.cpus, 0, other.ram_gb));
   });
   if (!elsewhere) return all;  // it can't run without
--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -14,6 +14,7 @@
 #include "config/settings.h"
 #include "control/demand.h"
 #include "control/gang_reservation.h"
+#include "control/job_requirements.h"
 #include "control/supply.h"
 #include "foresight/foresight.h"
 #include "aging/aging.h"
@@ -251,10 +252,7 @@
   std::size_t plan_stranded(Job& job, Instant now);
   [[nodiscard]] bool counted_on(const std::string& zone) const;
   // planning
-  [[nodiscard]] bool allows(const wire::JobSpec& spec, const std::string& type, const std::string& zone,
-                            bool spot) const;
   [[nodiscard]] Millis fetch_time(const wire::JobSpec& spec, const std::string& machine_type) const;
-  [[nodiscard]] Millis estimate(const Job& job) const;
   // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
   [[nodiscard]] Amounts offered(const wire::JobSpec& spec, const wire::MachineType& kind) const;
   void learn_gpu_demand(Instant now);
--- a/src/control/engine_foresight.cpp
+++ b/src/control/engine_foresight.cpp
@@ -3,6 +3,7 @@
 
 #include "config/constants.h"
 #include "control/engine.h"
+#include "control/team_quota.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
@@ -25,8 +26,7 @@
   // Tasks that have neither a place nor a booking end at no known time, and the job with them.
   std::uint64_t booked = job.runs_count;
   Instant end;
-  // Bookings are no longer than the planner's horizon.
-  const Millis beyond = std::max(Millis(0), from_seconds(job.spec.estimate_s) - estimate(job));
+  const Millis beyond = run_time_beyond_booking(job);
   for (const plan::BookingId booking : job.booked) {
     const plan::Booking* found = planner_.booking(booking);
     if (found == nullptr) continue;
@@ -53,13 +53,13 @@
 }
 
 foresight::Work Engine::work_of(const Job& job, Instant by, const Supply::Held& have) const {
-  foresight::Work work{.by = by, .run = std::max(estimate(job), from_seconds(job.spec.estimate_s))};
+  foresight::Work work{.by = by, .run = run_time(job)};
   work.waiting = job.pending();
   work.together = job.spec.kind == wire::JobKind::gang;
   work.may_rent = settings_.operators.may_rent;
   work.end = planned_end(job);
   std::uint64_t timely = 0;
-  const Millis beyond = work.run - estimate(job);
+  const Millis beyond = run_time_beyond_booking(job);
   for (const plan::BookingId booking : job.booked) {
     const plan::Booking* found = planner_.booking(booking);
     if (found == nullptr || found->stop + beyond > by) continue;
@@ -67,13 +67,7 @@
   }
   work.late = work.waiting - std::min(work.waiting, timely);
   if (const config::Team* team = settings_.team(job.spec.team); team != nullptr) {
-    const Amounts used = jobs_.team_use(job.spec.team);
-    const Amounts limit = Amounts::from(team->cpus_max, team->gpus_max, 0);
-    for (const std::size_t r : {0U, 1U}) {
-      if (limit.of[r] <= 0 || job.each.of[r] <= 0) continue;
-      const plan::Items left = std::max<plan::Items>(0, limit.of[r] - used.of[r]) / job.each.of[r];
-      work.limit = std::min(work.limit.value_or(UINT64_MAX), static_cast<std::uint64_t>(left));
-    }
+    work.limit = TeamQuota(*team).remaining_tasks(job.each, jobs_.team_use(job.spec.team));
   }
   if (const classes::Rank* rank = ranking_.find(job.spec.id); rank != nullptr && ranking_.on()) {
     work.capped = rank->capped;
@@ -89,7 +83,7 @@
     bool any = false;
     for (const std::string& zone : kind.zones) {
       for (const bool spot : {false, true}) {
-        if (!allows(job.spec, kind.name, zone, spot)) continue;
+        if (!is_machine_allowed(job.spec, kind.name, zone, spot)) continue;
         any = true;
         if (!counted_on(zone) || (spot ? kind.spot_price : kind.price) > price_most * static_cast<double>(fit))
           continue;
@@ -129,10 +123,10 @@
                               const std::vector<plan::Place>& places, Instant now) const {
   const auto due = dues_.find(job.spec.id);
   if (due == dues_.end()) return 0;
-  const Millis run = std::max(estimate(job), from_seconds(job.spec.estimate_s));
+  const Millis run = run_time(job);
   std::uint32_t late = 0;
   for (const plan::Placing& placing : placings) {
-    if (placing.stop + (run - estimate(job)) > due->second.by) late += placing.count;
+    if (placing.stop + run_time_beyond_booking(job) > due->second.by) late += placing.count;
   }
   if (late == 0) return 0;
   const foresight::Work work = work_of(job, due->second.by, {});
@@ -152,7 +146,7 @@
 Millis Engine::time_to_rent(const Job& job, Instant now) const {
   const auto due = dues_.find(job.spec.id);
   if (due == dues_.end()) return Millis::max();
-  return due->second.by - now - std::max(estimate(job), from_seconds(job.spec.estimate_s));
+  return due->second.by - now - run_time(job);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -8,27 +8,17 @@
 #include "config/constants.h"
 #include "config/guards.h"
 #include "control/engine.h"
+#include "control/team_quota.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
 
-bool Engine::allows(const wire::JobSpec& spec, const std::string& type_name, const std::string& zone, bool spot) const {
-  if (spot && !spec.spot) return false;
-  if (!spec.zone.empty() && spec.zone != zone) return false;
-  return spec.types.empty() || std::ranges::find(spec.types, type_name) != spec.types.end();
-}
-
 Millis Engine::fetch_time(const wire::JobSpec& spec, const std::string& machine_type) const {
   const wire::MachineType* kind = type(machine_type);
   if (kind == nullptr || kind->fetch_gb_per_s <= 0) return Millis(0);
   return from_seconds(spec.image_gb / kind->fetch_gb_per_s);
 }
 
-Millis Engine::estimate(const Job& job) const {
-  if (job.spec.kind == wire::JobKind::service || job.spec.estimate_s <= 0) return constants::kPlanHorizon;
-  return std::max(Millis(1000), std::min(from_seconds(job.spec.estimate_s), constants::kPlanHorizon));
-}
-
 Millis Engine::lag(const Job& job, Instant now) const {
   const Amounts fleet = planner_.fleet().capacity();
   double share = 0;
@@ -210,12 +200,11 @@
   };
   std::vector<Kind> kinds;
   for (const wire::MachineType& type : types_) {
-    kinds.push_back(
-        {.type = &type,
-         .allowed = job.spec.types.empty() || std::ranges::find(job.spec.types, type.name) != job.spec.types.end(),
-         .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
-         .offered = offered(job.spec, type),
-         .fetch = fetch_time(job.spec, type.name)});
+    kinds.push_back({.type = &type,
+                     .allowed = is_type_allowed(job.spec, type.name),
+                     .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
+                     .offered = offered(job.spec, type),
+                     .fetch = fetch_time(job.spec, type.name)});
   }
   std::vector<plan::Place> places;
   const std::optional<std::size_t> warms = pools_.warms(job.spec, now - job.submitted);
@@ -283,7 +272,7 @@
   request.from = now;
   request.together = gang;
   request.one_zone = job.spec.one_zone;
-  if (job.spec.spread) request.zone_most = (job.spec.tasks + 1) / 2;
+  if (job.spec.spread) request.zone_most = max_tasks_per_zone(job.spec);
   for (const Part& part : job.parts) {
     if (!job.spec.spread && !job.spec.one_zone) break;
     for (const auto& [unused, run] : part.runs) {
@@ -384,7 +373,7 @@
   if (kind == nullptr) return false;
   Amounts used = job.each.times(count);
   for (const TaskKey& key : machine.runs) used += jobs_.at(key.job).each;
-  return used.fits(Amounts::from(kind->cpus, kind->gpus, kind->ram_gb));
+  return used.fits(capacity_of(*kind));
 }
 
 bool Engine::quota_for(const Job& job, std::uint32_t count) const {
@@ -392,12 +381,11 @@
   if (team == nullptr) return false;
   Amounts used = job.each.times(count);
   if (guards::kept(guards::Guard::quota_placed)) used += jobs_.team_use(job.spec.team);
-  const Amounts limit = Amounts::from(team->cpus_max, team->gpus_max, 0);
-  return (team->cpus_max <= 0 || used.of[0] <= limit.of[0]) && (team->gpus_max <= 0 || used.of[1] <= limit.of[1]);
+  return TeamQuota(*team).allows(used);
 }
 
 bool Engine::place_allowed(const Job& job, const Machine& machine, std::uint32_t count) const {
-  if (!allows(job.spec, machine.type, machine.zone, machine.spot)) return false;
+  if (!is_machine_allowed(job.spec, machine.type, machine.zone, machine.spot)) return false;
   if (!job.spec.one_zone && !job.spec.spread) return true;
   std::uint32_t same = count;
   for (const Part& part : job.parts) {
@@ -413,7 +401,7 @@
       }
     }
   }
-  return !job.spec.spread || same <= (job.spec.tasks + 1) / 2;
+  return !job.spec.spread || same <= max_tasks_per_zone(job.spec);
 }
 
 void Engine::place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now) {
--- a/src/control/engine_size.cpp
+++ b/src/control/engine_size.cpp
@@ -31,11 +31,11 @@
 // The longest, as it isn't known yet which kind will be rented: a shorter one would have tasks that wait for a slow
 // kind rent again in every pass until the cloud has no more.
 Millis Engine::boot_awaited(const wire::JobSpec& spec) const {
-  const Amounts each = Amounts::from(spec.cpus, spec.gpus, spec.ram_gb);
+  const Amounts each = task_amounts(spec);
   double longest_s = 0;
   for (const wire::MachineType& kind : types_) {
-    const bool named = spec.types.empty() || std::ranges::find(spec.types, kind.name) != spec.types.end();
-    if (named && each.count_in(offered(spec, kind)) > 0) longest_s = std::max(longest_s, kind.boot_s);
+    if (is_type_allowed(spec, kind.name) && each.count_in(offered(spec, kind)) > 0)
+      longest_s = std::max(longest_s, kind.boot_s);
   }
   return from_seconds(longest_s) + constants::kCloudCallLimit;
 }
@@ -51,7 +51,7 @@
 
 // From the wish for a machine to a task that runs on it.
 double Engine::boot_cover_s(const wire::JobSpec& spec) const {
-  const Amounts each = Amounts::from(spec.cpus, spec.gpus, spec.ram_gb);
+  const Amounts each = task_amounts(spec);
   double cover_s = 0;
   for (const wire::MachineType& kind : types_) {
     if (each.count_in(offered(spec, kind)) <= 0) continue;
@@ -75,8 +75,9 @@
   if (kind == nullptr) return false;
   return std::ranges::any_of(demand_.classes(), [&](const auto& entry) {
     const wire::JobSpec& spec = entry.second.sample;
-    if (!urgent_class(entry.first, spec) || !allows(spec, machine.type, machine.zone, machine.spot)) return false;
-    const std::int64_t fit = Amounts::from(spec.cpus, spec.gpus, spec.ram_gb).count_in(offered(spec, *kind));
+    if (!urgent_class(entry.first, spec) || !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
+      return false;
+    const std::int64_t fit = task_amounts(spec).count_in(offered(spec, *kind));
     const double hourly = machine.spot ? kind->spot_price : kind->price;
     return fit > 0 && hourly / static_cast<double>(fit) <= constants::kReservePriceMost * least_price(spec);
   });
@@ -94,11 +95,11 @@
 }
 
 double Engine::least_price(const wire::JobSpec& spec) const {
-  const Amounts each = Amounts::from(spec.cpus, spec.gpus, spec.ram_gb);
+  const Amounts each = task_amounts(spec);
   double least = 0;
   for (const wire::MachineType& kind : types_) {
     const std::int64_t fit = each.count_in(offered(spec, kind));
-    if (fit <= 0 || (!spec.types.empty() && std::ranges::find(spec.types, kind.name) == spec.types.end())) continue;
+    if (fit <= 0 || !is_type_allowed(spec, kind.name)) continue;
     const double price = (spec.spot ? std::min(kind.spot_price, kind.price) : kind.price) / static_cast<double>(fit);
     if (least == 0 || price < least) least = price;
   }
@@ -119,16 +120,16 @@
 std::optional<Engine::Offer> Engine::cheapest(const wire::JobSpec& spec, std::int64_t tasks, double ratio_most,
                                               const std::map<Supply::Kind, std::size_t>& have, Instant now,
                                               Millis ready_most) const {
-  const Amounts each = Amounts::from(spec.cpus, spec.gpus, spec.ram_gb);
+  const Amounts each = task_amounts(spec);
   std::optional<Offer> best;
   for (const wire::MachineType& kind : types_) {
     // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
-    const std::int64_t fit = each.count_in(Amounts::from(kind.cpus, kind.gpus, kind.ram_gb));
+    const std::int64_t fit = each.count_in(capacity_of(kind));
     if (fit <= 0) continue;
     if (from_seconds(kind.boot_s) + constants::kCloudCallLimit + fetch_time(spec, kind.name) > ready_most) continue;
     for (const std::string& zone : kind.zones) {
       for (const bool spot : {true, false}) {
-        if (!allows(spec, kind.name, zone, spot) || !counted_on(zone)) continue;
+        if (!is_machine_allowed(spec, kind.name, zone, spot) || !counted_on(zone)) continue;
         const double hourly = spot ? kind.spot_price : kind.price;
         const double full = hourly / static_cast<double>(fit);
         Supply::Kind key{kind.name, zone, spot};
@@ -151,12 +152,13 @@
     MachineId machine;
     std::int64_t fit;
   };
-  const Amounts each = Amounts::from(spec.cpus, spec.gpus, spec.ram_gb);
+  const Amounts each = task_amounts(spec);
   std::vector<Spare> found;
   for (const auto& [id, machine] : machines_) {
     if (machine.state != MachineState::booting && !usable(machine, now)) continue;
     const wire::MachineType* kind = type(machine.type);
-    if (kind == nullptr || machine.planned == nullptr || !allows(spec, machine.type, machine.zone, machine.spot))
+    if (kind == nullptr || machine.planned == nullptr ||
+        !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
     if (each.count_in(offered(spec, *kind)) <= 0) continue;
     if (!pools_.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
@@ -176,7 +178,7 @@
 }
 
 std::int64_t Engine::reserve_for(const std::string& job_class, const wire::JobSpec& sample, Instant now) {
-  const Amounts each = Amounts::from(sample.cpus, sample.gpus, sample.ram_gb);
+  const Amounts each = task_amounts(sample);
   double boot_s = 0;
   for (const wire::MachineType& kind : types_) {
     if (each.count_in(offered(sample, kind)) > 0) boot_s = boot_s == 0 ? kind.boot_s : std::min(boot_s, kind.boot_s);
--- a/src/control/engine_zones.cpp
+++ b/src/control/engine_zones.cpp
@@ -142,7 +142,7 @@
   request.from = std::max(now, job.stranded_until);
   request.together = gang;
   request.one_zone = job.spec.one_zone;
-  if (job.spec.spread) request.zone_most = (job.spec.tasks + 1) / 2;
+  if (job.spec.spread) request.zone_most = max_tasks_per_zone(job.spec);
   request.places = places_for(job, now);
   std::uint32_t planned = 0;
   for (const plan::Placing& placing : planner_.plan(request)) {
--- /dev/null
+++ b/src/control/job_requirements.cpp
@@ -0,0 +1,37 @@
+#include "control/job_requirements.h"
+
+#include <algorithm>
+
+#include "config/constants.h"
+#include "control/times.h"
+
+namespace foxshunt::control {
+
+plan::Amounts task_amounts(const wire::JobSpec& spec) { return plan::Amounts::from(spec.cpus, spec.gpus, spec.ram_gb); }
+
+plan::Amounts capacity_of(const wire::MachineType& type) {
+  return plan::Amounts::from(type.cpus, type.gpus, type.ram_gb);
+}
+
+bool is_type_allowed(const wire::JobSpec& spec, const std::string& type) {
+  return spec.types.empty() || std::ranges::find(spec.types, type) != spec.types.end();
+}
+
+bool is_machine_allowed(const wire::JobSpec& spec, const std::string& type, const std::string& zone, bool spot) {
+  if (spot && !spec.spot) return false;
+  if (!spec.zone.empty() && spec.zone != zone) return false;
+  return is_type_allowed(spec, type);
+}
+
+std::uint32_t max_tasks_per_zone(const wire::JobSpec& spec) { return (spec.tasks + 1) / 2; }
+
+plan::Millis estimate(const jobs::Job& job) {
+  if (job.spec.kind == wire::JobKind::service || job.spec.estimate_s <= 0) return constants::kPlanHorizon;
+  return std::max(plan::Millis(1000), std::min(from_seconds(job.spec.estimate_s), constants::kPlanHorizon));
+}
+
+plan::Millis run_time(const jobs::Job& job) { return std::max(estimate(job), from_seconds(job.spec.estimate_s)); }
+
+plan::Millis run_time_beyond_booking(const jobs::Job& job) { return run_time(job) - estimate(job); }
+
+}  // namespace foxshunt::control
--- /dev/null
+++ b/src/control/job_requirements.h
@@ -0,0 +1,32 @@
+// What a job's specification asks of machines and of time, as pure functions of the specification: nothing here knows
+// which machines there are or what runs on them.
+#pragma once
+
+#include <string>
+
+#include "jobs/job_table.h"
+#include "plan/planner.h"
+#include "wire/messages.h"
+
+namespace foxshunt::control {
+
+// What one task takes.
+[[nodiscard]] plan::Amounts task_amounts(const wire::JobSpec& spec);
+// What a whole machine of the type has.
+[[nodiscard]] plan::Amounts capacity_of(const wire::MachineType& type);
+
+[[nodiscard]] bool is_type_allowed(const wire::JobSpec& spec, const std::string& type);
+[[nodiscard]] bool is_machine_allowed(const wire::JobSpec& spec, const std::string& type, const std::string& zone,
+                                      bool spot);
+
+// How many of a spread job's tasks one zone may hold.
+[[nodiscard]] std::uint32_t max_tasks_per_zone(const wire::JobSpec& spec);
+
+// For how long a task is booked: its estimate, cut at the planner's horizon.
+[[nodiscard]] plan::Millis estimate(const jobs::Job& job);
+// How long a task runs by its estimate, also beyond the planner's horizon.
+[[nodiscard]] plan::Millis run_time(const jobs::Job& job);
+// The part of the run time that a booking leaves out.
+[[nodiscard]] plan::Millis run_time_beyond_booking(const jobs::Job& job);
+
+}  // namespace foxshunt::control
