--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -270,9 +270,29 @@
   // Whether the room that running work would make is not the asking job's: the work would be ranked before it when it
   // waits again, or what is ranked before it would take the room without being entitled to.
   [[nodiscard]] bool kept_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const;
+  void extend_overrunning(const Job& job, Instant now);
+  void forget_latest_plan(Job& job);
   void begin_pass(Instant now);
+  struct JobTurn;
+  [[nodiscard]] bool may_replace_members(Job& job, Instant now);
+  // How many of the job's tasks the pass plans: all of a gang, a portion of others, less what its class's cap keeps back.
+  [[nodiscard]] std::uint32_t tasks_to_plan(const Job& job, bool joins);
+  void add_zones_taken(const Job& job, plan::Request& request) const;
+  [[nodiscard]] std::vector<plan::Placing> plan_turn(const JobTurn& turn) const;
+  // Fills in the turn's placings. How many places it looked at.
+  std::size_t find_placings(Job& job, JobTurn& turn, Instant now);
+  // Notes how many tasks start later than on a machine rented now. How many are planned at all.
+  std::uint32_t count_late_tasks(Job& job, const JobTurn& turn, Instant now) const;
+  void book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  [[nodiscard]] bool may_preempt(const Job& job, Instant now) const;
   // How many places it looked at.
   std::size_t plan_job(Job& job, Instant now);
+  struct TypeFit;
+  [[nodiscard]] std::vector<TypeFit> type_fits(const Job& job) const;
+  [[nodiscard]] bool may_plan_on(const Job& job, const Machine& machine, Instant now) const;
+  [[nodiscard]] bool leaves_gpu_room(const Job& job, const Machine& machine, const Amounts& offered,
+                                     plan::Items& spare_gpus) const;
+  [[nodiscard]] Millis preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const;
   [[nodiscard]] std::vector<plan::Place> places_for(const Job& job, Instant now) const;
   // Whether pools leave the machine to the job. `warms`: the pool that its tasks are to warm.
   [[nodiscard]] bool left_to(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
@@ -283,6 +303,9 @@
   [[nodiscard]] std::vector<plan::Placing> plan_reserved(plan::Request request) const;
   // Books the span from which each of the gang's machines is free until its planned start.
   void keep_machines_free(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  [[nodiscard]] bool gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const;
+  bool place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  // Places what may start now. Whether anything was placed.
   bool place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now);
   // Of a gang's tasks those that are to be placed now; the others' places are booked, see docs/design/gathering.md.
   std::vector<plan::Placing> due_of_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -3,6 +3,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <ranges>
 #include <utility>
 
 #include "config/constants.h"
@@ -50,7 +51,7 @@
   std::vector<GangReservation::Candidate> candidates;
   for (const auto& [id, job] : jobs_) {
     const bool waits_whole = job.runs_count == 0 && job.pending() > 0 && !job.withdrawn && job.not_before <= now;
-    if (job.spec.kind != wire::JobKind::gang || !waits_whole) continue;
+    if (!is_gang(job) || !waits_whole) continue;
     if (now - job.submitted < constants::kReservationAfter) continue;
     if (!demand_.largest(job.spec.job_class, job.spec.tasks)) continue;
     // At its team's limit no machine would help it.
@@ -59,65 +60,89 @@
   return candidates;
 }
 
+namespace {
+
+struct QueueEntry {
+  Job* job;
+  bool borrowed;
+  Instant since;
+};
+
+// A team's jobs in the order in which they use up its guarantee: urgent work first.
+void sort_for_guarantee(std::vector<Job*>& jobs) {
+  std::ranges::sort(jobs, {}, [](const Job* job) {
+    return std::tuple(-static_cast<int>(job->spec.priority), job->submitted, job->spec.id);
+  });
+}
+
+// Marks which of the team's jobs fit its guarantee. `team` may be null: nothing is guaranteed to a team that no setting
+// names.
+void mark_borrowed(const std::vector<Job*>& jobs, const config::Team* team) {
+  double cpus = 0;
+  double gpus = 0;
+  for (Job* job : jobs) {
+    const double tasks = job->spec.tasks - job->done_count;
+    cpus += job->spec.cpus * tasks;
+    gpus += job->spec.gpus * tasks;
+    job->borrowed = team == nullptr || cpus > team->cpus || (team->gpus > 0 && gpus > team->gpus);
+  }
+}
+
+}  // namespace
+
+// What fits a team's guarantee goes before what is borrowed; then by priority.
 std::vector<Job*> Engine::planning_order(Instant now) {
-  // What fits a team's guarantee, its urgent work first, goes before what is borrowed; then by priority.
-  struct Entry {
-    Job* job;
-    bool borrowed;
-    Instant since;
-  };
-  std::vector<Entry> order;
   std::map<std::string, std::vector<Job*>> by_team;
   for (auto& [unused, job] : jobs_) {
     if (!job.withdrawn) by_team[job.spec.team].push_back(&job);
   }
+  std::vector<QueueEntry> queue;
   for (auto& [team_name, jobs] : by_team) {
-    std::ranges::sort(jobs, {}, [](const Job* job) {
-      return std::tuple(-static_cast<int>(job->spec.priority), job->submitted, job->spec.id);
-    });
-    const config::Team* team = settings_.team(team_name);
-    double cpus = 0;
-    double gpus = 0;
+    sort_for_guarantee(jobs);
+    mark_borrowed(jobs, settings_.team(team_name));
     for (Job* job : jobs) {
-      const double tasks = job->spec.tasks - job->done_count;
-      cpus += job->spec.cpus * tasks;
-      gpus += job->spec.gpus * tasks;
-      const bool within = team != nullptr && cpus <= team->cpus && (team->gpus <= 0 || gpus <= team->gpus);
-      job->borrowed = !within;
-      if ((job->pending() > 0 || job->stranded > 0) && job->not_before <= now)
-        order.push_back({.job = job, .borrowed = !within, .since = effective_submission(*job, now)});
+      if ((job->pending() == 0 && job->stranded == 0) || job->not_before > now) continue;
+      queue.push_back({.job = job, .borrowed = job->borrowed, .since = effective_submission(*job, now)});
     }
   }
-  std::ranges::sort(order, [](const Entry& a, const Entry& b) {
-    return std::tuple(a.borrowed, -static_cast<int>(a.job->spec.priority), a.since, a.job->spec.id) <
-           std::tuple(b.borrowed, -static_cast<int>(b.job->spec.priority), b.since, b.job->spec.id);
+  std::ranges::sort(queue, {}, [](const QueueEntry& entry) {
+    return std::tuple(entry.borrowed, -static_cast<int>(entry.job->spec.priority), entry.since, entry.job->spec.id);
   });
   std::vector<Job*> jobs;
-  for (const Entry& entry : order) jobs.push_back(entry.job);
+  jobs.reserve(queue.size());
+  for (const QueueEntry& entry : queue) jobs.push_back(entry.job);
   if (ranking_.on()) order_by_class(jobs, now);
   return jobs;
 }
 
+// An overrunning booking is extended by its estimate; what was booked behind it is planned anew.
+void Engine::extend_overrunning(const Job& job, Instant now) {
+  for (const Part& part : job.parts) {
+    for (const auto& [unused, run] : part.runs) {
+      const plan::Booking* booking = planner_.booking(run.booking);
+      if (booking != nullptr && booking->stop <= now + constants::kTick) {
+        planner_.extend(run.booking, now + estimate(job));
+      }
+    }
+  }
+}
+
+void Engine::forget_latest_plan(Job& job) {
+  for (const plan::BookingId booking : job.booked) planner_.revoke(booking);
+  job.booked.clear();
+  job.planned_start.reset();
+  job.late_tasks = 0;
+  job.overdue_tasks = 0;
+}
+
 void Engine::begin_pass(Instant now) {
   plan_wanted_ = false;
   planned_ = now;
   ++counters_.passes;
   planner_.forget_before(now);
-  // An overrunning booking is extended by its estimate; what was booked behind it is planned anew below.
   for (auto& [unused, job] : jobs_) {
-    for (Part& part : job.parts) {
-      for (auto& [index, run] : part.runs) {
-        const plan::Booking* booking = planner_.booking(run.booking);
-        if (booking != nullptr && booking->stop <= now + constants::kTick) {
-          planner_.extend(run.booking, now + estimate(job));
-        }
-      }
-    }
-    for (const plan::BookingId booking : job.booked) planner_.revoke(booking);
-    job.booked.clear();
-    job.planned_start.reset();
-    job.late_tasks = 0;
-    job.overdue_tasks = 0;
+    extend_overrunning(job, now);
+    forget_latest_plan(job);
   }
   learn_gpu_demand(now);
   find_stranded();
@@ -175,6 +200,16 @@
   return placings;
 }
 
+AttemptNo gang_attempt(const Job& job) {
+  for (const Part& part : job.parts | std::views::reverse) {
+    // Who joins has the number of the others.
+    if (!part.runs.empty()) return part.runs.begin()->second.attempt;
+  }
+  AttemptNo attempt{1};
+  for (const Part& part : job.parts) attempt = std::max(attempt, part.next);
+  return attempt;
+}
+
 }  // namespace
 
 bool Engine::left_to(const Job& job, std::optional<std::size_t> warms, const Machine& machine, Instant now) const {
@@ -185,96 +220,117 @@
                                 [&](const TaskKey& key) { return jobs_.at(key.job).spec.image == job.spec.image; });
   }
   // A service's replicas don't end: that one runs gives the others no room.
-  const bool stuck = job.runs_count == 0 || job.spec.kind == wire::JobKind::service;
+  const bool stuck = job.runs_count == 0 || is_service(job);
   return pools_.allows(job.spec, estimate(job), stuck ? now - job.submitted : Millis(0), machine.id);
 }
 
-// Where the job may run at all, and what each machine has to do before it does.
-std::vector<plan::Place> Engine::places_for(const Job& job, Instant now) const {
-  struct Kind {  // all that depends on the machine's type alone
-    const wire::MachineType* type;
-    bool allowed;
-    bool guards_gpus;  // plain work leaves the room beside its GPUs
-    Amounts offered;
-    Millis fetch;
-  };
-  std::vector<Kind> kinds;
+// What a machine's type alone decides of a job.
+struct Engine::TypeFit {
+  const wire::MachineType* type;
+  bool allowed;
+  bool guards_gpus;  // plain work leaves the room beside its GPUs
+  Amounts offered;
+  Millis fetch;
+};
+
+std::vector<Engine::TypeFit> Engine::type_fits(const Job& job) const {
+  std::vector<TypeFit> fits;
   for (const wire::MachineType& type : types_) {
-    kinds.push_back({.type = &type,
-                     .allowed = is_type_allowed(job.spec, type.name),
-                     .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
-                     .offered = offered(job.spec, type),
-                     .fetch = fetch_time(job.spec, type.name)});
+    fits.push_back({.type = &type,
+                    .allowed = is_type_allowed(job.spec, type.name),
+                    .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
+                    .offered = offered(job.spec, type),
+                    .fetch = fetch_time(job.spec, type.name)});
   }
-  std::vector<plan::Place> places;
+  return fits;
+}
+
+// Apart from its type and from what runs there.
+bool Engine::may_plan_on(const Job& job, const Machine& machine, Instant now) const {
+  if (machine.planned == nullptr || (machine.spot && !job.spec.spot)) return false;
+  const bool available = machine.state == MachineState::booting ? counted_on(machine.zone) : usable(machine, now);
+  return available && (job.spec.zone.empty() || job.spec.zone == machine.zone);
+}
+
+// Whether a job without GPUs leaves a GPU machine the room that GPU work needs beside it. Where it takes the machine as a
+// whole, the machine's GPUs are taken from the spare ones.
+bool Engine::leaves_gpu_room(const Job& job, const Machine& machine, const Amounts& offered,
+                             plan::Items& spare_gpus) const {
+  Amounts plain = job.each;
+  Amounts gpu_work;
+  for (const TaskKey& key : machine.runs) {
+    const Job& other = jobs_.at(key.job);
+    (other.spec.gpus <= 0 ? plain : gpu_work) += other.each;
+  }
+  if (plain.fits(offered)) return true;
+  const plan::Items gpus = machine.planned->info.capacity.of[1];
+  if (gpu_work.of[1] > 0 || spare_gpus < gpus) return false;
+  spare_gpus -= gpus;
+  return true;
+}
+
+// What the machine has to do before a task of the job runs there: boot, and fetch the image.
+Millis Engine::preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const {
+  if (machine.state == MachineState::booting && machine.ready < now) return fetch + boot_left(machine, now);
+  if (machine.images.contains(job.spec.image)) return Millis(0);
+  // Of two that have to fetch it, the one that is to hold it anyway.
+  if (fetch > Millis(0) && pools_.wants(machine.id, job.spec.image))
+    return fetch - std::min(fetch, constants::kWarmFirst);
+  return fetch;
+}
+
+// Where the job may run at all, and what each machine has to do before it does.
+std::vector<plan::Place> Engine::places_for(const Job& job, Instant now) const {
+  const std::vector<TypeFit> fits = type_fits(job);
   const std::optional<std::size_t> warms = pools_.warms(job.spec, now - job.submitted);
-  plan::Items spare =
-      demand_.gpus_spare();  // of which each machine that plain work has, or may have, as a whole takes its GPUs
-  const Kind* kind = nullptr;
+  plan::Items spare_gpus = demand_.gpus_spare();
+  std::vector<plan::Place> places;
+  const TypeFit* fit = nullptr;  // of the machine before, which mostly is of the same type
   for (const auto& [id, machine] : machines_) {
-    if (machine.planned == nullptr || (machine.spot && !job.spec.spot)) continue;
-    const bool booting = machine.state == MachineState::booting;
-    if (booting ? !counted_on(machine.zone) : !usable(machine, now)) continue;
-    if (!job.spec.zone.empty() && job.spec.zone != machine.zone) continue;
-    if (kind == nullptr || kind->type->name != machine.type) {
-      const auto found = std::ranges::find(kinds, machine.type, [](const Kind& one) { return one.type->name; });
-      if (found == kinds.end()) continue;
-      kind = &*found;
+    if (!may_plan_on(job, machine, now)) continue;
+    if (fit == nullptr || fit->type->name != machine.type) {
+      const auto found = std::ranges::find(fits, machine.type, [](const TypeFit& one) { return one.type->name; });
+      if (found == fits.end()) continue;
+      fit = &*found;
     }
-    if (!kind->allowed || job.failed_on.contains(id) || !left_to(job, warms, machine, now)) continue;
-    if (kind->guards_gpus) {
-      Amounts plain = job.each;
-      Amounts gpu_work;
-      for (const TaskKey& key : machine.runs) {
-        const Job& other = jobs_.at(key.job);
-        (other.spec.gpus <= 0 ? plain : gpu_work) += other.each;
-      }
-      if (!plain.fits(kind->offered)) {
-        const plan::Items gpus = machine.planned->info.capacity.of[1];
-        if (gpu_work.of[1] > 0 || spare < gpus) continue;
-        spare -= gpus;
-      }
-    }
-    Millis before = machine.images.contains(job.spec.image) ? Millis(0) : kind->fetch;
-    // Of two that have to fetch it, the one that is to hold it anyway.
-    if (before > Millis(0) && pools_.wants(id, job.spec.image)) before -= std::min(before, constants::kWarmFirst);
-    if (booting && machine.ready < now) before = kind->fetch + boot_left(machine, now);
-    places.push_back({.node = machine.planned, .before = before});
+    if (!fit->allowed || job.failed_on.contains(id) || !left_to(job, warms, machine, now)) continue;
+    if (fit->guards_gpus && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
+    places.push_back({.node = machine.planned, .before = preparation_time(job, machine, fit->fetch, now)});
   }
   return places;
 }
 
-std::size_t Engine::plan_job(Job& job, Instant now) {
-  // A gang begins again only when nothing of its earlier attempt is left.
-  const bool gang = job.spec.kind == wire::JobKind::gang;
-  // Unless it has lost a task before it began: then another one joins the rest.
-  const bool joins = gang && job.runs_count > 0;
-  if (joins) {
-    if (!job.gather_until || !gathers(job)) return 0;
-    // Those that fetch don't give up yet: the rest has until some time after they are there.
-    if (fetches(job, now)) job.gather_until = std::max(*job.gather_until, now + gather_span());
-    if (now > *job.gather_until) {
-      end_gang(job, now);
-      return 0;
-    }
-  } else {
-    job.gather_until.reset();
-  }
+// One job's turn in a planning pass.
+struct Engine::JobTurn {
+  bool gang = false;
+  bool joins = false;     // in place of members that a gang lost before its start
+  bool warms = false;     // its tasks warm the machines of a pool
+  bool reserves = false;  // the gang holds the backfill reservation
   plan::Request request;
-  request.team = job.spec.team;
-  request.each = job.each;
-  request.count = gang ? job.pending() : std::min<std::uint32_t>(job.pending(), constants::kTasksPlannedPerPass);
-  if (ranking_.on() && !joins) {
-    request.count = static_cast<std::uint32_t>(ranking_.room(job.spec, request.count, gang));
-    if (request.count == 0) return 0;  // kept back by its class's cap
-  }
-  request.duration = estimate(job);
-  request.from = now;
-  request.together = gang;
-  request.one_zone = job.spec.one_zone;
-  if (job.spec.spread) request.zone_most = max_tasks_per_zone(job.spec);
+  std::vector<plan::Placing> placings;
+};
+
+// A gang whose start barrier holds waits for replacements up to a timeout; then the attempt ends.
+bool Engine::may_replace_members(Job& job, Instant now) {
+  if (!job.gather_until || !gathers(job)) return false;
+  // Those that fetch don't give up yet: the rest has until some time after they are there.
+  if (fetches(job, now)) job.gather_until = std::max(*job.gather_until, now + gather_span());
+  if (now <= *job.gather_until) return true;
+  end_gang(job, now);
+  return false;
+}
+
+std::uint32_t Engine::tasks_to_plan(const Job& job, bool joins) {
+  const bool gang = is_gang(job);
+  const std::uint32_t count =
+      gang ? job.pending() : std::min<std::uint32_t>(job.pending(), constants::kTasksPlannedPerPass);
+  if (!ranking_.on() || joins) return count;
+  return static_cast<std::uint32_t>(ranking_.room(job.spec, count, gang));
+}
+
+void Engine::add_zones_taken(const Job& job, plan::Request& request) const {
+  if (!job.spec.spread && !job.spec.one_zone) return;
   for (const Part& part : job.parts) {
-    if (!job.spec.spread && !job.spec.one_zone) break;
     for (const auto& [unused, run] : part.runs) {
       const auto machine = machines_.find(run.machine);
       if (machine == machines_.end()) continue;
@@ -282,49 +338,83 @@
       if (job.spec.one_zone) request.zone_bound = machine->second.zone;
     }
   }
-  request.places = places_for(job, now);
-  std::size_t places = request.places.size();
-  const bool warms = pools_.warms(job.spec, now - job.submitted).has_value();
-  const bool reserves = !joins && reservation_.held_by(job.spec.id);
-  const auto plan = [&] {
-    if (reserves) return plan_reserved(request);
-    return warms ? one_to_a_machine(planner_, request) : planner_.plan(request);
-  };
-  std::vector<plan::Placing> placings = plan();
-  if (placings.empty() && !job.failed_on.empty()) {
-    // It is kept off the machines that it failed on only as long as there are others.
-    job.failed_on.clear();
-    request.places = places_for(job, now);
-    places += request.places.size();
-    placings = plan();
-  }
+}
+
+std::vector<plan::Placing> Engine::plan_turn(const JobTurn& turn) const {
+  if (turn.reserves) return plan_reserved(turn.request);
+  return turn.warms ? one_to_a_machine(planner_, turn.request) : planner_.plan(turn.request);
+}
+
+std::size_t Engine::find_placings(Job& job, JobTurn& turn, Instant now) {
+  turn.request.places = places_for(job, now);
+  std::size_t places = turn.request.places.size();
+  turn.placings = plan_turn(turn);
+  if (!turn.placings.empty() || job.failed_on.empty()) return places;
+  // It is kept off the machines that it failed on only as long as there are others.
+  job.failed_on.clear();
+  turn.request.places = places_for(job, now);
+  places += turn.request.places.size();
+  turn.placings = plan_turn(turn);
+  return places;
+}
+
+std::uint32_t Engine::count_late_tasks(Job& job, const JobTurn& turn, Instant now) const {
   std::uint32_t planned = 0;
   // Renting helps only a task that a machine rented now would start earlier; those that boot are waited for.
   const Instant rent_after = now + std::max(rental_delay(job, now), boot_awaited(job.spec));
-  for (const plan::Placing& placing : placings) {
+  for (const plan::Placing& placing : turn.placings) {
     planned += placing.count;
     if (placing.start > rent_after + constants::kTick) job.late_tasks += placing.count;
   }
-  if (planned < request.count) job.late_tasks += request.count - planned;
+  if (planned < turn.request.count) job.late_tasks += turn.request.count - planned;
   // The pool's machines are rented by the pool.
-  if (warms) job.late_tasks = 0;
-  if (ranking_.on() && !joins) ranking_.take(job.spec, planned);
-  const std::uint32_t before = job.pending();
-  if (place_due(job, placings, now) && gang) return places;
+  if (turn.warms) job.late_tasks = 0;
+  return planned;
+}
+
+void Engine::book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
   for (const plan::Placing& placing : placings) {
     if (placing.start <= now && machines_.at(placing.machine).state == MachineState::up) continue;
     if (!job.planned_start || placing.start < *job.planned_start) job.planned_start = placing.start;
     book_ahead(job, placing);
   }
-  if (reserves) keep_machines_free(job, placings, now);
-  if (!warms && !joins) job.overdue_tasks = overdue(job, placings, request.places, now);
-  // Under a cap only what was planned may displace anything.
-  const std::uint32_t left = ranking_.on() ? request.count - (before - job.pending()) : job.pending();
-  if (settings_.operators.preemption && !joins && left > 0 && now >= job.displaces_after &&
-      job.planned_start.value_or(plan::kForever) > now + constants::kPreemptWait) {
-    make_room(job, left, request.places, now);
+}
+
+bool Engine::may_preempt(const Job& job, Instant now) const {
+  return settings_.operators.preemption && now >= job.displaces_after &&
+         job.planned_start.value_or(plan::kForever) > now + constants::kPreemptWait;
+}
+
+std::size_t Engine::plan_job(Job& job, Instant now) {
+  JobTurn turn;
+  turn.gang = is_gang(job);
+  // A gang begins again only when nothing of its earlier attempt is left, unless it has lost a task before it began: then
+  // another one joins the rest.
+  turn.joins = turn.gang && job.runs_count > 0;
+  if (!turn.joins) {
+    job.gather_until.reset();
+  } else if (!may_replace_members(job, now)) {
+    return 0;
   }
-  if (ranking_.on() && left > 0 && quota_for(job, gang ? left : 1)) ranking_.lacks_room(job.spec.id);
+  const std::uint32_t count = tasks_to_plan(job, turn.joins);
+  if (count == 0) return 0;  // kept back by its class's cap
+  turn.warms = pools_.warms(job.spec, now - job.submitted).has_value();
+  turn.reserves = !turn.joins && reservation_.held_by(job.spec.id);
+  turn.request = planning_request(job, count, now);
+  add_zones_taken(job, turn.request);
+  const std::size_t places = find_placings(job, turn, now);
+  const std::uint32_t planned = count_late_tasks(job, turn, now);
+  if (ranking_.on() && !turn.joins) ranking_.take(job.spec, planned);
+  const std::uint32_t pending_before = job.pending();
+  if (place_due(job, turn.placings, now) && turn.gang) return places;
+  book_later_starts(job, turn.placings, now);
+  if (turn.reserves) keep_machines_free(job, turn.placings, now);
+  if (!turn.warms && !turn.joins) job.overdue_tasks = overdue(job, turn.placings, turn.request.places, now);
+  // Under a cap only what was planned may displace anything.
+  const std::uint32_t left = ranking_.on() ? count - (pending_before - job.pending()) : job.pending();
+  if (left == 0) return places;
+  if (!turn.joins && may_preempt(job, now)) make_room(job, left, turn.request.places, now);
+  if (ranking_.on() && quota_for(job, turn.gang ? left : 1)) ranking_.lacks_room(job.spec.id);
   return places;
 }
 
@@ -477,33 +567,32 @@
   return due;
 }
 
-bool Engine::place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  if (!may_start(now)) return false;
-  if (job.spec.kind == wire::JobKind::gang) {
-    for (const plan::Placing& placing : placings) {
-      const Machine& machine = machines_.at(placing.machine);
-      if (placing.start > now || !usable(machine, now) || !room_for(job, machine, placing.count) ||
-          !place_allowed(job, machine, placing.count)) {
-        return false;
-      }
-    }
-    if (placings.empty() || !quota_for(job, job.pending())) return false;
-    AttemptNo attempt{1};
-    for (const Part& part : job.parts) attempt = std::max(attempt, part.next);
-    for (const Part& part : job.parts) {
-      // Who joins has the number of the others.
-      if (!part.runs.empty()) attempt = part.runs.begin()->second.attempt;
-    }
-    const std::vector<std::uint32_t> tasks = jobs::JobTable::pending_tasks(job, job.spec.tasks);
-    auto next = tasks.begin();
-    for (const plan::Placing& placing : due_of_gang(job, placings, now)) {
-      for (std::uint32_t at = 0; at < placing.count && next != tasks.end(); ++at, ++next) {
-        place(job, *next, attempt, machines_.at(placing.machine), now);
-      }
+bool Engine::gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const {
+  const bool all_fit = std::ranges::all_of(placings, [&](const plan::Placing& placing) {
+    const Machine& machine = machines_.at(placing.machine);
+    return placing.start <= now && usable(machine, now) && room_for(job, machine, placing.count) &&
+           place_allowed(job, machine, placing.count);
+  });
+  return all_fit && !placings.empty() && quota_for(job, job.pending());
+}
+
+bool Engine::place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
+  if (!gang_fits_now(job, placings, now)) return false;
+  const AttemptNo attempt = gang_attempt(job);
+  const std::vector<std::uint32_t> tasks = jobs::JobTable::pending_tasks(job, job.spec.tasks);
+  auto next = tasks.begin();
+  for (const plan::Placing& placing : due_of_gang(job, placings, now)) {
+    for (std::uint32_t at = 0; at < placing.count && next != tasks.end(); ++at, ++next) {
+      place(job, *next, attempt, machines_.at(placing.machine), now);
     }
-    if (next == tasks.end()) job.gather_until.reset();
-    return true;
   }
+  if (next == tasks.end()) job.gather_until.reset();
+  return true;
+}
+
+bool Engine::place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
+  if (!may_start(now)) return false;
+  if (is_gang(job)) return place_gang(job, placings, now);
   bool any = false;
   for (const plan::Placing& placing : placings) {
     Machine& machine = machines_.at(placing.machine);
--- a/src/control/engine_zones.cpp
+++ b/src/control/engine_zones.cpp
@@ -129,20 +129,12 @@
 // machines are rented for it just in time and nothing less important takes the room meanwhile. If the zone returns before,
 // nothing has moved, and the next pass books none of it.
 std::size_t Engine::plan_stranded(Job& job, Instant now) {
-  const bool gang = job.spec.kind == wire::JobKind::gang;
   // Renting before a boot would end at the proof costs for nothing.
   const bool due = job.stranded_until - now <= boot_awaited(job.spec);
   if (!due) return 0;
-  plan::Request request;
-  request.team = job.spec.team;
-  request.each = job.each;
-  request.count =
-      gang ? job.spec.tasks - job.done_count : std::min(job.stranded, std::uint32_t{constants::kTasksPlannedPerPass});
-  request.duration = estimate(job);
-  request.from = std::max(now, job.stranded_until);
-  request.together = gang;
-  request.one_zone = job.spec.one_zone;
-  if (job.spec.spread) request.zone_most = max_tasks_per_zone(job.spec);
+  const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
+                                           : std::min(job.stranded, std::uint32_t{constants::kTasksPlannedPerPass});
+  plan::Request request = planning_request(job, count, std::max(now, job.stranded_until));
   request.places = places_for(job, now);
   std::uint32_t planned = 0;
   for (const plan::Placing& placing : planner_.plan(request)) {
--- a/src/control/job_requirements.cpp
+++ b/src/control/job_requirements.cpp
@@ -34,4 +34,17 @@
 
 plan::Millis run_time_beyond_booking(const jobs::Job& job) { return run_time(job) - estimate(job); }
 
+plan::Request planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from) {
+  plan::Request request;
+  request.team = job.spec.team;
+  request.each = job.each;
+  request.count = count;
+  request.duration = estimate(job);
+  request.from = from;
+  request.together = is_gang(job);
+  request.one_zone = job.spec.one_zone;
+  if (job.spec.spread) request.zone_most = max_tasks_per_zone(job.spec);
+  return request;
+}
+
 }  // namespace foxshunt::control
--- a/src/control/job_requirements.h
+++ b/src/control/job_requirements.h
@@ -19,6 +19,9 @@
 [[nodiscard]] bool is_machine_allowed(const wire::JobSpec& spec, const std::string& type, const std::string& zone,
                                       bool spot);
 
+[[nodiscard]] inline bool is_gang(const jobs::Job& job) { return job.spec.kind == wire::JobKind::gang; }
+[[nodiscard]] inline bool is_service(const jobs::Job& job) { return job.spec.kind == wire::JobKind::service; }
+
 // How many of a spread job's tasks one zone may hold.
 [[nodiscard]] std::uint32_t max_tasks_per_zone(const wire::JobSpec& spec);
 
@@ -29,4 +32,8 @@
 // The part of the run time that a booking leaves out.
 [[nodiscard]] plan::Millis run_time_beyond_booking(const jobs::Job& job);
 
+// Asks the planner for so many of the job's tasks from a moment on; places and what the job has placed already are added by
+// the caller.
+[[nodiscard]] plan::Request planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from);
+
 }  // namespace foxshunt::control
