--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -244,6 +244,18 @@
   // zones
   void look_at_zones(Instant now);
   [[nodiscard]] std::vector<MachineId> not_granted(const std::string& zone, Instant now) const;
+  // preemption
+  struct Victims;
+  [[nodiscard]] std::uint32_t tasks_to_make_room_for(const Job& job, std::uint32_t tasks_most) const;
+  [[nodiscard]] preempt::Victim describe_victim(const TaskKey& key, const Job& other, const Run& run, const Job& asks,
+                                                Instant now) const;
+  [[nodiscard]] std::optional<std::size_t> victim_of(const TaskKey& key, const Job& asks, Victims& victims,
+                                                     Instant now);
+  [[nodiscard]] std::vector<preempt::Contested> contested_machines(const Job& job,
+                                                                   const std::vector<plan::Place>& places,
+                                                                   Victims& victims, Instant now);
+  // How many tasks it stops.
+  std::size_t stop_victim(const preempt::Victim& victim, Instant now);
   // Stops work that has to give way to the job, if that makes room for it.
   void make_room(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now);
   // Replicas are moved out of zones that are out of service, one machine after the other; all other work runs out.
@@ -326,6 +338,14 @@
   void hint_task(const standby::Key& key, const standby::Task& told, Instant now);
   // calendar deadlines
   [[nodiscard]] std::optional<Instant> planned_end(const Job& job) const;
+  // How many of the tasks without a place are booked to end by then.
+  [[nodiscard]] std::uint64_t tasks_booked_by(const Job& job, Instant by) const;
+  // Nothing if the kind is no use to the job.
+  [[nodiscard]] std::optional<foresight::Kind> rentable_kind(const Job& job, const wire::MachineType& kind,
+                                                             double price_most, const Supply::Held& have) const;
+  // Nothing as long as the plan does not tell.
+  [[nodiscard]] std::optional<foresight::Prospect> prospect_of(const Job& job, Instant by, const Supply::Held& have,
+                                                               Instant now) const;
   [[nodiscard]] foresight::Work work_of(const Job& job, Instant by, const Supply::Held& have) const;
   // How many of the tasks are planned to end too late, if machines rented now would keep the deadline.
   [[nodiscard]] std::uint32_t overdue(const Job& job, const std::vector<plan::Placing>& placings,
@@ -341,12 +361,20 @@
   [[nodiscard]] Millis boot_left(const Machine& machine, Instant now) const;
   [[nodiscard]] Millis idle_most(const Machine& machine) const;
   [[nodiscard]] std::optional<Offer> cheapest(const wire::JobSpec& spec, std::int64_t tasks, double ratio_most,
-                                              const std::map<Supply::Kind, std::size_t>& have, Instant now,
+                                              const Supply::Held& have, Instant now,
                                               Millis ready_most = Millis::max()) const;
+  [[nodiscard]] std::optional<Offer> offer_of(const wire::MachineType& kind, const std::string& zone, bool spot,
+                                              const wire::JobSpec& spec, std::int64_t tasks, const Supply::Held& have,
+                                              Instant now) const;
+  [[nodiscard]] std::optional<Offer> offer_for_late(const Job& job, std::uint32_t late, const Supply::Held& have,
+                                                    Instant now) const;
   // An hour of the cheapest kind for one task of the job, whether there is one to rent or not.
   [[nodiscard]] double least_price(const wire::JobSpec& spec) const;
   [[nodiscard]] std::int64_t spare_for(const wire::JobSpec& spec, std::int64_t reserve, Instant now);
   [[nodiscard]] std::int64_t reserve_for(const std::string& job_class, const wire::JobSpec& sample, Instant now);
+  using MachineShares = std::map<Supply::Kind, double>;  // machines, of which a task may be a part
+  void add_late_work(MachineShares& shares, const Supply::Held& have, Instant now);
+  void add_reserves(MachineShares& shares, const Supply::Held& have, Instant now);
   void size_fleet(Instant now);
   void note_refusal(const wire::RentRequest& request, Instant now);
 
--- a/src/control/engine_foresight.cpp
+++ b/src/control/engine_foresight.cpp
@@ -22,6 +22,27 @@
   dues_ = std::move(dues);
 }
 
+namespace {
+
+std::uint64_t tasks_of(const plan::Booking& booking, const Job& job) {
+  return static_cast<std::uint64_t>(booking.amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
+}
+
+// How many tasks the places have room for, so early that these end by that time; counted up to `enough`.
+std::int64_t timely_room(const Job& job, const std::vector<plan::Place>& places, Instant by, std::uint32_t enough,
+                         Instant now) {
+  std::int64_t room = 0;
+  for (const plan::Place& place : places) {
+    const Instant from = std::max(now, place.node->info.ready);
+    if (from + place.before + run_time(job) > by) continue;
+    room += job.each.count_in(place.node->use.free(from, from + place.before + estimate(job)));
+    if (room >= enough) break;
+  }
+  return room;
+}
+
+}  // namespace
+
 std::optional<Instant> Engine::planned_end(const Job& job) const {
   // Tasks that have neither a place nor a booking end at no known time, and the job with them.
   std::uint64_t booked = job.runs_count;
@@ -31,7 +52,7 @@
     const plan::Booking* found = planner_.booking(booking);
     if (found == nullptr) continue;
     end = std::max(end, found->stop + beyond);
-    booked += static_cast<std::uint64_t>(found->amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
+    booked += tasks_of(*found, job);
   }
   for (const Part& part : job.parts) {
     for (const auto& [unused, run] : part.runs) {
@@ -46,26 +67,50 @@
 std::map<JobId, Instant> Engine::planned_ends() const {
   std::map<JobId, Instant> ends;
   for (const auto& [id, job] : jobs_) {
-    if (job.withdrawn || job.spec.kind == wire::JobKind::service || dues_.contains(id)) continue;
+    if (job.withdrawn || is_service(job) || dues_.contains(id)) continue;
     if (const auto end = planned_end(job)) ends.emplace_hint(ends.end(), id, *end);
   }
   return ends;
 }
 
+std::uint64_t Engine::tasks_booked_by(const Job& job, Instant by) const {
+  std::uint64_t timely = 0;
+  for (const plan::BookingId booking : job.booked) {
+    const plan::Booking* found = planner_.booking(booking);
+    if (found == nullptr || found->stop + run_time_beyond_booking(job) > by) continue;
+    timely += tasks_of(*found, job);
+  }
+  return timely;
+}
+
+std::optional<foresight::Kind> Engine::rentable_kind(const Job& job, const wire::MachineType& kind, double price_most,
+                                                     const Supply::Held& have) const {
+  const std::int64_t fit = job.each.count_in(offered(job.spec, kind));
+  if (fit <= 0) return std::nullopt;
+  foresight::Kind found{.name = kind.name,
+                        .boot = from_seconds(kind.boot_s) + constants::kCloudCallLimit,
+                        .fetch = fetch_time(job.spec, kind.name),
+                        .fit = static_cast<std::uint64_t>(fit)};
+  bool any = false;
+  for (const std::string& zone : kind.zones) {
+    for (const bool spot : {false, true}) {
+      if (!is_machine_allowed(job.spec, kind.name, zone, spot)) continue;
+      any = true;
+      const double hourly = spot ? kind.spot_price : kind.price;
+      if (!counted_on(zone) || hourly > price_most * static_cast<double>(fit)) continue;
+      found.to_rent = found.to_rent || supply_.counted_on({kind.name, zone, spot}, have);
+    }
+  }
+  return any ? std::optional(std::move(found)) : std::nullopt;
+}
+
 foresight::Work Engine::work_of(const Job& job, Instant by, const Supply::Held& have) const {
   foresight::Work work{.by = by, .run = run_time(job)};
   work.waiting = job.pending();
-  work.together = job.spec.kind == wire::JobKind::gang;
+  work.together = is_gang(job);
   work.may_rent = settings_.operators.may_rent;
   work.end = planned_end(job);
-  std::uint64_t timely = 0;
-  const Millis beyond = run_time_beyond_booking(job);
-  for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = planner_.booking(booking);
-    if (found == nullptr || found->stop + beyond > by) continue;
-    timely += static_cast<std::uint64_t>(found->amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
-  }
-  work.late = work.waiting - std::min(work.waiting, timely);
+  work.late = work.waiting - std::min(work.waiting, tasks_booked_by(job, by));
   if (const config::Team* team = settings_.team(job.spec.team); team != nullptr) {
     work.limit = TeamQuota(*team).remaining_tasks(job.each, jobs_.team_use(job.spec.team));
   }
@@ -74,27 +119,22 @@
   }
   const double price_most = least_price(job.spec) * constants::kLatePriceMost;
   for (const wire::MachineType& kind : types_) {
-    const std::int64_t fit = job.each.count_in(offered(job.spec, kind));
-    if (fit <= 0) continue;
-    foresight::Kind one{.name = kind.name,
-                        .boot = from_seconds(kind.boot_s) + constants::kCloudCallLimit,
-                        .fetch = fetch_time(job.spec, kind.name),
-                        .fit = static_cast<std::uint64_t>(fit)};
-    bool any = false;
-    for (const std::string& zone : kind.zones) {
-      for (const bool spot : {false, true}) {
-        if (!is_machine_allowed(job.spec, kind.name, zone, spot)) continue;
-        any = true;
-        if (!counted_on(zone) || (spot ? kind.spot_price : kind.price) > price_most * static_cast<double>(fit))
-          continue;
-        one.to_rent = one.to_rent || supply_.counted_on({kind.name, zone, spot}, have);
-      }
-    }
-    if (any) work.kinds.push_back(std::move(one));
+    if (auto rentable = rentable_kind(job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
   }
   return work;
 }
 
+std::optional<foresight::Prospect> Engine::prospect_of(const Job& job, Instant by, const Supply::Held& have,
+                                                       Instant now) const {
+  // A pass books some of a very large array only; the rest is not late for that.
+  if (job.withdrawn || is_service(job) || job.pending() > constants::kTasksPlannedPerPass) return std::nullopt;
+  const auto end = planned_end(job);
+  if (end && *end <= by) return foresight::Prospect{.end = end};
+  // What came after the latest pass began has no place in it yet.
+  if (!end && job.submitted >= planned_) return std::nullopt;
+  return foresight::look(work_of(job, by, have), now);
+}
+
 std::map<JobId, foresight::Prospect> Engine::prospects(Instant now) const {
   std::map<JobId, foresight::Prospect> prospects;
   if (dues_.empty() || !leading_ || types_.empty()) return prospects;
@@ -104,16 +144,8 @@
   for (const auto& [id, due] : dues_) {
     const auto entry = jobs_.find(id);
     if (entry == jobs_.end()) continue;
-    const Job& job = entry->second;
-    // A pass books some of a very large array only; the rest is not late for that.
-    if (job.withdrawn || job.spec.kind == wire::JobKind::service || job.pending() > constants::kTasksPlannedPerPass) {
-      continue;
-    }
-    const auto end = planned_end(job);
-    if (end && *end <= due.by) {
-      prospects.emplace_hint(prospects.end(), id, foresight::Prospect{.end = end});
-    } else if (end || job.submitted < planned_) {
-      prospects.emplace_hint(prospects.end(), id, foresight::look(work_of(job, due.by, have), now));
+    if (auto prospect = prospect_of(entry->second, due.by, have, now)) {
+      prospects.emplace_hint(prospects.end(), id, std::move(*prospect));
     }
   }
   return prospects;
@@ -123,24 +155,17 @@
                               const std::vector<plan::Place>& places, Instant now) const {
   const auto due = dues_.find(job.spec.id);
   if (due == dues_.end()) return 0;
-  const Millis run = run_time(job);
+  const Instant by = due->second.by;
   std::uint32_t late = 0;
   for (const plan::Placing& placing : placings) {
-    if (placing.stop + run_time_beyond_booking(job) > due->second.by) late += placing.count;
+    if (placing.stop + run_time_beyond_booking(job) > by) late += placing.count;
   }
   if (late == 0) return 0;
-  const foresight::Work work = work_of(job, due->second.by, {});
+  const foresight::Work work = work_of(job, by, {});
   if (std::ranges::none_of(work.kinds, [&](const auto& kind) { return foresight::in_time(work, kind, now); })) return 0;
   // Where machines have room for these in time it is something else that lacks, a limit perhaps: renting for it would go
   // on in each pass, as what is rented stays empty.
-  std::int64_t room = 0;
-  for (const plan::Place& place : places) {
-    const Instant from = std::max(now, place.node->info.ready);
-    if (from + place.before + run > due->second.by) continue;
-    room += job.each.count_in(place.node->use.free(from, from + place.before + estimate(job)));
-    if (room >= late) return 0;
-  }
-  return late;
+  return timely_room(job, places, by, late, now) >= late ? 0 : late;
 }
 
 Millis Engine::time_to_rent(const Job& job, Instant now) const {
--- a/src/control/engine_size.cpp
+++ b/src/control/engine_size.cpp
@@ -11,6 +11,12 @@
 
 namespace foxshunt::control {
 
+namespace {
+
+double hourly_price(const wire::MachineType& kind, bool spot) { return spot ? kind.spot_price : kind.price; }
+
+}  // namespace
+
 void Engine::learn_gpu_demand(Instant now) {
   plan::Items wanted = 0;
   for (const auto& [unused, job] : jobs_) {
@@ -78,7 +84,7 @@
     if (!urgent_class(entry.first, spec) || !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       return false;
     const std::int64_t fit = task_amounts(spec).count_in(offered(spec, *kind));
-    const double hourly = machine.spot ? kind->spot_price : kind->price;
+    const double hourly = hourly_price(*kind, machine.spot);
     return fit > 0 && hourly / static_cast<double>(fit) <= constants::kReservePriceMost * least_price(spec);
   });
 }
@@ -117,26 +123,32 @@
   return Millis(0);
 }
 
+std::optional<Engine::Offer> Engine::offer_of(const wire::MachineType& kind, const std::string& zone, bool spot,
+                                              const wire::JobSpec& spec, std::int64_t tasks, const Supply::Held& have,
+                                              Instant now) const {
+  if (!is_machine_allowed(spec, kind.name, zone, spot) || !counted_on(zone)) return std::nullopt;
+  Supply::Kind key{kind.name, zone, spot};
+  if (!supply_.on_offer(key, have, now)) return std::nullopt;
+  // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
+  const std::int64_t fit = task_amounts(spec).count_in(capacity_of(kind));
+  const double hourly = hourly_price(kind, spot);
+  return Offer{.key = std::move(key),
+               .price = hourly / static_cast<double>(std::min(fit, tasks)),
+               .full_price = hourly / static_cast<double>(fit),
+               .fit = fit};
+}
+
 std::optional<Engine::Offer> Engine::cheapest(const wire::JobSpec& spec, std::int64_t tasks, double ratio_most,
-                                              const std::map<Supply::Kind, std::size_t>& have, Instant now,
-                                              Millis ready_most) const {
+                                              const Supply::Held& have, Instant now, Millis ready_most) const {
   const Amounts each = task_amounts(spec);
   std::optional<Offer> best;
   for (const wire::MachineType& kind : types_) {
-    // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
-    const std::int64_t fit = each.count_in(capacity_of(kind));
-    if (fit <= 0) continue;
+    if (each.count_in(capacity_of(kind)) <= 0) continue;
     if (from_seconds(kind.boot_s) + constants::kCloudCallLimit + fetch_time(spec, kind.name) > ready_most) continue;
     for (const std::string& zone : kind.zones) {
       for (const bool spot : {true, false}) {
-        if (!is_machine_allowed(spec, kind.name, zone, spot) || !counted_on(zone)) continue;
-        const double hourly = spot ? kind.spot_price : kind.price;
-        const double full = hourly / static_cast<double>(fit);
-        Supply::Kind key{kind.name, zone, spot};
-        if (!supply_.on_offer(key, have, now)) continue;
-        const double price = hourly / static_cast<double>(std::min(fit, tasks));
-        if (!best || price < best->price)
-          best = Offer{.key = std::move(key), .price = price, .full_price = full, .fit = fit};
+        auto offer = offer_of(kind, zone, spot, spec, tasks, have, now);
+        if (offer && (!best || offer->price < best->price)) best = std::move(offer);
       }
     }
   }
@@ -165,7 +177,7 @@
     const Instant from = std::max(now, machine.ready);
     const std::int64_t fit = each.count_in(machine.planned->use.free(from, from + constants::kAllocationLimit));
     if (fit <= 0) continue;
-    const double hourly = machine.spot ? kind->spot_price : kind->price;
+    const double hourly = hourly_price(*kind, machine.spot);
     found.push_back({.price = hourly / static_cast<double>(fit), .machine = id, .fit = fit});
   }
   std::ranges::sort(found, {}, [](const Spare& spare) { return std::tie(spare.price, spare.machine); });
@@ -186,31 +198,30 @@
   return demand_.expected(job_class, boot_s * constants::kBootSlack + settings_.report_s, now);
 }
 
-void Engine::size_fleet(Instant now) {
-  reserve_.clear();
-  Supply::Wanted wanted;
-  if (types_.empty()) return supply_.want({});
-  const std::map<Supply::Kind, std::size_t> have = machines_.held();
-  std::map<Supply::Kind, double> shares;  // machines, of which a task may be a part
+std::optional<Engine::Offer> Engine::offer_for_late(const Job& job, std::uint32_t late, const Supply::Held& have,
+                                                    Instant now) const {
+  if (job.overdue_tasks > 0) {
+    // A kind that boots later than the work has to begin is no use, however cheap.
+    auto in_time = cheapest(job.spec, late, constants::kLatePriceMost, have, now, time_to_rent(job, now));
+    if (in_time || job.late_tasks == 0) return in_time;
+  }
+  // As long as a deadline leaves time for another boot, what is dear can wait for what is cheap to become free.
+  const bool patient = rental_delay(job, now) > boot_awaited(job.spec) * constants::kBootSlack;
+  return cheapest(job.spec, late, patient ? constants::kPatientPriceMost : constants::kLatePriceMost, have, now);
+}
+
+void Engine::add_late_work(MachineShares& shares, const Supply::Held& have, Instant now) {
   for (const Job* job : planning_order(now)) {
     std::uint32_t late = std::max(job->late_tasks, job->overdue_tasks);
-    if (late == 0) continue;
     // No more than the team's limit lets run at once.
     while (late > 0 && !quota_for(*job, late)) --late;
     if (late == 0) continue;
-    // As long as a deadline leaves time for another boot, what is dear can wait for what is cheap to become free.
-    const bool patient = rental_delay(*job, now) > boot_awaited(job->spec) * constants::kBootSlack;
-    std::optional<Offer> offer;
-    if (job->overdue_tasks > 0) {
-      // A kind that boots later than the work has to begin is no use, however cheap.
-      offer = cheapest(job->spec, late, constants::kLatePriceMost, have, now, time_to_rent(*job, now));
-      if (!offer && job->late_tasks == 0) continue;
-    }
-    if (!offer)
-      offer = cheapest(job->spec, late, patient ? constants::kPatientPriceMost : constants::kLatePriceMost, have, now);
-    if (!offer) continue;
-    shares[offer->key] += static_cast<double>(late) / static_cast<double>(offer->fit);
+    const std::optional<Offer> offer = offer_for_late(*job, late, have, now);
+    if (offer) shares[offer->key] += static_cast<double>(late) / static_cast<double>(offer->fit);
   }
+}
+
+void Engine::add_reserves(MachineShares& shares, const Supply::Held& have, Instant now) {
   for (const auto& [name, demand] : demand_.classes()) {
     if (!urgent_class(name, demand.sample)) continue;
     const std::int64_t reserve = reserve_for(name, demand.sample, now);
@@ -220,6 +231,16 @@
     const auto offer = cheapest(demand.sample, missing, constants::kReservePriceMost, have, now);
     if (offer) shares[offer->key] += static_cast<double>(missing) / static_cast<double>(offer->fit);
   }
+}
+
+void Engine::size_fleet(Instant now) {
+  reserve_.clear();
+  if (types_.empty()) return supply_.want({});
+  const Supply::Held have = machines_.held();
+  MachineShares shares;
+  add_late_work(shares, have, now);
+  add_reserves(shares, have, now);
+  Supply::Wanted wanted;
   for (const auto& [key, share] : shares) wanted[key] = static_cast<std::uint64_t>(std::ceil(share));
   supply_.want(std::move(wanted));
 }
