--- a/src/plan/planner.h
+++ b/src/plan/planner.h
@@ -154,12 +154,27 @@
 
   [[nodiscard]] View view_of(const Request& request) const;
   [[nodiscard]] double weight(const PlanNode& node) const;
+  struct Progress;
+  struct Choice {
+    Candidate* candidate = nullptr;
+    Instant start;
+  };
+  // The machine on which a task would run soonest; nothing if it can't any more.
+  [[nodiscard]] static std::optional<Choice> earliest_start(const Request& request, std::vector<Candidate>& candidates,
+                                                            const Spans& free, const Progress& progress);
+  // How many of the tasks left start there together; none if the machine or its zone has no room. `use`: of the machine.
+  [[nodiscard]] static std::int64_t tasks_at(const Request& request, const Choice& choice, std::uint32_t left,
+                                             const Progress& progress, const ResourceSet& use);
   [[nodiscard]] std::vector<Placing> plan_apart(const Request& request, std::vector<Candidate> candidates) const;
   [[nodiscard]] std::vector<Placing> plan_together(const Request& request,
                                                    const std::vector<Candidate>& candidates) const;
   [[nodiscard]] static std::vector<Placing> map_at(const Request& request, Instant start,
                                                    const std::vector<const Candidate*>& ranked,
                                                    std::vector<std::uint32_t> in_zone);
+  [[nodiscard]] static std::vector<const Candidate*> rank(const std::vector<Candidate>& candidates);
+  [[nodiscard]] static std::vector<Instant> possible_starts(const Spans& free,
+                                                            const std::vector<Candidate>& candidates);
+  [[nodiscard]] std::vector<std::size_t> zones_by_name() const;
   // Of the job's tasks, how many each zone has already.
   [[nodiscard]] std::vector<std::uint32_t> taken_by_zone(const Request& request) const;
   [[nodiscard]] std::size_t zone_number(const std::string& zone);
