--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -433,6 +433,8 @@
   // What was kept so far would go to others if it moved to the zone that looks best by the estimates of the moment. It moves
   // only where it can start at once.
   if (placings.front().start <= request.from) return placings;
+  // Bound to the zone where it is planned already, the same plan would be found again.
+  if (planner_.node(placings.front().machine)->info.zone == reservation_.zone()) return placings;
   request.zone_bound = reservation_.zone();
   std::vector<plan::Placing> there = planner_.plan(request);
   return there.empty() ? placings : there;
