--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -352,6 +352,12 @@
                                       const std::vector<plan::Place>& places, Instant now) const;
   // How long a machine may take until it runs tasks of the job, for its calendar deadline.
   [[nodiscard]] Millis time_to_rent(const Job& job, Instant now) const;
+  // explanations: each gives the text that follows, if any
+  [[nodiscard]] std::optional<std::string> explain_hold(const Job& job, Instant now) const;
+  [[nodiscard]] std::optional<std::string> explain_wait(const Job& job, Instant now) const;
+  [[nodiscard]] std::string explain_rank(const Job& job) const;
+  [[nodiscard]] std::string explain_plan(const Job& job, Instant now) const;
+  [[nodiscard]] std::string explain_renting() const;
   // fleet size
   // Whether a class has an aim that leaves no time for a boot.
   [[nodiscard]] bool urgent_class(const std::string& job_class, const wire::JobSpec& sample) const;
