--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -12,8 +12,10 @@
 
 #include "classes/ranking.h"
 #include "config/settings.h"
+#include "control/cluster_state.h"
 #include "control/demand.h"
 #include "control/gang_reservation.h"
+#include "control/placement_rules.h"
 #include "control/job_requirements.h"
 #include "control/supply.h"
 #include "foresight/foresight.h"
@@ -32,17 +34,6 @@
 
 namespace foxshunt::control {
 
-using plan::Amounts;
-using plan::Instant;
-using plan::Millis;
-
-using inventory::Machine;
-using inventory::MachineState;
-using jobs::Job;
-using jobs::Part;
-using jobs::Run;
-using jobs::WriteBatch;
-
 struct DirectHalt {
   Term term;  // in which it was decided: its token, whoever leads when it is sent
   MachineId machine;
@@ -117,7 +108,7 @@
   // All of live/, as a read found it that began in that term. False if this lead is another one: it knows better.
   [[nodiscard]] bool on_job_list(Term read_in, const std::vector<state::Entry>& live, std::int64_t wall_ms,
                                  Instant now);
-  [[nodiscard]] std::optional<jobs::Reload> next_reload() const { return jobs_.next_reload(); }
+  [[nodiscard]] std::optional<jobs::Reload> next_reload() const { return cluster_.jobs.next_reload(); }
   // What a fresh read of the record found.
   void on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now);
   [[nodiscard]] std::optional<WriteBatch> begin_write(Instant now);
@@ -147,12 +138,12 @@
   // ---- zones ----
   // What a sibling that asks is granted; nothing when it is no sibling, its word is stale, or nothing can be granted now.
   [[nodiscard]] std::optional<zone::Grant> on_ask(const zone::Ask& ask, Instant now);
-  [[nodiscard]] const zone::Book& grants() const { return grants_; }
-  [[nodiscard]] const zone::View& zones() const { return zones_; }
+  [[nodiscard]] const zone::Book& grants() const { return cluster_.delegations; }
+  [[nodiscard]] const zone::View& zones() const { return cluster_.zones; }
 
   // ---- cloud ----
   void on_types(const std::vector<wire::MachineType>& types);
-  [[nodiscard]] const std::vector<wire::MachineType>& types() const { return types_; }
+  [[nodiscard]] const std::vector<wire::MachineType>& types() const { return cluster_.types; }
   void on_machine_list(const std::vector<wire::ListedMachine>& machines, Instant now);
   [[nodiscard]] std::optional<wire::RentRequest> next_rental(Instant now);
   void on_rented(const wire::RentRequest& request, const std::vector<MachineId>& machines, Instant now);
@@ -180,21 +171,23 @@
   bool plan_some(Instant now, std::size_t places_most);
   // A whole pass.
   void plan_pass(Instant now);
-  [[nodiscard]] bool plan_wanted() const { return plan_wanted_ || pass_; }
+  [[nodiscard]] bool plan_wanted() const { return cluster_.plan_wanted || pass_; }
   // Whether a pass is under way: what it has not come to has no booking.
   [[nodiscard]] bool planning() const { return pass_.has_value(); }
   // Whether there is something to rent or to return.
   [[nodiscard]] bool cloud_wanted() const;
-  [[nodiscard]] bool writes_wanted() const { return jobs_.writes_wanted(); }
+  [[nodiscard]] bool writes_wanted() const { return cluster_.jobs.writes_wanted(); }
 
   [[nodiscard]] Census census(Instant now) const;
   // Why the job's tasks wait and when the next is planned to start, in words; nothing if no such job is known.
   [[nodiscard]] std::optional<std::string> explain(const JobId& job, Instant now) const;
   [[nodiscard]] const Counters& counters() const { return counters_; }
-  [[nodiscard]] const std::map<JobId, Job>& jobs() const { return jobs_.all(); }
-  [[nodiscard]] const std::map<MachineId, Machine>& machines() const { return machines_.all(); }
+  [[nodiscard]] const std::map<JobId, Job>& jobs() const { return cluster_.jobs.all(); }
+  [[nodiscard]] const std::map<MachineId, Machine>& machines() const { return cluster_.machines.all(); }
   // Whether jobs, runs and machines agree, for tests: what does not, in words.
-  [[nodiscard]] std::optional<std::string> disagreement() const { return jobs_.disagreement(machines_); }
+  [[nodiscard]] std::optional<std::string> disagreement() const {
+    return cluster_.jobs.disagreement(cluster_.machines);
+  }
 
  private:
   struct Offer {
@@ -226,21 +219,7 @@
   [[nodiscard]] double save_grace(const Job& job) const;
   // machines
   [[nodiscard]] bool unheard(Instant now) const;
-  Machine& know_machine(const MachineId& id, Instant now);
-  // A task of the job has its image there.
-  void know_image(Machine& machine, const wire::JobSpec& spec);
-  void know_cache(Machine& machine);
-  [[nodiscard]] const wire::MachineType* type(const std::string& name) const;
-  void refresh_plan_machine(Machine& machine);
   void drain(Machine& machine, const std::string& why, Instant now);
-  void forget_machine(const MachineId& id);
-  [[nodiscard]] bool usable(const Machine& machine, Instant now) const;
-  // Up to when a holder of a grant may renew its lease.
-  [[nodiscard]] Instant granted_until(const Machine& machine) const;
-  // Up to when its tasks may run on, if nothing more is heard of it.
-  [[nodiscard]] Instant lease_end(const Machine& machine) const;
-  // The same, but sooner known.
-  [[nodiscard]] bool lease_over(const Machine& machine, Instant now) const;
   // zones
   void look_at_zones(Instant now);
   [[nodiscard]] std::vector<MachineId> not_granted(const std::string& zone, Instant now) const;
@@ -262,9 +241,7 @@
   void move_replicas(Instant now);
   void find_stranded();
   std::size_t plan_stranded(Job& job, Instant now);
-  [[nodiscard]] bool counted_on(const std::string& zone) const;
   // planning
-  [[nodiscard]] Millis fetch_time(const wire::JobSpec& spec, const std::string& machine_type) const;
   // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
   [[nodiscard]] Amounts offered(const wire::JobSpec& spec, const wire::MachineType& kind) const;
   void learn_gpu_demand(Instant now);
@@ -328,9 +305,6 @@
   [[nodiscard]] Millis image_left(const Job& job, const Run& run, Instant now) const;
   // Whether the placed tasks of a gang fetch still, and not for longer than is to be believed.
   [[nodiscard]] bool fetches(const Job& job, Instant now) const;
-  [[nodiscard]] bool room_for(const Job& job, const Machine& machine, std::uint32_t count) const;
-  [[nodiscard]] bool quota_for(const Job& job, std::uint32_t count) const;
-  [[nodiscard]] bool place_allowed(const Job& job, const Machine& machine, std::uint32_t count) const;
   void place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now);
   [[nodiscard]] Millis rental_delay(const Job& job, Instant now) const;
   // standby
@@ -384,26 +358,17 @@
   void size_fleet(Instant now);
   void note_refusal(const wire::RentRequest& request, Instant now);
 
-  config::Settings settings_;
+  ClusterState cluster_;
   bool leading_ = false;
   Term term_;
   Revision term_mark_;
   Instant lease_confirmed_;
   Instant read_confirmed_;
-  Instant others_until_;
   Instant gives_way_until_;
-  zone::Book grants_;
-  zone::View zones_;
-  pools::Desk pools_;
-  jobs::JobTable jobs_;
-  inventory::MachineInventory machines_;
-  std::vector<wire::MachineType> types_;
-  plan::Planner planner_;
   Supply supply_;
   Demand demand_;
   GangReservation reservation_;
   std::set<MachineId> reserve_;            // idle, but kept for what may come
-  bool plan_wanted_ = false;               // something has happened since the latest pass began
   std::optional<std::deque<JobId>> pass_;  // what the pass under way has left to plan
   Instant planned_;                        // when the latest pass began
   classes::Ranking ranking_;
--- a/src/control/engine_classes.cpp
+++ b/src/control/engine_classes.cpp
@@ -9,13 +9,13 @@
 void Engine::on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now) {
   ranking_.on_catalog(set);
   ranking_.tell_time(wall_ms, now);
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
 }
 
 void Engine::order_by_class(std::vector<Job*>& jobs, Instant now) {
   std::vector<classes::Candidate> candidates;
-  candidates.reserve(jobs_.size());
-  for (const auto& [unused, job] : jobs_) {
+  candidates.reserve(cluster_.jobs.size());
+  for (const auto& [unused, job] : cluster_.jobs) {
     candidates.push_back({.spec = &job.spec,
                           .submitted_wall_ms = job.submitted_wall_ms,
                           .done = job.done_count,
@@ -23,7 +23,7 @@
                           .waiting = job.withdrawn ? 0 : job.pending(),
                           .withdrawn = job.withdrawn});
   }
-  ranking_.begin(std::move(candidates), settings_.teams, now);
+  ranking_.begin(std::move(candidates), cluster_.settings.teams, now);
   // Jobs of no class keep the order that they had among themselves, in the places that such jobs have.
   using Room = std::tuple<bool, std::uint32_t, wire::Priority>;
   const auto room_of = [](const classes::Rank& rank) { return Room(rank.borrowed, rank.standing, rank.priority); };
@@ -36,7 +36,7 @@
   }
   std::vector<Job*> ordered;
   for (const classes::Rank& rank : ranking_.order()) {
-    jobs_.at(rank.job).borrowed = rank.borrowed;
+    cluster_.jobs.at(rank.job).borrowed = rank.borrowed;
     const auto job = planned.find(rank.job);
     if (job == planned.end()) continue;
     if (rank.of) {
--- a/src/control/engine_explain.cpp
+++ b/src/control/engine_explain.cpp
@@ -11,8 +11,8 @@
 
 Census Engine::census(Instant now) const {
   Census census;
-  census.jobs = jobs_.size();
-  for (const auto& [unused, job] : jobs_) {
+  census.jobs = cluster_.jobs.size();
+  for (const auto& [unused, job] : cluster_.jobs) {
     if (!job.withdrawn) census.tasks_waiting += job.pending();
     census.tasks_placed += job.runs_count;
     for (const Part& part : job.parts) {
@@ -21,14 +21,15 @@
       census.unwritten_oldest = std::max(census.unwritten_oldest, now - part.dirty_since);
     }
   }
-  for (const auto& [unused, machine] : machines_) {
+  for (const auto& [unused, machine] : cluster_.machines) {
     switch (machine.state) {
       case MachineState::up: ++census.machines_up; break;
       case MachineState::booting: ++census.machines_booting; break;
       default: ++census.machines_leaving; break;
     }
   }
-  census.fence_left = std::max(Millis(0), std::min(lease_confirmed_, read_confirmed_) + fence_span(settings_) - now);
+  census.fence_left =
+      std::max(Millis(0), std::min(lease_confirmed_, read_confirmed_) + fence_span(cluster_.settings) - now);
   return census;
 }
 
@@ -37,7 +38,7 @@
   if (job.not_before > now) {
     return fmt::format("; they failed and are tried again in {:.0f} s", to_seconds(job.not_before - now));
   }
-  if (!job.spec.zone.empty() && !settings_.in_service(job.spec.zone)) {
+  if (!job.spec.zone.empty() && !cluster_.settings.in_service(job.spec.zone)) {
     return fmt::format("; it may run only in zone {}, which is out of service", job.spec.zone);
   }
   return std::nullopt;
@@ -49,7 +50,7 @@
   if (gang && job.gather_until) return "; they join the rest of the gang, which waits for them";
   if (gang && job.runs_count > 0) return "; the gang starts again when nothing of its attempt before is left";
   if (!may_start(now)) return "; nothing is started while the state service does not answer";
-  if (!quota_for(job, gang ? job.pending() : 1)) return "; its team's limit is used up";
+  if (!quota_for(cluster_, job, gang ? job.pending() : 1)) return "; its team's limit is used up";
   return std::nullopt;
 }
 
@@ -71,22 +72,22 @@
 }
 
 std::string Engine::explain_renting() const {
-  if (!settings_.operators.may_rent) return "; the settings forbid renting";
+  if (!cluster_.settings.operators.may_rent) return "; the settings forbid renting";
   return supply_.wanted() ? "; machines are being rented" : "";
 }
 
 std::optional<std::string> Engine::explain(const JobId& id, Instant now) const {
-  const auto entry = jobs_.find(id);
-  if (!leading_ || entry == jobs_.end()) return std::nullopt;
+  const auto entry = cluster_.jobs.find(id);
+  if (!leading_ || entry == cluster_.jobs.end()) return std::nullopt;
   const Job& job = entry->second;
   if (job.withdrawn) return fmt::format("withdrawn; {} tasks are being stopped", job.runs_count);
   const std::uint32_t waiting = job.pending();
   if (waiting == 0) return fmt::format("all tasks that are not done are placed: {}", job.runs_count);
   std::string text = fmt::format("{} of {} tasks wait", waiting, job.spec.tasks) + explain_rank(job);
   if (const auto hold = explain_hold(job, now)) return text + *hold;
-  if (!job.spec.zone.empty() && !zones_.trusted(job.spec.zone)) {
+  if (!job.spec.zone.empty() && !cluster_.zones.trusted(job.spec.zone)) {
     text += fmt::format("; it may run only in zone {}, which is {}", job.spec.zone,
-                        zone::name_of(zones_.of(job.spec.zone)));
+                        zone::name_of(cluster_.zones.of(job.spec.zone)));
   }
   if (const auto wait = explain_wait(job, now)) return text + *wait;
   return text + explain_plan(job, now) + explain_renting();
--- a/src/control/engine_fleet.cpp
+++ b/src/control/engine_fleet.cpp
@@ -10,49 +10,6 @@
 
 namespace foxshunt::control {
 
-Machine& Engine::know_machine(const MachineId& id, Instant now) {
-  const inventory::MachineInventory::Known known = machines_.know(id, now);
-  if (known.fresh) know_cache(known.machine);
-  return known.machine;
-}
-
-const wire::MachineType* Engine::type(const std::string& name) const {
-  const auto found = std::ranges::find(types_, name, &wire::MachineType::name);
-  return found == types_.end() ? nullptr : &*found;
-}
-
-void Engine::refresh_plan_machine(Machine& machine) {
-  if (machine.planned != nullptr && machine.planned->info.ready == machine.ready) return;
-  const wire::MachineType* kind = type(machine.type);
-  if (kind == nullptr) return;
-  planner_.set_machine({.id = machine.id,
-                        .type = machine.type,
-                        .zone = machine.zone,
-                        .spot = machine.spot,
-                        .capacity = Amounts::from(kind->cpus, kind->gpus, kind->ram_gb),
-                        .ready = machine.ready});
-  machine.planned = planner_.node(machine.id);
-  plan_wanted_ = true;
-}
-
-bool Engine::usable(const Machine& machine, Instant now) const {
-  return machines_.usable(machine, now) && settings_.in_service(machine.zone) && zones_.takes_work(machine.zone);
-}
-
-// One that only a sibling's word places in a zone may stand in any: all grants count.
-Instant Engine::granted_until(const Machine& machine) const {
-  const std::string zone = guards::kept(guards::Guard::lease_zone_seen) ? machine.seen_zone() : machine.zone;
-  return grants_.renewed_until(zone, machine.id);
-}
-
-Instant Engine::lease_end(const Machine& machine) const {
-  return machines_.lease_end(machine, others_until_, granted_until(machine));
-}
-
-bool Engine::lease_over(const Machine& machine, Instant now) const {
-  return machines_.lease_over(machine, others_until_, granted_until(machine), now);
-}
-
 void Engine::drain(Machine& machine, const std::string& why, Instant now) {
   if (machine.state == MachineState::draining || machine.state == MachineState::returning) return;
   spdlog::info("machine {} is drained: {}", machine.id.text(), why);
@@ -60,7 +17,7 @@
   machine.why = why;
   const std::set<TaskKey> runs = machine.runs.copy();
   for (const TaskKey& key : runs) {
-    Job& job = jobs_.at(key.job);
+    Job& job = cluster_.jobs.at(key.job);
     const double grace_s = save_grace(job);
     if (job.spec.kind == wire::JobKind::gang) {
       // An orderly stop has to reach all tasks of the gang.
@@ -72,34 +29,27 @@
     }
   }
   (void)now;
-  plan_wanted_ = true;
-}
-
-void Engine::forget_machine(const MachineId& id) {
-  if (!machines_.forget(id)) return;
-  pools_.forget(id);
-  planner_.remove_machine(id);
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
 }
 
 void Engine::on_types(const std::vector<wire::MachineType>& types) {
-  types_ = types;
-  for (auto& [unused, machine] : machines_) {
-    refresh_plan_machine(machine);
-    know_cache(machine);
+  cluster_.types = types;
+  for (auto& [unused, machine] : cluster_.machines) {
+    cluster_.refresh_plan_machine(machine);
+    cluster_.know_cache(machine);
   }
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
 }
 
 void Engine::on_machine_list(const std::vector<wire::ListedMachine>& listed, Instant now) {
   if (!leading_) return;
   for (const wire::ListedMachine& entry : listed) {
-    const wire::MachineType* kind = type(entry.type);
-    const auto known = machines_.list(entry, from_seconds(kind == nullptr ? 0 : kind->boot_s), now);
+    const wire::MachineType* kind = cluster_.type(entry.type);
+    const auto known = cluster_.machines.list(entry, from_seconds(kind == nullptr ? 0 : kind->boot_s), now);
     if (!known) continue;  // an old list
     Machine& machine = known->machine;
-    if (known->fresh) know_cache(machine);
-    if (!machine.reported) refresh_plan_machine(machine);
+    if (known->fresh) cluster_.know_cache(machine);
+    if (!machine.reported) cluster_.refresh_plan_machine(machine);
     if (entry.state == wire::ListedState::failed && machine.state != MachineState::returning) {
       spdlog::info("machine {} has failed", entry.id.text());
       machine.listed.failed = true;
@@ -110,26 +60,26 @@
 }
 
 std::optional<wire::RentRequest> Engine::next_rental(Instant now) {
-  if (!may_start(now) || !settings_.operators.may_rent) return std::nullopt;
-  if (const auto& request = supply_.next(term_, machines_.held(), now)) return request;
+  if (!may_start(now) || !cluster_.settings.operators.may_rent) return std::nullopt;
+  if (const auto& request = supply_.next(term_, cluster_.machines.held(), now)) return request;
   // Pools come after live work.
-  supply_.ask(pools_.next_ask());
+  supply_.ask(cluster_.pools.next_ask());
   return supply_.next(term_, {}, now);
 }
 
 void Engine::on_rented(const wire::RentRequest& request, const std::vector<MachineId>& rented, Instant now) {
   if (!leading_ || !supply_.answered(request)) return;
-  pools_.answered(request, rented);
-  const wire::MachineType* kind = type(request.type);
+  cluster_.pools.answered(request, rented);
+  const wire::MachineType* kind = cluster_.type(request.type);
   for (const MachineId& id : rented) {
-    Machine& machine = know_machine(id, now);
+    Machine& machine = cluster_.know_machine(id, now);
     if (machine.reported) continue;
     machine.type = request.type;
     machine.zone = request.zone;
     machine.spot = request.spot;
     machine.since = now;
     machine.ready = now + from_seconds(kind == nullptr ? 0 : kind->boot_s);
-    refresh_plan_machine(machine);
+    cluster_.refresh_plan_machine(machine);
   }
   if (rented.size() < request.count) {
     note_refusal(request, now);
@@ -138,26 +88,26 @@
   }
   spdlog::info("rented {} of {} {} in {}{}", rented.size(), request.count, request.type, request.zone,
                request.spot ? ", spot" : "");
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
 }
 
 void Engine::on_rent_refused(const wire::RentRequest& request, Instant now) {
   if (!supply_.answered(request)) return;
-  pools_.answered(request, {});
+  cluster_.pools.answered(request, {});
   note_refusal(request, now);
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
 }
 
 void Engine::note_refusal(const wire::RentRequest& request, Instant now) {
   const Supply::Kind kind{request.type, request.zone, request.spot};
-  const std::size_t held_now = machines_.held()[kind];
+  const std::size_t held_now = cluster_.machines.held()[kind];
   const Millis pause = supply_.refused(kind, held_now, now);
   spdlog::info("no more {} in {}{} to rent, {} are held; asked again after {:.0f} s", request.type, request.zone,
                request.spot ? ", spot" : "", held_now, to_seconds(pause));
 }
 
 bool Engine::cloud_wanted() const {
-  return supply_.wanted() || pools_.next_ask() || std::ranges::any_of(machines_, [](const auto& entry) {
+  return supply_.wanted() || cluster_.pools.next_ask() || std::ranges::any_of(cluster_.machines, [](const auto& entry) {
            return entry.second.state == MachineState::returning;
          });
 }
@@ -165,7 +115,7 @@
 std::vector<MachineId> Engine::next_returns(Instant now) {
   std::vector<MachineId> names;
   if (!may_start(now)) return names;
-  for (const auto& [id, machine] : machines_) {
+  for (const auto& [id, machine] : cluster_.machines) {
     if (machine.state == MachineState::returning && names.size() < constants::kReturnNamesMost) names.push_back(id);
   }
   return names;
@@ -174,25 +124,25 @@
 void Engine::on_returned(const std::vector<MachineId>& names, Instant now) {
   if (!leading_) return;
   for (const MachineId& id : names) {
-    const auto entry = machines_.find(id);
-    if (entry == machines_.end()) continue;
+    const auto entry = cluster_.machines.find(id);
+    if (entry == cluster_.machines.end()) continue;
     spdlog::info("machine {} is returned: {}", id.text(), entry->second.why);
-    machines_.on_returned(id);
+    cluster_.machines.on_returned(id);
     const std::set<TaskKey> runs = entry->second.runs.copy();
     for (const TaskKey& key : runs) {
-      Job& job = jobs_.at(key.job);
-      const bool had_run = jobs_.find_run(key)->running_since.has_value();
+      Job& job = cluster_.jobs.at(key.job);
+      const bool had_run = cluster_.jobs.find_run(key)->running_since.has_value();
       prove_gone(job, key.index, "its machine was returned", now);
       lost_from_gang(job, had_run, now);
     }
-    forget_machine(id);
+    cluster_.forget_machine(id);
   }
 }
 
 // No worker reaches this node, and no sibling passes reports on: their leases end soon, whoever leads. Another node may
 // hear them. Only while the state service answers, without which nobody could take the lead.
 bool Engine::unheard(Instant now) const {
-  return machines_.unheard(now) >= constants::kUnheardLeast && settings_.nodes > 1 && may_start(now);
+  return cluster_.machines.unheard(now) >= constants::kUnheardLeast && cluster_.settings.nodes > 1 && may_start(now);
 }
 
 void Engine::tick(Instant now) {
@@ -202,41 +152,41 @@
     gives_way_until_ = now + constants::kGiveWay;
     return;
   }
-  planner_.forget_before(now);
+  cluster_.planner.forget_before(now);
   // What waits for the end of a pause, its own or the cloud's, is not woken by any event.
-  if (now - planned_ >= constants::kReplanEvery && std::ranges::any_of(jobs_, [](const auto& entry) {
+  if (now - planned_ >= constants::kReplanEvery && std::ranges::any_of(cluster_.jobs, [](const auto& entry) {
         return !entry.second.withdrawn && entry.second.pending() > 0;
       })) {
-    plan_wanted_ = true;
+    cluster_.plan_wanted = true;
   }
-  grants_.forget_before(now);
+  cluster_.delegations.forget_before(now);
   move_replicas(now);
-  if (settings_.operators.zone_watch) look_at_zones(now);
+  if (cluster_.settings.operators.zone_watch) look_at_zones(now);
   std::vector<MachineId> forgotten;
-  for (auto& [id, machine] : machines_) {
-    const wire::MachineType* kind = type(machine.type);
+  for (auto& [id, machine] : cluster_.machines) {
+    const wire::MachineType* kind = cluster_.type(machine.type);
     // Expiry: nobody can have renewed its lease since.
-    if (!machine.expired && machine.state != MachineState::booting && lease_over(machine, now)) {
+    if (!machine.expired && machine.state != MachineState::booting && cluster_.lease_over(machine, now)) {
       machine.expired = true;
       const std::set<TaskKey> runs = machine.runs.copy();
       if (!runs.empty() || machine.reported) {
         // Of a zone that is gone one line tells, not hundreds.
-        const bool alone = zones_.of(machine.zone) != zone::State::cut;
+        const bool alone = cluster_.zones.of(machine.zone) != zone::State::cut;
         spdlog::log(alone ? spdlog::level::info : spdlog::level::debug,
                     "machine {} is silent, its lease has ended with {} tasks", id.text(), runs.size());
       }
       for (const TaskKey& key : runs) {
-        Job& job = jobs_.at(key.job);
-        const bool had_run = jobs_.find_run(key)->running_since.has_value();
+        Job& job = cluster_.jobs.at(key.job);
+        const bool had_run = cluster_.jobs.find_run(key)->running_since.has_value();
         prove_gone(job, key.index, "the machine's lease ended", now);
         lost_from_gang(job, had_run, now);
       }
     }
     // A machine of a record that never reported: its tasks count until its lease can't have been renewed.
-    if (machine.state == MachineState::booting && !machine.runs.empty() && lease_over(machine, now)) {
+    if (machine.state == MachineState::booting && !machine.runs.empty() && cluster_.lease_over(machine, now)) {
       const std::set<TaskKey> runs = machine.runs.copy();
       for (const TaskKey& key : runs) {
-        Job& job = jobs_.at(key.job);
+        Job& job = cluster_.jobs.at(key.job);
         prove_gone(job, key.index, "no leader has heard of its machine", now);
         if (job.spec.kind == wire::JobKind::gang) end_gang(job, now);
       }
@@ -246,11 +196,11 @@
     // be taken for lost boots. They have the time in which a worker finds its leader.
     const Millis boot = from_seconds(kind == nullptr ? 0 : kind->boot_s);
     const Millis known = now - machine.known;
-    const bool boot_lost =
-        machine.listed.running || machine.hinted == inventory::Hinted::up
-            ? known > lease_span(settings_) * 2 + boot
-            : kind != nullptr && known > lease_span(settings_) && now - machine.since > boot * constants::kBootLost;
-    const bool kept = settings_.operators.zone_watch && zones_.keeps(machine.zone, now);
+    const bool boot_lost = machine.listed.running || machine.hinted == inventory::Hinted::up
+                               ? known > lease_span(cluster_.settings) * 2 + boot
+                               : kind != nullptr && known > lease_span(cluster_.settings) &&
+                                     now - machine.since > boot * constants::kBootLost;
+    const bool kept = cluster_.settings.operators.zone_watch && cluster_.zones.keeps(machine.zone, now);
     if (machine.state == MachineState::booting && idle && boot_lost && !kept) {
       machine.state = MachineState::returning;
       machine.why = "it did not come up";
@@ -261,8 +211,8 @@
       continue;
     }
     // Dead machines stay listed for a while; one that is neither heard nor listed no longer exists.
-    const Millis unlisted = from_seconds(settings_.cloud_list_lag_s * 3) + constants::kListEvery * 4;
-    if (idle && machine.expired && !kept && now - machine.last_report > lease_span(settings_) * 2) {
+    const Millis unlisted = from_seconds(cluster_.settings.cloud_list_lag_s * 3) + constants::kListEvery * 4;
+    if (idle && machine.expired && !kept && now - machine.last_report > lease_span(cluster_.settings) * 2) {
       machine.state = MachineState::returning;
       if (machine.why.empty()) machine.why = "it is silent";
       continue;
@@ -276,17 +226,17 @@
     // Idle machines cost; one that a waiting task is booked on is not idle.
     const bool booked = machine.planned != nullptr && !machine.planned->use.of(0).slots().empty();
     // A silent one of a zone that is waited for is wanted when it is back, most likely.
-    if (!idle || booked || machine.state != MachineState::up || (kept && machines_.silent(machine, now))) {
+    if (!idle || booked || machine.state != MachineState::up || (kept && cluster_.machines.silent(machine, now))) {
       machine.idle_since.reset();
     } else if (!machine.idle_since) {
       machine.idle_since = now;
-    } else if (settings_.operators.may_return && !reserve_.contains(id) && !pools_.keeps(id) && may_start(now) &&
-               now - *machine.idle_since > idle_most(machine)) {
+    } else if (cluster_.settings.operators.may_return && !reserve_.contains(id) && !cluster_.pools.keeps(id) &&
+               may_start(now) && now - *machine.idle_since > idle_most(machine)) {
       machine.state = MachineState::returning;
       machine.why = "it is idle";
     }
   }
-  for (const MachineId& id : forgotten) forget_machine(id);
+  for (const MachineId& id : forgotten) cluster_.forget_machine(id);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/engine_foresight.cpp
+++ b/src/control/engine_foresight.cpp
@@ -15,8 +15,8 @@
     return one.first == other.first && one.second.step == other.second.step;
   });
   if (!same) {
-    plan_wanted_ = true;   // it ranks them
-    planned_ = Instant();  // what was planned before tells nothing of them
+    cluster_.plan_wanted = true;  // it ranks them
+    planned_ = Instant();         // what was planned before tells nothing of them
   }
   ranking_.on_slack(std::move(slack));
   dues_ = std::move(dues);
@@ -49,14 +49,14 @@
   Instant end;
   const Millis beyond = run_time_beyond_booking(job);
   for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = planner_.booking(booking);
+    const plan::Booking* found = cluster_.planner.booking(booking);
     if (found == nullptr) continue;
     end = std::max(end, found->stop + beyond);
     booked += tasks_of(*found, job);
   }
   for (const Part& part : job.parts) {
     for (const auto& [unused, run] : part.runs) {
-      const plan::Booking* found = planner_.booking(run.booking);
+      const plan::Booking* found = cluster_.planner.booking(run.booking);
       if (found != nullptr) end = std::max(end, found->stop);
     }
   }
@@ -66,7 +66,7 @@
 
 std::map<JobId, Instant> Engine::planned_ends() const {
   std::map<JobId, Instant> ends;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : cluster_.jobs) {
     if (job.withdrawn || is_service(job) || dues_.contains(id)) continue;
     if (const auto end = planned_end(job)) ends.emplace_hint(ends.end(), id, *end);
   }
@@ -76,7 +76,7 @@
 std::uint64_t Engine::tasks_booked_by(const Job& job, Instant by) const {
   std::uint64_t timely = 0;
   for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = planner_.booking(booking);
+    const plan::Booking* found = cluster_.planner.booking(booking);
     if (found == nullptr || found->stop + run_time_beyond_booking(job) > by) continue;
     timely += tasks_of(*found, job);
   }
@@ -89,7 +89,7 @@
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
                         .boot = from_seconds(kind.boot_s) + constants::kCloudCallLimit,
-                        .fetch = fetch_time(job.spec, kind.name),
+                        .fetch = cluster_.fetch_time(job.spec, kind.name),
                         .fit = static_cast<std::uint64_t>(fit)};
   bool any = false;
   for (const std::string& zone : kind.zones) {
@@ -97,7 +97,7 @@
       if (!is_machine_allowed(job.spec, kind.name, zone, spot)) continue;
       any = true;
       const double hourly = spot ? kind.spot_price : kind.price;
-      if (!counted_on(zone) || hourly > price_most * static_cast<double>(fit)) continue;
+      if (!cluster_.counted_on(zone) || hourly > price_most * static_cast<double>(fit)) continue;
       found.to_rent = found.to_rent || supply_.counted_on({kind.name, zone, spot}, have);
     }
   }
@@ -108,17 +108,17 @@
   foresight::Work work{.by = by, .run = run_time(job)};
   work.waiting = job.pending();
   work.together = is_gang(job);
-  work.may_rent = settings_.operators.may_rent;
+  work.may_rent = cluster_.settings.operators.may_rent;
   work.end = planned_end(job);
   work.late = work.waiting - std::min(work.waiting, tasks_booked_by(job, by));
-  if (const config::Team* team = settings_.team(job.spec.team); team != nullptr) {
-    work.limit = TeamQuota(*team).remaining_tasks(job.each, jobs_.team_use(job.spec.team));
+  if (const config::Team* team = cluster_.settings.team(job.spec.team); team != nullptr) {
+    work.limit = TeamQuota(*team).remaining_tasks(job.each, cluster_.jobs.team_use(job.spec.team));
   }
   if (const classes::Rank* rank = ranking_.find(job.spec.id); rank != nullptr && ranking_.on()) {
     work.capped = rank->capped;
   }
   const double price_most = least_price(job.spec) * constants::kLatePriceMost;
-  for (const wire::MachineType& kind : types_) {
+  for (const wire::MachineType& kind : cluster_.types) {
     if (auto rentable = rentable_kind(job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
   }
   return work;
@@ -137,13 +137,13 @@
 
 std::map<JobId, foresight::Prospect> Engine::prospects(Instant now) const {
   std::map<JobId, foresight::Prospect> prospects;
-  if (dues_.empty() || !leading_ || types_.empty()) return prospects;
+  if (dues_.empty() || !leading_ || cluster_.types.empty()) return prospects;
   // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
-  if (pass_ || planned_ < led_ + detour_span(settings_)) return prospects;
-  const Supply::Held have = machines_.held();
+  if (pass_ || planned_ < led_ + detour_span(cluster_.settings)) return prospects;
+  const Supply::Held have = cluster_.machines.held();
   for (const auto& [id, due] : dues_) {
-    const auto entry = jobs_.find(id);
-    if (entry == jobs_.end()) continue;
+    const auto entry = cluster_.jobs.find(id);
+    if (entry == cluster_.jobs.end()) continue;
     if (auto prospect = prospect_of(entry->second, due.by, have, now)) {
       prospects.emplace_hint(prospects.end(), id, std::move(*prospect));
     }
--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -14,14 +14,8 @@
 
 namespace foxshunt::control {
 
-Millis Engine::fetch_time(const wire::JobSpec& spec, const std::string& machine_type) const {
-  const wire::MachineType* kind = type(machine_type);
-  if (kind == nullptr || kind->fetch_gb_per_s <= 0) return Millis(0);
-  return from_seconds(spec.image_gb / kind->fetch_gb_per_s);
-}
-
 Millis Engine::lag(const Job& job, Instant now) const {
-  const Amounts fleet = planner_.fleet().capacity();
+  const Amounts fleet = cluster_.planner.fleet().capacity();
   double share = 0;
   for (std::size_t r = 0; r < plan::kResources; ++r) {
     if (fleet.of[r] <= 0) continue;
@@ -30,7 +24,7 @@
   const Millis work = from_seconds(share * to_seconds(estimate(job)) * constants::kLagPerWork);
   // What was hoped for a job and can't be had any more must not cost those that can still have it.
   Millis missed{};
-  for (const config::Objective& objective : settings_.objectives) {
+  for (const config::Objective& objective : cluster_.settings.objectives) {
     if (objective.kind != "wait" || objective.job_class != job.spec.job_class) continue;
     if (now - job.submitted > from_seconds(objective.within_s)) missed += constants::kLagMissed;
   }
@@ -49,13 +43,13 @@
 
 std::vector<GangReservation::Candidate> Engine::reservation_candidates(Instant now) const {
   std::vector<GangReservation::Candidate> candidates;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : cluster_.jobs) {
     const bool waits_whole = job.runs_count == 0 && job.pending() > 0 && !job.withdrawn && job.not_before <= now;
     if (!is_gang(job) || !waits_whole) continue;
     if (now - job.submitted < constants::kReservationAfter) continue;
     if (!demand_.largest(job.spec.job_class, job.spec.tasks)) continue;
     // At its team's limit no machine would help it.
-    if (quota_for(job, job.pending())) candidates.push_back({.job = id, .submitted = job.submitted});
+    if (quota_for(cluster_, job, job.pending())) candidates.push_back({.job = id, .submitted = job.submitted});
   }
   return candidates;
 }
@@ -93,13 +87,13 @@
 // What fits a team's guarantee goes before what is borrowed; then by priority.
 std::vector<Job*> Engine::planning_order(Instant now) {
   std::map<std::string, std::vector<Job*>> by_team;
-  for (auto& [unused, job] : jobs_) {
+  for (auto& [unused, job] : cluster_.jobs) {
     if (!job.withdrawn) by_team[job.spec.team].push_back(&job);
   }
   std::vector<QueueEntry> queue;
   for (auto& [team_name, jobs] : by_team) {
     sort_for_guarantee(jobs);
-    mark_borrowed(jobs, settings_.team(team_name));
+    mark_borrowed(jobs, cluster_.settings.team(team_name));
     for (Job* job : jobs) {
       if ((job->pending() == 0 && job->stranded == 0) || job->not_before > now) continue;
       queue.push_back({.job = job, .borrowed = job->borrowed, .since = effective_submission(*job, now)});
@@ -119,16 +113,16 @@
 void Engine::extend_overrunning(const Job& job, Instant now) {
   for (const Part& part : job.parts) {
     for (const auto& [unused, run] : part.runs) {
-      const plan::Booking* booking = planner_.booking(run.booking);
+      const plan::Booking* booking = cluster_.planner.booking(run.booking);
       if (booking != nullptr && booking->stop <= now + constants::kTick) {
-        planner_.extend(run.booking, now + estimate(job));
+        cluster_.planner.extend(run.booking, now + estimate(job));
       }
     }
   }
 }
 
 void Engine::forget_latest_plan(Job& job) {
-  for (const plan::BookingId booking : job.booked) planner_.revoke(booking);
+  for (const plan::BookingId booking : job.booked) cluster_.planner.revoke(booking);
   job.booked.clear();
   job.planned_start.reset();
   job.late_tasks = 0;
@@ -136,11 +130,11 @@
 }
 
 void Engine::begin_pass(Instant now) {
-  plan_wanted_ = false;
+  cluster_.plan_wanted = false;
   planned_ = now;
   ++counters_.passes;
-  planner_.forget_before(now);
-  for (auto& [unused, job] : jobs_) {
+  cluster_.planner.forget_before(now);
+  for (auto& [unused, job] : cluster_.jobs) {
     extend_overrunning(job, now);
     forget_latest_plan(job);
   }
@@ -162,9 +156,9 @@
   while (!pass_->empty() && places < places_most) {
     // Between portions a job may have been withdrawn, and room may have become free: that is planned for in its order
     // by the next pass, and what is left of this one may use it already.
-    const auto entry = jobs_.find(pass_->front());
+    const auto entry = cluster_.jobs.find(pass_->front());
     pass_->pop_front();
-    if (entry == jobs_.end() || entry->second.withdrawn) continue;
+    if (entry == cluster_.jobs.end() || entry->second.withdrawn) continue;
     Job& job = entry->second;
     if (job.pending() > 0) {
       ++counters_.jobs_planned;
@@ -213,15 +207,16 @@
 }  // namespace
 
 bool Engine::left_to(const Job& job, std::optional<std::size_t> warms, const Machine& machine, Instant now) const {
-  if (!pools_.on()) return true;
+  if (!cluster_.pools.on()) return true;
   if (warms) {
-    return pools_.lacks(*warms, machine.id, job.spec.image) &&
-           std::ranges::none_of(machine.runs,
-                                [&](const TaskKey& key) { return jobs_.at(key.job).spec.image == job.spec.image; });
+    return cluster_.pools.lacks(*warms, machine.id, job.spec.image) &&
+           std::ranges::none_of(machine.runs, [&](const TaskKey& key) {
+             return cluster_.jobs.at(key.job).spec.image == job.spec.image;
+           });
   }
   // A service's replicas don't end: that one runs gives the others no room.
   const bool stuck = job.runs_count == 0 || is_service(job);
-  return pools_.allows(job.spec, estimate(job), stuck ? now - job.submitted : Millis(0), machine.id);
+  return cluster_.pools.allows(job.spec, estimate(job), stuck ? now - job.submitted : Millis(0), machine.id);
 }
 
 // What a machine's type alone decides of a job.
@@ -235,12 +230,12 @@
 
 std::vector<Engine::TypeFit> Engine::type_fits(const Job& job) const {
   std::vector<TypeFit> fits;
-  for (const wire::MachineType& type : types_) {
+  for (const wire::MachineType& type : cluster_.types) {
     fits.push_back({.type = &type,
                     .allowed = is_type_allowed(job.spec, type.name),
                     .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
                     .offered = offered(job.spec, type),
-                    .fetch = fetch_time(job.spec, type.name)});
+                    .fetch = cluster_.fetch_time(job.spec, type.name)});
   }
   return fits;
 }
@@ -248,7 +243,8 @@
 // Apart from its type and from what runs there.
 bool Engine::may_plan_on(const Job& job, const Machine& machine, Instant now) const {
   if (machine.planned == nullptr || (machine.spot && !job.spec.spot)) return false;
-  const bool available = machine.state == MachineState::booting ? counted_on(machine.zone) : usable(machine, now);
+  const bool available =
+      machine.state == MachineState::booting ? cluster_.counted_on(machine.zone) : cluster_.usable(machine, now);
   return available && (job.spec.zone.empty() || job.spec.zone == machine.zone);
 }
 
@@ -259,7 +255,7 @@
   Amounts plain = job.each;
   Amounts gpu_work;
   for (const TaskKey& key : machine.runs) {
-    const Job& other = jobs_.at(key.job);
+    const Job& other = cluster_.jobs.at(key.job);
     (other.spec.gpus <= 0 ? plain : gpu_work) += other.each;
   }
   if (plain.fits(offered)) return true;
@@ -274,7 +270,7 @@
   if (machine.state == MachineState::booting && machine.ready < now) return fetch + boot_left(machine, now);
   if (machine.images.contains(job.spec.image)) return Millis(0);
   // Of two that have to fetch it, the one that is to hold it anyway.
-  if (fetch > Millis(0) && pools_.wants(machine.id, job.spec.image))
+  if (fetch > Millis(0) && cluster_.pools.wants(machine.id, job.spec.image))
     return fetch - std::min(fetch, constants::kWarmFirst);
   return fetch;
 }
@@ -282,11 +278,11 @@
 // Where the job may run at all, and what each machine has to do before it does.
 std::vector<plan::Place> Engine::places_for(const Job& job, Instant now) const {
   const std::vector<TypeFit> fits = type_fits(job);
-  const std::optional<std::size_t> warms = pools_.warms(job.spec, now - job.submitted);
+  const std::optional<std::size_t> warms = cluster_.pools.warms(job.spec, now - job.submitted);
   plan::Items spare_gpus = demand_.gpus_spare();
   std::vector<plan::Place> places;
   const TypeFit* fit = nullptr;  // of the machine before, which mostly is of the same type
-  for (const auto& [id, machine] : machines_) {
+  for (const auto& [id, machine] : cluster_.machines) {
     if (!may_plan_on(job, machine, now)) continue;
     if (fit == nullptr || fit->type->name != machine.type) {
       const auto found = std::ranges::find(fits, machine.type, [](const TypeFit& one) { return one.type->name; });
@@ -332,8 +328,8 @@
   if (!job.spec.spread && !job.spec.one_zone) return;
   for (const Part& part : job.parts) {
     for (const auto& [unused, run] : part.runs) {
-      const auto machine = machines_.find(run.machine);
-      if (machine == machines_.end()) continue;
+      const auto machine = cluster_.machines.find(run.machine);
+      if (machine == cluster_.machines.end()) continue;
       ++request.zone_taken[machine->second.zone];
       if (job.spec.one_zone) request.zone_bound = machine->second.zone;
     }
@@ -342,7 +338,7 @@
 
 std::vector<plan::Placing> Engine::plan_turn(const JobTurn& turn) const {
   if (turn.reserves) return plan_reserved(turn.request);
-  return turn.warms ? one_to_a_machine(planner_, turn.request) : planner_.plan(turn.request);
+  return turn.warms ? one_to_a_machine(cluster_.planner, turn.request) : cluster_.planner.plan(turn.request);
 }
 
 std::size_t Engine::find_placings(Job& job, JobTurn& turn, Instant now) {
@@ -374,14 +370,14 @@
 
 void Engine::book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
   for (const plan::Placing& placing : placings) {
-    if (placing.start <= now && machines_.at(placing.machine).state == MachineState::up) continue;
+    if (placing.start <= now && cluster_.machines.at(placing.machine).state == MachineState::up) continue;
     if (!job.planned_start || placing.start < *job.planned_start) job.planned_start = placing.start;
     book_ahead(job, placing);
   }
 }
 
 bool Engine::may_preempt(const Job& job, Instant now) const {
-  return settings_.operators.preemption && now >= job.displaces_after &&
+  return cluster_.settings.operators.preemption && now >= job.displaces_after &&
          job.planned_start.value_or(plan::kForever) > now + constants::kPreemptWait;
 }
 
@@ -398,7 +394,7 @@
   }
   const std::uint32_t count = tasks_to_plan(job, turn.joins);
   if (count == 0) return 0;  // kept back by its class's cap
-  turn.warms = pools_.warms(job.spec, now - job.submitted).has_value();
+  turn.warms = cluster_.pools.warms(job.spec, now - job.submitted).has_value();
   turn.reserves = !turn.joins && reservation_.held_by(job.spec.id);
   turn.request = planning_request(job, count, now);
   add_zones_taken(job, turn.request);
@@ -414,86 +410,50 @@
   const std::uint32_t left = ranking_.on() ? count - (pending_before - job.pending()) : job.pending();
   if (left == 0) return places;
   if (!turn.joins && may_preempt(job, now)) make_room(job, left, turn.request.places, now);
-  if (ranking_.on() && quota_for(job, turn.gang ? left : 1)) ranking_.lacks_room(job.spec.id);
+  if (ranking_.on() && quota_for(cluster_, job, turn.gang ? left : 1)) ranking_.lacks_room(job.spec.id);
   return places;
 }
 
 void Engine::book_ahead(Job& job, const plan::Placing& placing) {
-  job.booked.push_back(planner_.book({.machine = placing.machine,
-                                      .team = job.spec.team,
-                                      .amounts = job.each.times(placing.count),
-                                      .start = placing.start,
-                                      .stop = placing.stop}));
+  job.booked.push_back(cluster_.planner.book({.machine = placing.machine,
+                                              .team = job.spec.team,
+                                              .amounts = job.each.times(placing.count),
+                                              .start = placing.start,
+                                              .stop = placing.stop}));
 }
 
 std::vector<plan::Placing> Engine::plan_reserved(plan::Request request) const {
   for (plan::Place& place : request.places) place.preferred = reservation_.keeps(place.node->info.id);
-  std::vector<plan::Placing> placings = planner_.plan(request);
+  std::vector<plan::Placing> placings = cluster_.planner.plan(request);
   if (!request.one_zone || placings.empty() || reservation_.zone().empty()) return placings;
   // What was kept so far would go to others if it moved to the zone that looks best by the estimates of the moment. It moves
   // only where it can start at once.
   if (placings.front().start <= request.from) return placings;
   // Bound to the zone where it is planned already, the same plan would be found again.
-  if (planner_.node(placings.front().machine)->info.zone == reservation_.zone()) return placings;
+  if (cluster_.planner.node(placings.front().machine)->info.zone == reservation_.zone()) return placings;
   request.zone_bound = reservation_.zone();
-  std::vector<plan::Placing> there = planner_.plan(request);
+  std::vector<plan::Placing> there = cluster_.planner.plan(request);
   return there.empty() ? placings : there;
 }
 
 void Engine::keep_machines_free(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
   std::set<MachineId> kept;
   for (const plan::Placing& placing : placings) {
-    const plan::PlanNode* node = planner_.node(placing.machine);
+    const plan::PlanNode* node = cluster_.planner.node(placing.machine);
     const Amounts amounts = job.each.times(placing.count);
     const plan::Spans free =
         node->use.free_spans(amounts, constants::kTick, std::max(now, node->info.ready), placing.start);
     if (free.empty() || free.back().stop != placing.start) continue;
     // Its team does not use it yet: others of the team may still reach the team's limit.
-    job.booked.push_back(planner_.book({.machine = placing.machine,
-                                        .team = {},
-                                        .amounts = amounts,
-                                        .start = free.back().start,
-                                        .stop = free.back().stop}));
+    job.booked.push_back(cluster_.planner.book({.machine = placing.machine,
+                                                .team = {},
+                                                .amounts = amounts,
+                                                .start = free.back().start,
+                                                .stop = free.back().stop}));
     if (free.back().start <= now) kept.insert(placing.machine);
   }
   const bool one_zone = job.spec.one_zone && !placings.empty();
-  reservation_.plan(one_zone ? machines_.at(placings.front().machine).zone : std::string(), std::move(kept));
-}
-
-bool Engine::room_for(const Job& job, const Machine& machine, std::uint32_t count) const {
-  const wire::MachineType* kind = type(machine.type);
-  if (kind == nullptr) return false;
-  Amounts used = job.each.times(count);
-  for (const TaskKey& key : machine.runs) used += jobs_.at(key.job).each;
-  return used.fits(capacity_of(*kind));
-}
-
-bool Engine::quota_for(const Job& job, std::uint32_t count) const {
-  const config::Team* team = settings_.team(job.spec.team);
-  if (team == nullptr) return false;
-  Amounts used = job.each.times(count);
-  if (guards::kept(guards::Guard::quota_placed)) used += jobs_.team_use(job.spec.team);
-  return TeamQuota(*team).allows(used);
-}
-
-bool Engine::place_allowed(const Job& job, const Machine& machine, std::uint32_t count) const {
-  if (!is_machine_allowed(job.spec, machine.type, machine.zone, machine.spot)) return false;
-  if (!job.spec.one_zone && !job.spec.spread) return true;
-  std::uint32_t same = count;
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) {
-      const auto other = machines_.find(run.machine);
-      // Where a machine that nobody has heard of stands is not known.
-      const std::string stands_in = other == machines_.end() ? std::string() : other->second.seen_zone();
-      if (stands_in.empty() && guards::kept(guards::Guard::place_known)) return false;
-      if (stands_in == machine.zone) {
-        ++same;
-      } else if (job.spec.one_zone) {
-        return false;
-      }
-    }
-  }
-  return !job.spec.spread || same <= max_tasks_per_zone(job.spec);
+  reservation_.plan(one_zone ? cluster_.machines.at(placings.front().machine).zone : std::string(), std::move(kept));
 }
 
 void Engine::place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now) {
@@ -502,10 +462,10 @@
     left = std::max(left - saved->second, constants::kAllocationLimit);
   }
   const bool found = machine.images.contains(job.spec.image);
-  pools_.placed({job.spec.id, index}, job.spec, found);
-  if (!found) left += fetch_time(job.spec, machine.type);
-  Run& run = jobs_.place(job, index, attempt, machine, now);
-  run.booking = planner_.book(
+  cluster_.pools.placed({job.spec.id, index}, job.spec, found);
+  if (!found) left += cluster_.fetch_time(job.spec, machine.type);
+  Run& run = cluster_.jobs.place(job, index, attempt, machine, now);
+  run.booking = cluster_.planner.book(
       {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + left});
   machine.idle_since.reset();
   ++counters_.placed;
@@ -514,16 +474,16 @@
 }
 
 Millis Engine::image_wait(const Job& job, const Machine& machine) const {
-  return machine.images.contains(job.spec.image) ? Millis(0) : fetch_time(job.spec, machine.type);
+  return machine.images.contains(job.spec.image) ? Millis(0) : cluster_.fetch_time(job.spec, machine.type);
 }
 
 Millis Engine::image_left(const Job& job, const Run& run, Instant now) const {
-  const auto machine = machines_.find(run.machine);
-  if (machine == machines_.end()) return Millis(0);
+  const auto machine = cluster_.machines.find(run.machine);
+  if (machine == cluster_.machines.end()) return Millis(0);
   const bool told = run.seen && *run.seen == wire::TaskState::fetching;
   if (!told && (run.seen || machine->second.images.contains(job.spec.image))) return Millis(0);
   const Millis passed = std::max(Millis(0), now - run.placed);
-  const Millis whole = fetch_time(job.spec, machine->second.type);
+  const Millis whole = cluster_.fetch_time(job.spec, machine->second.type);
   // One that is overdue takes as much longer as it has shown already.
   return std::max({whole - passed, passed / constants::kFetchOverdue, told ? constants::kTick : Millis(0)});
 }
@@ -531,10 +491,10 @@
 bool Engine::fetches(const Job& job, Instant now) const {
   for (const Part& part : job.parts) {
     for (const auto& [unused, run] : part.runs) {
-      const auto machine = machines_.find(run.machine);
-      if (machine == machines_.end() || image_left(job, run, now) == Millis(0)) continue;
-      const Millis most = fetch_time(job.spec, machine->second.type) * constants::kFetchDoubt;
-      if (now - run.placed < most + from_seconds(settings_.gang_wait_s)) return true;
+      const auto machine = cluster_.machines.find(run.machine);
+      if (machine == cluster_.machines.end() || image_left(job, run, now) == Millis(0)) continue;
+      const Millis most = cluster_.fetch_time(job.spec, machine->second.type) * constants::kFetchDoubt;
+      if (now - run.placed < most + from_seconds(cluster_.settings.gang_wait_s)) return true;
     }
   }
   return false;
@@ -551,15 +511,15 @@
     for (const auto& [unused, run] : part.runs) last = std::max(last, image_left(job, run, now));
   }
   for (const plan::Placing& placing : placings) {
-    const Millis wait = image_wait(job, machines_.at(placing.machine));
+    const Millis wait = image_wait(job, cluster_.machines.at(placing.machine));
     last = std::max(last, wait);
     first = std::min(first, wait);
   }
-  if (last - first > from_seconds(settings_.gang_wait_s) / constants::kGangApart) job.in_stages = true;
+  if (last - first > from_seconds(cluster_.settings.gang_wait_s) / constants::kGangApart) job.in_stages = true;
   if (!job.in_stages) return placings;
   std::vector<plan::Placing> due;
   for (const plan::Placing& placing : placings) {
-    if (image_wait(job, machines_.at(placing.machine)) >= last) {
+    if (image_wait(job, cluster_.machines.at(placing.machine)) >= last) {
       due.push_back(placing);
     } else {
       book_ahead(job, placing);
@@ -571,11 +531,11 @@
 
 bool Engine::gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const {
   const bool all_fit = std::ranges::all_of(placings, [&](const plan::Placing& placing) {
-    const Machine& machine = machines_.at(placing.machine);
-    return placing.start <= now && usable(machine, now) && room_for(job, machine, placing.count) &&
-           place_allowed(job, machine, placing.count);
+    const Machine& machine = cluster_.machines.at(placing.machine);
+    return placing.start <= now && cluster_.usable(machine, now) && room_for(cluster_, job, machine, placing.count) &&
+           place_allowed(cluster_, job, machine, placing.count);
   });
-  return all_fit && !placings.empty() && quota_for(job, job.pending());
+  return all_fit && !placings.empty() && quota_for(cluster_, job, job.pending());
 }
 
 bool Engine::place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
@@ -585,7 +545,7 @@
   auto next = tasks.begin();
   for (const plan::Placing& placing : due_of_gang(job, placings, now)) {
     for (std::uint32_t at = 0; at < placing.count && next != tasks.end(); ++at, ++next) {
-      place(job, *next, attempt, machines_.at(placing.machine), now);
+      place(job, *next, attempt, cluster_.machines.at(placing.machine), now);
     }
   }
   if (next == tasks.end()) job.gather_until.reset();
@@ -597,10 +557,12 @@
   if (is_gang(job)) return place_gang(job, placings, now);
   bool any = false;
   for (const plan::Placing& placing : placings) {
-    Machine& machine = machines_.at(placing.machine);
-    if (placing.start > now || !usable(machine, now)) continue;
+    Machine& machine = cluster_.machines.at(placing.machine);
+    if (placing.start > now || !cluster_.usable(machine, now)) continue;
     for (const std::uint32_t index : jobs::JobTable::pending_tasks(job, placing.count)) {
-      if (!room_for(job, machine, 1) || !quota_for(job, 1) || !place_allowed(job, machine, 1)) break;
+      if (!room_for(cluster_, job, machine, 1) || !quota_for(cluster_, job, 1) ||
+          !place_allowed(cluster_, job, machine, 1))
+        break;
       place(job, index, job.parts[index / constants::kTasksPerPart].next, machine, now);
       any = true;
     }
--- a/src/control/engine_preempt.cpp
+++ b/src/control/engine_preempt.cpp
@@ -20,7 +20,7 @@
 std::uint32_t Engine::tasks_to_make_room_for(const Job& job, std::uint32_t tasks_most) const {
   const bool gang = is_gang(job);
   std::uint32_t count = gang ? tasks_most : std::min(tasks_most, constants::kPreemptTasksMost);
-  while (count > 0 && !quota_for(job, count)) count = gang ? 0 : count - 1;
+  while (count > 0 && !quota_for(cluster_, job, count)) count = gang ? 0 : count - 1;
   return count;
 }
 
@@ -30,7 +30,7 @@
   const Millis ran = now - *run.running_since;
   const std::uint32_t tasks = whole ? other.runs_count : 1;
   const Millis repeated = other.spec.checkpoint_s > 0 ? from_seconds(other.spec.save_s) : ran;
-  const plan::Booking* booking = planner_.booking(run.booking);
+  const plan::Booking* booking = cluster_.planner.booking(run.booking);
   preempt::Victim victim{.job = key.job,
                          .tasks = {key},
                          .priority = other.spec.priority,
@@ -52,8 +52,8 @@
 // The number of the victim that the task belongs to; nothing for what is being stopped already, has not begun, or runs for
 // ever.
 std::optional<std::size_t> Engine::victim_of(const TaskKey& key, const Job& asks, Victims& victims, Instant now) {
-  const Job& other = jobs_.at(key.job);
-  const Run& run = *jobs_.find_run(key);
+  const Job& other = cluster_.jobs.at(key.job);
+  const Run& run = *cluster_.jobs.find_run(key);
   if (other.withdrawn || run.halting || !run.running_since || is_service(other)) return std::nullopt;
   const auto known = victims.gangs.find(key.job);
   if (known != victims.gangs.end()) return known->second;
@@ -67,13 +67,13 @@
                                                            Victims& victims, Instant now) {
   std::vector<preempt::Contested> machines;
   for (const plan::Place& place : places) {
-    const Machine& machine = machines_.at(place.node->info.id);
-    if (machine.state != MachineState::up || !place_allowed(job, machine, 1)) continue;
+    const Machine& machine = cluster_.machines.at(place.node->info.id);
+    if (machine.state != MachineState::up || !place_allowed(cluster_, job, machine, 1)) continue;
     preempt::Contested contested{
         .machine = machine.id, .zone = machine.zone, .free = place.node->info.capacity, .held = {}};
     std::map<std::size_t, Amounts> held;
     for (const TaskKey& key : machine.runs) {
-      const Amounts& each = jobs_.at(key.job).each;
+      const Amounts& each = cluster_.jobs.at(key.job).each;
       contested.free -= each;
       if (const auto number = victim_of(key, job, victims, now)) held[*number] += each;
     }
@@ -84,12 +84,12 @@
 }
 
 std::size_t Engine::stop_victim(const preempt::Victim& victim, Instant now) {
-  Job& other = jobs_.at(victim.job);
+  Job& other = cluster_.jobs.at(victim.job);
   other.displaced = now;
   for (const TaskKey& key : victim.tasks) {
     halt(other, key.index, save_grace(other));
     // All tasks of a gang have to hear of it within `gang_peer_s`, which may be less than until their next reports.
-    if (is_gang(other)) jobs_.find_run(key)->halt_due = now;
+    if (is_gang(other)) cluster_.jobs.find_run(key)->halt_due = now;
   }
   return victim.tasks.size();
 }
--- a/src/control/engine_records.cpp
+++ b/src/control/engine_records.cpp
@@ -13,44 +13,39 @@
 using guards::Guard;
 using guards::kept;
 
-Engine::Engine(config::Settings settings)
-    : settings_(std::move(settings)),
-      machines_(
-          {.lease = lease_span(settings_), .silence = silence_span(settings_), .detour = detour_span(settings_)}) {}
+Engine::Engine(config::Settings settings) : cluster_(std::move(settings)) {}
 
 Engine Engine::copy() const {
   Engine made = *this;
-  for (auto& [id, machine] : made.machines_) {
-    if (machine.planned != nullptr) machine.planned = made.planner_.node(id);
-  }
+  made.cluster_.rebind_planned_nodes();
   return made;
 }
 
 // ---- leadership ----
 
 void Engine::lead(const Takeover& takeover, Instant now) {
-  const std::vector<wire::MachineType> types = std::move(types_);
+  const std::vector<wire::MachineType> types = std::move(cluster_.types);
   const Supply supply = supply_.refusals();
-  pools::Desk pools = std::move(pools_);
+  pools::Desk pools = std::move(cluster_.pools);
   classes::Ranking ranking = std::move(ranking_);
-  *this = Engine(std::move(settings_));
-  types_ = types;
+  *this = Engine(std::move(cluster_.settings));
+  cluster_.types = types;
   supply_ = supply;
-  pools_ = std::move(pools);
-  pools_.lead(now);
+  cluster_.pools = std::move(pools);
+  cluster_.pools.lead(now);
   ranking_ = std::move(ranking);
   ranking_.tell_time(takeover.wall_ms, now);
   leading_ = true;
   term_ = takeover.term;
   term_mark_ = takeover.term_mark;
   led_ = lease_confirmed_ = read_confirmed_ = now;
-  others_until_ = kept(Guard::others_counted) ? takeover.others_until : now;
-  grants_ = zone::Book(settings_.siblings, grant_spans(settings_));
-  for (const config::Team& team : settings_.teams) {
+  cluster_.older_leaders_until = kept(Guard::others_counted) ? takeover.others_until : now;
+  cluster_.delegations = zone::Book(cluster_.settings.siblings, grant_spans(cluster_.settings));
+  for (const config::Team& team : cluster_.settings.teams) {
     const auto limit = [](double most) {
       return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
     };
-    planner_.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
+    cluster_.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
   }
   const auto load = [&](const state::Entry& entry, bool withdrawn) {
     try {
@@ -65,20 +60,20 @@
   for (const state::Entry& entry : takeover.linger) load(entry, true);
   for (const state::Entry& entry : takeover.live) {
     const auto id = state::job_of_key(entry.key);
-    if (kept(Guard::adopted_once) && id && jobs_.find(*id) != jobs_.end()) continue;
+    if (kept(Guard::adopted_once) && id && cluster_.jobs.find(*id) != cluster_.jobs.end()) continue;
     load(entry, false);
   }
   for (const state::Entry& entry : takeover.parts) {
     const auto id = state::job_of_key(entry.key);
     const auto number = state::part_of_key(entry.key);
-    const auto known = id ? jobs_.find(*id) : jobs_.end();
-    if (known == jobs_.end() || !number || *number >= known->second.parts.size()) continue;
+    const auto known = id ? cluster_.jobs.find(*id) : cluster_.jobs.end();
+    if (known == cluster_.jobs.end() || !number || *number >= known->second.parts.size()) continue;
     Job& job = known->second;
     try {
       job.parts[*number].mark = entry.mark;
       job.parts[*number].recorded = true;
-      jobs_.adopt_part(job, *number, state::part_from(entry.data, state::part_size(job.spec.tasks, *number)), machines_,
-                       now);
+      cluster_.jobs.adopt_part(job, *number, state::part_from(entry.data, state::part_size(job.spec.tasks, *number)),
+                               cluster_.machines, now);
       book_adopted(job, *number, now);
     } catch (const wire::Malformed& error) {
       spdlog::error("record {} cannot be read: {}", entry.key, error.what());
@@ -86,7 +81,7 @@
   }
   std::vector<JobId> withdrawn;
   std::size_t runs = 0;
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : cluster_.jobs) {
     runs += job.runs_count;
     // That a gang lost a task and gathers, or that the rest is to be halted, only the earlier leader knew: unless another
     // task joins them, those that wait would keep their places until they give up by themselves.
@@ -94,12 +89,12 @@
     if (job.withdrawn) withdrawn.push_back(id);
   }
   for (const JobId& id : withdrawn) {
-    Job& job = jobs_.at(id);
+    Job& job = cluster_.jobs.at(id);
     job.had_runs = true;
     withdraw(job, now);
   }
-  plan_wanted_ = true;
-  spdlog::info("leading in term {}: {} jobs, {} placed tasks", term_.number(), jobs_.size(), runs);
+  cluster_.plan_wanted = true;
+  spdlog::info("leading in term {}: {} jobs, {} placed tasks", term_.number(), cluster_.jobs.size(), runs);
 }
 
 void Engine::resign(const std::string& why) {
@@ -123,7 +118,7 @@
 void Engine::confirm_reading(Instant when) {
   // Of a removal that came while a write was under way it is not known yet whose it was: a cancellation, perhaps, that
   // nothing was halted for. Until the record is read again, what is known goes no further.
-  if (kept(Guard::reading_settled) && jobs_.has_unread()) return;
+  if (kept(Guard::reading_settled) && cluster_.jobs.has_unread()) return;
   read_confirmed_ = std::max(read_confirmed_, when);
 }
 
@@ -131,7 +126,7 @@
   // A cancellation that this leader can't read may have been told to a user just after the last moment whose
   // changes it knows. The workers' leases that it renews must have ended `cancel_s` after that.
   const Instant known = kept(Guard::fence_reading) ? std::min(lease_confirmed_, read_confirmed_) : lease_confirmed_;
-  return leading_ && (!kept(Guard::fence) || now < known + fence_span(settings_));
+  return leading_ && (!kept(Guard::fence) || now < known + fence_span(cluster_.settings));
 }
 
 bool Engine::may_start(Instant now) const {
@@ -142,21 +137,21 @@
 // ---- records ----
 
 Job& Engine::add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now) {
-  Job& job = jobs_.add(record, mark, wall_ms, machines_, now);
+  Job& job = cluster_.jobs.add(record, mark, wall_ms, cluster_.machines, now);
   demand_.learn(job.spec, job.each, job.submitted);
   if (record.whole) book_adopted(job, 0, now);
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
   return job;
 }
 
 void Engine::book_adopted(Job& job, std::uint32_t number, Instant now) {
   for (auto& [unused, run] : job.parts[number].runs) {
-    know_cache(machines_.at(run.machine));
-    run.booking = planner_.book({.machine = run.machine,
-                                 .team = job.spec.team,
-                                 .amounts = job.each,
-                                 .start = now,
-                                 .stop = now + estimate(job)});
+    cluster_.know_cache(cluster_.machines.at(run.machine));
+    run.booking = cluster_.planner.book({.machine = run.machine,
+                                         .team = job.spec.team,
+                                         .amounts = job.each,
+                                         .start = now,
+                                         .stop = now + estimate(job)});
   }
 }
 
@@ -164,7 +159,7 @@
                            Instant now) {
   if (!leading_) return;
   ranking_.tell_time(wall_ms, now);
-  if (!jobs_.on_record(id, mark)) return;
+  if (!cluster_.jobs.on_record(id, mark)) return;
   try {
     const Job& job = add_job(state::job_from(record), mark, wall_ms, now);
     spdlog::info("job {} of team {}: {} tasks of class {}", id.text(), job.spec.team, job.spec.tasks,
@@ -176,7 +171,7 @@
 
 void Engine::on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now) {
   if (!leading_) return;
-  Job* job = jobs_.on_reloaded(reload, mark);
+  Job* job = cluster_.jobs.on_reloaded(reload, mark);
   if (job == nullptr) return;
   spdlog::info("job {}: its record is gone, {} tasks to stop", reload.job.text(), job->runs_count);
   withdraw(*job, now);
@@ -184,7 +179,7 @@
 
 void Engine::on_job_removed(const JobId& id, Instant now) {
   if (!leading_) return;
-  Job* job = jobs_.on_removed(id);
+  Job* job = cluster_.jobs.on_removed(id);
   if (job == nullptr) return;
   spdlog::info("job {}: withdrawn, {} tasks to stop", id.text(), job->runs_count);
   withdraw(*job, now);
@@ -201,7 +196,7 @@
     on_job_record(*id, entry.data, entry.mark, wall_ms, now);
   }
   std::vector<JobId> removed;
-  for (const auto& [id, job] : jobs_.all()) {
+  for (const auto& [id, job] : cluster_.jobs.all()) {
     if (!job.withdrawn && !there.contains(id)) removed.push_back(id);
   }
   for (const JobId& id : removed) on_job_removed(id, now);
@@ -209,7 +204,7 @@
 }
 
 void Engine::withdraw(Job& job, Instant now) {
-  for (const plan::BookingId booking : job.booked) planner_.revoke(booking);
+  for (const plan::BookingId booking : job.booked) cluster_.planner.revoke(booking);
   job.booked.clear();
   for (Part& part : job.parts) {
     for (auto& [unused, run] : part.runs) {
@@ -218,13 +213,13 @@
       know_halting(run.machine);
     }
   }
-  for (const std::uint32_t index : jobs_.withdraw(job)) prove_gone(job, index, "never started", now);
-  plan_wanted_ = true;
+  for (const std::uint32_t index : cluster_.jobs.withdraw(job)) prove_gone(job, index, "never started", now);
+  cluster_.plan_wanted = true;
 }
 
 std::optional<WriteBatch> Engine::begin_write(Instant now) {
   if (!may_start(now)) return std::nullopt;
-  return jobs_.begin_write(term_mark_, settings_.state_txn_ops, now);
+  return cluster_.jobs.begin_write(term_mark_, cluster_.settings.state_txn_ops, now);
 }
 
 void Engine::end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now) {
@@ -238,8 +233,8 @@
     on_term_conflict(batch.term_mark);
     return;
   }
-  for (const Job& job : jobs_.end_write(batch, result, now)) {
-    for (const plan::BookingId booking : job.booked) planner_.revoke(booking);
+  for (const Job& job : cluster_.jobs.end_write(batch, result, now)) {
+    for (const plan::BookingId booking : job.booked) cluster_.planner.revoke(booking);
   }
 }
 
--- a/src/control/engine_size.cpp
+++ b/src/control/engine_size.cpp
@@ -19,19 +19,20 @@
 
 void Engine::learn_gpu_demand(Instant now) {
   plan::Items wanted = 0;
-  for (const auto& [unused, job] : jobs_) {
+  for (const auto& [unused, job] : cluster_.jobs) {
     if (!job.withdrawn) wanted += job.each.of[1] * (job.spec.tasks - job.done_count);
   }
   plan::Items there = 0;
-  for (const auto& [unused, machine] : machines_) {
-    if (machine.planned == nullptr || (machine.state != MachineState::booting && !usable(machine, now))) continue;
+  for (const auto& [unused, machine] : cluster_.machines) {
+    if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster_.usable(machine, now)))
+      continue;
     there += machine.planned->info.capacity.of[1];
   }
   demand_.learn_gpus(wanted, there, now);
 }
 
 Amounts Engine::offered(const wire::JobSpec& spec, const wire::MachineType& kind) const {
-  return demand_.offered(spec, kind, types_);
+  return demand_.offered(spec, kind, cluster_.types);
 }
 
 // The longest, as it isn't known yet which kind will be rented: a shorter one would have tasks that wait for a slow
@@ -39,7 +40,7 @@
 Millis Engine::boot_awaited(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double longest_s = 0;
-  for (const wire::MachineType& kind : types_) {
+  for (const wire::MachineType& kind : cluster_.types) {
     if (is_type_allowed(spec, kind.name) && each.count_in(offered(spec, kind)) > 0)
       longest_s = std::max(longest_s, kind.boot_s);
   }
@@ -49,7 +50,7 @@
 // What is left of a boot that is late. Most end soon after their time; one that is very late may never end, and is
 // no longer worth waiting for once it has taken as long again.
 Millis Engine::boot_left(const Machine& machine, Instant now) const {
-  const wire::MachineType* kind = type(machine.type);
+  const wire::MachineType* kind = cluster_.type(machine.type);
   const Millis boot = from_seconds(kind == nullptr ? 0 : kind->boot_s);
   const Millis taken = now - machine.since;
   return taken < boot * constants::kBootSlack ? boot / 4 : taken;
@@ -59,17 +60,17 @@
 double Engine::boot_cover_s(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double cover_s = 0;
-  for (const wire::MachineType& kind : types_) {
+  for (const wire::MachineType& kind : cluster_.types) {
     if (each.count_in(offered(spec, kind)) <= 0) continue;
-    const double kind_s =
-        kind.boot_s * constants::kBootSlack + to_seconds(fetch_time(spec, kind.name)) + settings_.report_s;
+    const double kind_s = kind.boot_s * constants::kBootSlack + to_seconds(cluster_.fetch_time(spec, kind.name)) +
+                          cluster_.settings.report_s;
     cover_s = cover_s == 0 ? kind_s : std::min(cover_s, kind_s);
   }
   return cover_s;
 }
 
 bool Engine::urgent_class(const std::string& job_class, const wire::JobSpec& sample) const {
-  return std::ranges::any_of(settings_.objectives, [&](const config::Objective& objective) {
+  return std::ranges::any_of(cluster_.settings.objectives, [&](const config::Objective& objective) {
     if (objective.job_class != job_class || (objective.kind != "wait" && objective.kind != "finished")) return false;
     const double run_s = objective.kind == "finished" ? sample.estimate_s : 0;
     return objective.within_s - run_s < boot_cover_s(sample);
@@ -77,7 +78,7 @@
 }
 
 bool Engine::serves_urgent(const Machine& machine) const {
-  const wire::MachineType* kind = type(machine.type);
+  const wire::MachineType* kind = cluster_.type(machine.type);
   if (kind == nullptr) return false;
   return std::ranges::any_of(demand_.classes(), [&](const auto& entry) {
     const wire::JobSpec& spec = entry.second.sample;
@@ -93,9 +94,9 @@
 // take costs at most twice the least possible, as with hired skis; half of that cost less on the deployments known,
 // where the next work mostly finds cheaper machines. Where an aim leaves no time for a boot, it is kept for longer.
 Millis Engine::idle_most(const Machine& machine) const {
-  if (settings_.operators.idle_return_s > 0) return from_seconds(settings_.operators.idle_return_s);
+  if (cluster_.settings.operators.idle_return_s > 0) return from_seconds(cluster_.settings.operators.idle_return_s);
   if (serves_urgent(machine)) return constants::kReturnIdleUrgent;
-  const wire::MachineType* kind = type(machine.type);
+  const wire::MachineType* kind = cluster_.type(machine.type);
   const double boot_s = kind == nullptr ? 0 : kind->boot_s;
   return std::max(constants::kReturnIdleLeast, from_seconds(boot_s * constants::kIdlePerBoot));
 }
@@ -103,7 +104,7 @@
 double Engine::least_price(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double least = 0;
-  for (const wire::MachineType& kind : types_) {
+  for (const wire::MachineType& kind : cluster_.types) {
     const std::int64_t fit = each.count_in(offered(spec, kind));
     if (fit <= 0 || !is_type_allowed(spec, kind.name)) continue;
     const double price = (spec.spot ? std::min(kind.spot_price, kind.price) : kind.price) / static_cast<double>(fit);
@@ -126,7 +127,7 @@
 std::optional<Engine::Offer> Engine::offer_of(const wire::MachineType& kind, const std::string& zone, bool spot,
                                               const wire::JobSpec& spec, std::int64_t tasks, const Supply::Held& have,
                                               Instant now) const {
-  if (!is_machine_allowed(spec, kind.name, zone, spot) || !counted_on(zone)) return std::nullopt;
+  if (!is_machine_allowed(spec, kind.name, zone, spot) || !cluster_.counted_on(zone)) return std::nullopt;
   Supply::Kind key{kind.name, zone, spot};
   if (!supply_.on_offer(key, have, now)) return std::nullopt;
   // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
@@ -142,9 +143,10 @@
                                               const Supply::Held& have, Instant now, Millis ready_most) const {
   const Amounts each = task_amounts(spec);
   std::optional<Offer> best;
-  for (const wire::MachineType& kind : types_) {
+  for (const wire::MachineType& kind : cluster_.types) {
     if (each.count_in(capacity_of(kind)) <= 0) continue;
-    if (from_seconds(kind.boot_s) + constants::kCloudCallLimit + fetch_time(spec, kind.name) > ready_most) continue;
+    if (from_seconds(kind.boot_s) + constants::kCloudCallLimit + cluster_.fetch_time(spec, kind.name) > ready_most)
+      continue;
     for (const std::string& zone : kind.zones) {
       for (const bool spot : {true, false}) {
         auto offer = offer_of(kind, zone, spot, spec, tasks, have, now);
@@ -166,14 +168,14 @@
   };
   const Amounts each = task_amounts(spec);
   std::vector<Spare> found;
-  for (const auto& [id, machine] : machines_) {
-    if (machine.state != MachineState::booting && !usable(machine, now)) continue;
-    const wire::MachineType* kind = type(machine.type);
+  for (const auto& [id, machine] : cluster_.machines) {
+    if (machine.state != MachineState::booting && !cluster_.usable(machine, now)) continue;
+    const wire::MachineType* kind = cluster_.type(machine.type);
     if (kind == nullptr || machine.planned == nullptr ||
         !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
     if (each.count_in(offered(spec, *kind)) <= 0) continue;
-    if (!pools_.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
+    if (!cluster_.pools.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
     const Instant from = std::max(now, machine.ready);
     const std::int64_t fit = each.count_in(machine.planned->use.free(from, from + constants::kAllocationLimit));
     if (fit <= 0) continue;
@@ -192,10 +194,10 @@
 std::int64_t Engine::reserve_for(const std::string& job_class, const wire::JobSpec& sample, Instant now) {
   const Amounts each = task_amounts(sample);
   double boot_s = 0;
-  for (const wire::MachineType& kind : types_) {
+  for (const wire::MachineType& kind : cluster_.types) {
     if (each.count_in(offered(sample, kind)) > 0) boot_s = boot_s == 0 ? kind.boot_s : std::min(boot_s, kind.boot_s);
   }
-  return demand_.expected(job_class, boot_s * constants::kBootSlack + settings_.report_s, now);
+  return demand_.expected(job_class, boot_s * constants::kBootSlack + cluster_.settings.report_s, now);
 }
 
 std::optional<Engine::Offer> Engine::offer_for_late(const Job& job, std::uint32_t late, const Supply::Held& have,
@@ -214,7 +216,7 @@
   for (const Job* job : planning_order(now)) {
     std::uint32_t late = std::max(job->late_tasks, job->overdue_tasks);
     // No more than the team's limit lets run at once.
-    while (late > 0 && !quota_for(*job, late)) --late;
+    while (late > 0 && !quota_for(cluster_, *job, late)) --late;
     if (late == 0) continue;
     const std::optional<Offer> offer = offer_for_late(*job, late, have, now);
     if (offer) shares[offer->key] += static_cast<double>(late) / static_cast<double>(offer->fit);
@@ -235,8 +237,8 @@
 
 void Engine::size_fleet(Instant now) {
   reserve_.clear();
-  if (types_.empty()) return supply_.want({});
-  const Supply::Held have = machines_.held();
+  if (cluster_.types.empty()) return supply_.want({});
+  const Supply::Held have = cluster_.machines.held();
   MachineShares shares;
   add_late_work(shares, have, now);
   add_reserves(shares, have, now);
--- a/src/control/engine_standby.cpp
+++ b/src/control/engine_standby.cpp
@@ -61,7 +61,7 @@
 standby::Picture Engine::soft_state(Instant now) const {
   standby::Picture picture{.term = term_, .taken = now, .starts_s = 0, .facts = {}};
   std::vector<Fact>& facts = picture.facts;
-  for (const auto& [id, machine] : machines_) {
+  for (const auto& [id, machine] : cluster_.machines) {
     const bool there = machine.state == MachineState::booting || machine.state == MachineState::up;
     if (!there || machine.type.empty() || machine.listed.failed || machine.expired) continue;
     const bool up =
@@ -79,7 +79,7 @@
                                          .images = first_of(machine.images)}));
   }
   std::size_t tasks = 0;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : cluster_.jobs) {
     if (job.withdrawn) continue;
     std::map<std::uint32_t, standby::Task> told;
     for (const auto& [index, saved] : job.saved) told[index].saved = saved;
@@ -97,7 +97,7 @@
       add(facts, Kind::task, id.text(), index, task);
     }
   }
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : cluster_.jobs) {
     if (job.withdrawn || (job.errors == 0 && job.failed_on.empty())) continue;
     add(facts, Kind::trouble, id.text(), 0,
         standby::Shared(standby::Trouble{.errors = static_cast<std::uint64_t>(job.errors),
@@ -106,7 +106,7 @@
   }
   for (const auto& [key, supply] : supply_.refused()) {
     const auto& [type_name, zone, spot] = key;
-    const auto place = std::ranges::find(settings_.zones, zone) - settings_.zones.begin();
+    const auto place = std::ranges::find(cluster_.settings.zones, zone) - cluster_.settings.zones.begin();
     add(facts, Kind::refusal, type_name, static_cast<std::uint32_t>(place) * 2 + (spot ? 1U : 0U),
         standby::Shared(standby::Refusal{
             .zone = zone, .spot = spot, .not_before = supply.not_before, .pause = supply.pause, .most = supply.most}));
@@ -152,8 +152,8 @@
 
 void Engine::hint_machine(const std::string& name, const standby::Machine& told, Instant now) {
   const MachineId id(name);
-  if (id.empty() || told.type.empty() || machines_.gone(id)) return;
-  Machine& machine = know_machine(id, now);
+  if (id.empty() || told.type.empty() || cluster_.machines.gone(id)) return;
+  Machine& machine = cluster_.know_machine(id, now);
   // What reports don't tell. A wrong guess costs a fetch.
   machine.images.insert(told.images.begin(), told.images.end());
   machine.errors = std::max(machine.errors,
@@ -168,38 +168,38 @@
   }
   if (told.up) {
     // It reports within an interval, most likely. After a while it is no longer waited for.
-    const wire::MachineType* kind = type(machine.type);
+    const wire::MachineType* kind = cluster_.type(machine.type);
     const Millis boot = from_seconds(kind == nullptr ? 0 : kind->boot_s);
     const auto slack = std::chrono::ceil<Millis>(boot * constants::kBootSlack);
     machine.since = now - std::max(Millis(0), slack - constants::kStandbyUnheard);
-    machine.ready = now + from_seconds(settings_.report_s);
+    machine.ready = now + from_seconds(cluster_.settings.report_s);
   } else {
     machine.since = std::min(told.since, now);
     machine.ready = std::min(told.ready, now + constants::kPlanHorizon);
   }
-  refresh_plan_machine(machine);
+  cluster_.refresh_plan_machine(machine);
 }
 
 void Engine::hint_task(const Key& key, const standby::Task& told, Instant now) {
-  const auto entry = jobs_.find(JobId(key.name));
-  if (entry == jobs_.end() || key.number >= entry->second.spec.tasks) return;
+  const auto entry = cluster_.jobs.find(JobId(key.name));
+  if (entry == cluster_.jobs.end() || key.number >= entry->second.spec.tasks) return;
   Job& job = entry->second;
   const Millis estimated = estimate(job);
   if (told.saved > Millis(0)) {
     Millis& saved = job.saved[key.number];
     saved = std::max(saved, std::min(told.saved, estimated));
   }
-  Run* run = jobs_.find_run({job.spec.id, key.number});
+  Run* run = cluster_.jobs.find_run({job.spec.id, key.number});
   if (run == nullptr || !told.began || run->attempt != told.attempt || !run->adopted || run->running_since) return;
   run->told_began = std::min(*told.began, now);
   Millis left = estimated - (now - *run->told_began);
   if (const auto saved = job.saved.find(key.number); saved != job.saved.end()) left -= saved->second;
-  planner_.revoke(run->booking);
-  run->booking = planner_.book({.machine = run->machine,
-                                .team = job.spec.team,
-                                .amounts = job.each,
-                                .start = now,
-                                .stop = now + std::max(left, constants::kAllocationLimit)});
+  cluster_.planner.revoke(run->booking);
+  run->booking = cluster_.planner.book({.machine = run->machine,
+                                        .team = job.spec.team,
+                                        .amounts = job.each,
+                                        .start = now,
+                                        .stop = now + std::max(left, constants::kAllocationLimit)});
 }
 
 void Engine::hint(const standby::Picture& picture, Instant now) {
@@ -214,8 +214,8 @@
       case Kind::task: hint_task(fact.key, std::get<standby::Task>(fact.what), now); break;
       case Kind::trouble: {
         const auto& told = *std::get<standby::Shared<standby::Trouble>>(fact.what);
-        const auto job = jobs_.find(JobId(fact.key.name));
-        if (job == jobs_.end()) break;
+        const auto job = cluster_.jobs.find(JobId(fact.key.name));
+        if (job == cluster_.jobs.end()) break;
         job->second.errors = std::max(job->second.errors, static_cast<int>(std::min<std::uint64_t>(told.errors, 99)));
         job->second.not_before =
             std::max(job->second.not_before, std::min(told.not_before, now + constants::kErrorPauseMost));
@@ -258,7 +258,7 @@
     }
   }
   for (const auto& [name, sums] : arrivals) demand_.hint_arrivals(name, spread(sums, now), picture.taken);
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
   spdlog::info("standby: hints of term {} taken: facts={} machines={} tasks={} age_s={:.1f}", picture.term.number(),
                picture.facts.size(), picture.count(Kind::machine), picture.count(Kind::task),
                to_seconds(now - picture.taken));
--- a/src/control/engine_workers.cpp
+++ b/src/control/engine_workers.cpp
@@ -24,11 +24,11 @@
 }
 
 void Engine::prove_gone(Job& job, std::uint32_t index, const char* why, Instant now) {
-  const std::optional<Run> run = jobs_.prove_gone(job, index, machines_, now);
+  const std::optional<Run> run = cluster_.jobs.prove_gone(job, index, cluster_.machines, now);
   if (!run) return;
   const TaskKey key{job.spec.id, index};
-  pools_.ended(key);
-  planner_.revoke(run->booking);
+  cluster_.pools.ended(key);
+  cluster_.planner.revoke(run->booking);
   spdlog::info("task {} attempt {} is off {}: {}", key.text(), run->attempt.number(), run->machine.text(), why);
   if (run->running_since && job.spec.checkpoint_s > 0) {
     // Whole checkpoints survive, whatever became of the machine.
@@ -36,11 +36,11 @@
     Millis& saved = job.saved[index];
     saved += std::max(Millis(0), now - *run->running_since) / step * step;
   }
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
 }
 
 void Engine::finish_task(Job& job, std::uint32_t index, Instant now) {
-  jobs_.mark_done(job, index);
+  cluster_.jobs.mark_done(job, index);
   job.saved.erase(index);
   job.errors = 0;
   job.failed_on.clear();
@@ -48,7 +48,7 @@
 }
 
 void Engine::halt(Job& job, std::uint32_t index, double grace_s) {
-  Run* run = jobs_.find_run({job.spec.id, index});
+  Run* run = cluster_.jobs.find_run({job.spec.id, index});
   if (run == nullptr || (run->halting && run->grace_s <= grace_s)) return;
   run->halting = true;
   run->grace_s = grace_s;
@@ -56,7 +56,8 @@
 }
 
 void Engine::know_halting(const MachineId& id) {
-  if (const auto machine = machines_.find(id); machine != machines_.end()) machine->second.halting = true;
+  if (const auto machine = cluster_.machines.find(id); machine != cluster_.machines.end())
+    machine->second.halting = true;
 }
 
 void Engine::end_gang(Job& job, Instant) {
@@ -90,7 +91,7 @@
 }
 
 Millis Engine::gather_span() const {
-  return from_seconds(std::min(settings_.gang_wait_s / 4, to_seconds(constants::kGangGather)));
+  return from_seconds(std::min(cluster_.settings.gang_wait_s / 4, to_seconds(constants::kGangGather)));
 }
 
 void Engine::gather(Job& job, Instant now) {
@@ -98,17 +99,17 @@
     job.gather_until = now + gather_span();
     spdlog::info("job {}: its gang lost a task before its start, another one is to join", job.spec.id.text());
   }
-  plan_wanted_ = true;
+  cluster_.plan_wanted = true;
 }
 
 void Engine::on_task_ended(Job& job, Machine& machine, const wire::TaskReport& task, Instant now) {
   const std::uint32_t index = task.task.index;
-  const Run run = *jobs_.find_run(task.task);
+  const Run run = *cluster_.jobs.find_run(task.task);
   // What was reckoned of its fetches was wrong: the next attempt waits for the reports.
   if (task.reason == EndReason::alone) job.in_stages = true;
   if (task.reason != EndReason::no_room && task.reason != EndReason::in_use && task.reason != EndReason::unknown &&
       run.seen && *run.seen != TaskState::fetching) {
-    know_image(machine, job.spec);
+    cluster_.know_image(machine, job.spec);
   }
   switch (task.reason) {
     case EndReason::done:
@@ -152,22 +153,22 @@
 
 void Engine::learn_running(Job& job, Machine& machine, Run& run, std::uint32_t index, TaskState state, Instant now) {
   if (state != TaskState::fetching) {
-    if (run.seen.value_or(TaskState::fetching) == TaskState::fetching) know_image(machine, job.spec);
-  } else if (run.seen && pools_.on()) {
+    if (run.seen.value_or(TaskState::fetching) == TaskState::fetching) cluster_.know_image(machine, job.spec);
+  } else if (run.seen && cluster_.pools.on()) {
     // Told twice, it is not only on its way: what was believed to be there is not.
     machine.images.erase(job.spec.image);
-    pools_.was_missing(machine.id, job.spec.image);
+    cluster_.pools.was_missing(machine.id, job.spec.image);
   }
   if (state == TaskState::running && !run.running_since) {
     run.running_since = std::min(now, run.told_began.value_or(now));
-    pools_.began({job.spec.id, index}, job.spec, now - run.placed);
-    planner_.revoke(run.booking);
+    cluster_.pools.began({job.spec.id, index}, job.spec, now - run.placed);
+    cluster_.planner.revoke(run.booking);
     Millis left = estimate(job);
     if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
       left = std::max(left - saved->second, constants::kAllocationLimit);
     }
     if (run.told_began) left = std::max(left - (now - *run.running_since), constants::kAllocationLimit);
-    run.booking = planner_.book(
+    run.booking = cluster_.planner.book(
         {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + left});
     spdlog::info("task {} attempt {} runs on {}, {:.1f} s after its job's submission",
                  TaskKey{job.spec.id, index}.text(), run.attempt.number(), machine.id.text(),
@@ -180,7 +181,7 @@
     }
   }
   // Who waits for the last image is due.
-  if (run.seen != state && job.gather_until) plan_wanted_ = true;
+  if (run.seen != state && job.gather_until) cluster_.plan_wanted = true;
   run.seen = state;
 }
 
@@ -192,17 +193,17 @@
 
 bool Engine::settled(const wire::Report& report) const {
   if (!leading_) return true;
-  const auto entry = machines_.find(report.machine);
-  if (entry == machines_.end()) return true;
+  const auto entry = cluster_.machines.find(report.machine);
+  if (entry == cluster_.machines.end()) return true;
   const bool any_ended =
       std::ranges::any_of(report.tasks, [](const wire::TaskReport& task) { return task.state == TaskState::ended; });
   if (any_ended && plan_wanted()) return false;
   return std::ranges::all_of(report.tasks,
                              [&](const wire::TaskReport& task) {
-                               return task.state != TaskState::ended || jobs_.settled(task.task);
+                               return task.state != TaskState::ended || cluster_.jobs.settled(task.task);
                              }) &&
          std::ranges::all_of(entry->second.runs, [&](const TaskKey& key) {
-           return jobs_.at(key.job).parts[key.index / constants::kTasksPerPart].runs.at(key.index).durable;
+           return cluster_.jobs.at(key.job).parts[key.index / constants::kTasksPerPart].runs.at(key.index).durable;
          });
 }
 
@@ -210,24 +211,24 @@
   // An answer renews the worker's lease, so the right to answer is looked at again.
   if (kept(Guard::answer_rechecked) && !may_answer(now)) return std::nullopt;
   std::vector<Command> commands;
-  const auto entry = machines_.find(report.machine);
-  if (entry == machines_.end()) return commands;
+  const auto entry = cluster_.machines.find(report.machine);
+  if (entry == cluster_.machines.end()) return commands;
   const Machine& machine = entry->second;
   // A newer report has been taken meanwhile: this one teaches nothing any more.
-  if (!machines_.newest(report)) return commands;
+  if (!cluster_.machines.newest(report)) return commands;
   std::set<TaskKey> present;
   for (const wire::TaskReport& task : report.tasks) {
     present.insert(task.task);
-    if (task.state == TaskState::ended && jobs_.settled(task.task)) {
+    if (task.state == TaskState::ended && cluster_.jobs.settled(task.task)) {
       commands.push_back({.kind = CommandKind::clear, .task = task.task, .attempt = task.attempt});
       present.erase(task.task);
     }
   }
   if (machine.state != MachineState::up) return commands;
   for (const TaskKey& key : machine.runs) {
-    const Run& run = *jobs_.find_run(key);
+    const Run& run = *cluster_.jobs.find_run(key);
     if (present.contains(key) || run.session != report.session || run.seen) continue;
-    if (startable(jobs_.at(key.job), run, now)) {
+    if (startable(cluster_.jobs.at(key.job), run, now)) {
       commands.push_back({.kind = CommandKind::run, .task = key, .attempt = run.attempt});
     }
   }
@@ -244,21 +245,21 @@
   ++counters_.reports;
   std::vector<Command> commands;
   // Held up on its way: it teaches nothing.
-  if (!machines_.news(report)) return commands;
-  Machine& machine = know_machine(report.machine, now);
-  if (machines_.hear(machine, report, term_, now)) plan_wanted_ = true;
-  refresh_plan_machine(machine);
+  if (!cluster_.machines.news(report)) return commands;
+  Machine& machine = cluster_.know_machine(report.machine, now);
+  if (cluster_.machines.hear(machine, report, term_, now)) cluster_.plan_wanted = true;
+  cluster_.refresh_plan_machine(machine);
 
   // A later session began with nothing.
   std::vector<TaskKey> ended_sessions;
   for (const TaskKey& key : machine.runs) {
-    if (const Run* run = jobs_.find_run(key);
+    if (const Run* run = cluster_.jobs.find_run(key);
         run != nullptr && run->session < report.session && kept(Guard::ended_session))
       ended_sessions.push_back(key);
   }
   for (const TaskKey& key : ended_sessions) {
-    Job& job = jobs_.at(key.job);
-    const bool had_run = jobs_.find_run(key)->running_since.has_value();
+    Job& job = cluster_.jobs.at(key.job);
+    const bool had_run = cluster_.jobs.find_run(key)->running_since.has_value();
     prove_gone(job, key.index, "the machine's session ended", now);
     lost_from_gang(job, had_run, now);
   }
@@ -267,10 +268,10 @@
   std::vector<Command> runs;
   bool strangers = false;
   for (const wire::TaskReport& task : report.tasks) {
-    const auto job_entry = jobs_.find(task.task.job);
-    Job* job =
-        job_entry == jobs_.end() || task.task.index >= job_entry->second.spec.tasks ? nullptr : &job_entry->second;
-    Run* run = job == nullptr ? nullptr : jobs_.find_run(task.task);
+    const auto job_entry = cluster_.jobs.find(task.task.job);
+    Job* job = job_entry == cluster_.jobs.end() || task.task.index >= job_entry->second.spec.tasks ? nullptr
+                                                                                                   : &job_entry->second;
+    Run* run = job == nullptr ? nullptr : cluster_.jobs.find_run(task.task);
     if (run != nullptr && (run->attempt != task.attempt || run->machine != machine.id)) run = nullptr;
     // A gang's lost task is replaced with the same attempt number, on the same machine perhaps. A report of the session
     // before, held up until a new leader has begun, would tell of the end of the one that runs.
@@ -294,7 +295,7 @@
       continue;
     }
     // Forgotten by the worker only when the record says how it ended.
-    if (!kept(Guard::clear_settled) || jobs_.settled(task.task)) {
+    if (!kept(Guard::clear_settled) || cluster_.jobs.settled(task.task)) {
       commands.push_back({.kind = CommandKind::clear, .task = task.task, .attempt = task.attempt});
     }
   }
@@ -307,9 +308,9 @@
     if (!present.contains(key)) absent.push_back(key);
   }
   for (const TaskKey& key : absent) {
-    Run& run = *jobs_.find_run(key);
+    Run& run = *cluster_.jobs.find_run(key);
     if (!run.durable || run.session != report.session) continue;
-    Job& job = jobs_.at(key.job);
+    Job& job = cluster_.jobs.at(key.job);
     // The worker had seen our term when it made this report, and this report is newer than any that was
     // answered with the start command: what is not in it does not run and will not.
     const bool saw_term = machine.saw_term || !kept(Guard::absent_saw_term);
@@ -326,7 +327,7 @@
     drain(machine, "the cloud takes it in " + std::to_string(static_cast<int>(*report.notice_s)) + " s", now);
     for (const TaskKey& key : machine.runs) {
       if (present.contains(key)) {
-        const Run& run = *jobs_.find_run(key);
+        const Run& run = *cluster_.jobs.find_run(key);
         commands.push_back({.kind = CommandKind::halt, .task = key, .attempt = run.attempt, .grace_s = run.grace_s});
       }
     }
@@ -343,17 +344,17 @@
 std::vector<DirectHalt> Engine::due_halts(Instant now) {
   std::vector<DirectHalt> due;
   if (!leading_) return due;
-  for (auto& [id, machine] : machines_) {
+  for (auto& [id, machine] : cluster_.machines) {
     if (!machine.halting || !machine.reported || machine.address.empty()) continue;
     machine.halting = false;
     DirectHalt halts{
         .term = term_, .machine = id, .address = machine.address, .session = machine.session, .commands = {}};
     for (const TaskKey& key : machine.runs) {
-      Run& run = *jobs_.find_run(key);
+      Run& run = *cluster_.jobs.find_run(key);
       machine.halting = machine.halting || run.halting;
       if (!run.halting || run.session != machine.session || !run.seen) continue;
       // The answer to the next report tells it too; only what that did not reach is told directly.
-      if (run.halt_due == Instant{}) run.halt_due = now + from_seconds(settings_.report_s * 1.5);
+      if (run.halt_due == Instant{}) run.halt_due = now + from_seconds(cluster_.settings.report_s * 1.5);
       if (now < run.halt_due) continue;
       run.halt_due = now + constants::kHaltRepeat;
       halts.commands.push_back(
--- a/src/control/engine_zones.cpp
+++ b/src/control/engine_zones.cpp
@@ -13,8 +13,6 @@
 using guards::Guard;
 using guards::kept;
 
-bool Engine::counted_on(const std::string& zone) const { return settings_.in_service(zone) && zones_.trusted(zone); }
-
 // ---- grants ----
 
 // Machines that only the leader may answer. One with tasks of a withdrawn job: its user was told so before the moment up
@@ -23,16 +21,17 @@
 // the holder is heard: it has most likely died, and its tasks need not wait for the grant's end to start elsewhere.
 std::vector<MachineId> Engine::not_granted(const std::string& zone, Instant now) const {
   std::vector<MachineId> except;
-  for (const auto& [id, machine] : machines_) {
+  for (const auto& [id, machine] : cluster_.machines) {
     const std::string stands_in = machine.seen_zone();
     if (!stands_in.empty() && stands_in != zone) continue;
     const bool halting =
         (machine.strangers && kept(Guard::grant_strangers)) ||
         std::ranges::any_of(machine.runs, [this](const TaskKey& key) {
-          const Job& job = jobs_.at(key.job);
+          const Job& job = cluster_.jobs.at(key.job);
           return (job.withdrawn && kept(Guard::grant_withdrawn)) || (job.reload && kept(Guard::grant_reload));
         });
-    if (halting || (machines_.silent(machine, now) && !grants_.used_within(zone, id, silence_span(settings_), now)))
+    if (halting || (cluster_.machines.silent(machine, now) &&
+                    !cluster_.delegations.used_within(zone, id, silence_span(cluster_.settings), now)))
       except.push_back(id);
   }
   return except;
@@ -40,48 +39,48 @@
 
 std::optional<zone::Grant> Engine::on_ask(const zone::Ask& ask, Instant now) {
   if (!leading_) return std::nullopt;
-  const auto sibling = std::ranges::find(settings_.siblings, ask.node, &config::Sibling::name);
-  if (sibling == settings_.siblings.end()) return std::nullopt;
-  const bool older_over = grants_.older_terms_over();
+  const auto sibling = std::ranges::find(cluster_.settings.siblings, ask.node, &config::Sibling::name);
+  if (sibling == cluster_.settings.siblings.end()) return std::nullopt;
+  const bool older_over = cluster_.delegations.older_terms_over();
   // First what the word tells: a machine that the sibling has answered is not taken for dead.
-  if (!grants_.hear(ask, term_, now)) return std::nullopt;
+  if (!cluster_.delegations.hear(ask, term_, now)) return std::nullopt;
   std::vector<MachineId> except;
   std::optional<Instant> known;
-  if (settings_.operators.zone_grants) {
+  if (cluster_.settings.operators.zone_grants) {
     except = not_granted(sibling->zone, now);
     if (except.size() <= constants::kGrantMachinesMost) known = std::min(lease_confirmed_, read_confirmed_);
   }
-  if (!older_over && grants_.older_terms_over()) {
-    others_until_ = std::min(others_until_, now);
+  if (!older_over && cluster_.delegations.older_terms_over()) {
+    cluster_.older_leaders_until = std::min(cluster_.older_leaders_until, now);
     spdlog::info("every sibling has left older terms");
   }
-  return grants_.give(ask.node, term_, known, except, now);
+  return cluster_.delegations.give(ask.node, term_, known, except, now);
 }
 
 // ---- view ----
 
 void Engine::look_at_zones(Instant now) {
   std::map<std::string, zone::Sighting> seen;
-  for (const std::string& name : settings_.zones) seen[name];
-  for (const auto& [unused, machine] : machines_) {
+  for (const std::string& name : cluster_.settings.zones) seen[name];
+  for (const auto& [unused, machine] : cluster_.machines) {
     if (machine.zone.empty() || machine.state == MachineState::returning || machine.listed.failed) continue;
     zone::Sighting& zone = seen[machine.zone];
-    if (machine.reported && !machine.expired && !machines_.silent(machine, now)) {
+    if (machine.reported && !machine.expired && !cluster_.machines.silent(machine, now)) {
       ++zone.heard;
     } else if (machine.expired) {
       ++zone.ended;
     } else if (machine.reported ||
-               ((machine.listed.running || !machine.runs.empty()) && machines_.silent(machine, now))) {
+               ((machine.listed.running || !machine.runs.empty()) && cluster_.machines.silent(machine, now))) {
       ++zone.silent;
       zone.tasks += machine.runs.size();
     }
   }
   for (auto& [name, zone] : seen) {
-    zone.own = name == settings_.zone;
-    zone.sibling = grants_.has_sibling(name);
-    zone.sibling_silent = grants_.silent_for(name, now);
+    zone.own = name == cluster_.settings.zone;
+    zone.sibling = cluster_.delegations.has_sibling(name);
+    zone.sibling_silent = cluster_.delegations.silent_for(name, now);
   }
-  for (const zone::Change& change : zones_.look(seen, now)) {
+  for (const zone::Change& change : cluster_.zones.look(seen, now)) {
     spdlog::log(change.to == zone::State::whole || change.to == zone::State::returning ? spdlog::level::info
                                                                                        : spdlog::level::warn,
                 "zone {} is {}, it was {}: {} machines heard, {} silent with {} tasks, {} with ended leases{}",
@@ -91,33 +90,34 @@
                 : !change.seen.sibling_silent
                     ? ", its controller was never heard"
                     : ", its controller was heard " + std::to_string(change.seen.sibling_silent->count()) + " ms ago");
-    plan_wanted_ = true;
+    cluster_.plan_wanted = true;
   }
 }
 
 // ---- work of zones that are left ----
 
 void Engine::move_replicas(Instant now) {
-  if (settings_.operators.zones_out.empty()) return;
+  if (cluster_.settings.operators.zones_out.empty()) return;
   Machine* next = nullptr;
-  for (auto& [unused, machine] : machines_) {
-    if (machine.runs.empty() || settings_.in_service(machine.zone)) continue;
+  for (auto& [unused, machine] : cluster_.machines) {
+    if (machine.runs.empty() || cluster_.settings.in_service(machine.zone)) continue;
     if (machine.state == MachineState::draining) return;  // one at a time
-    const bool only_replicas = std::ranges::all_of(
-        machine.runs, [this](const TaskKey& key) { return jobs_.at(key.job).spec.kind == wire::JobKind::service; });
+    const bool only_replicas = std::ranges::all_of(machine.runs, [this](const TaskKey& key) {
+      return cluster_.jobs.at(key.job).spec.kind == wire::JobKind::service;
+    });
     if (next == nullptr && machine.state == MachineState::up && only_replicas) next = &machine;
   }
   if (next != nullptr) drain(*next, "its zone is out of service", now);
 }
 
 void Engine::find_stranded() {
-  if (!settings_.operators.zone_evacuation) return;
-  for (auto& [unused, job] : jobs_) job.stranded = 0;
-  for (const auto& [unused, machine] : machines_) {
-    if (machine.runs.empty() || machine.expired || !zones_.leaves(machine.zone)) continue;
-    const Instant until = lease_end(machine);
+  if (!cluster_.settings.operators.zone_evacuation) return;
+  for (auto& [unused, job] : cluster_.jobs) job.stranded = 0;
+  for (const auto& [unused, machine] : cluster_.machines) {
+    if (machine.runs.empty() || machine.expired || !cluster_.zones.leaves(machine.zone)) continue;
+    const Instant until = cluster_.lease_end(machine);
     for (const TaskKey& key : machine.runs) {
-      Job& job = jobs_.at(key.job);
+      Job& job = cluster_.jobs.at(key.job);
       if (job.withdrawn || job.spec.kind == wire::JobKind::service) continue;
       job.stranded_until = job.stranded == 0 ? until : std::max(job.stranded_until, until);
       ++job.stranded;
@@ -137,7 +137,7 @@
   plan::Request request = planning_request(job, count, std::max(now, job.stranded_until));
   request.places = places_for(job, now);
   std::uint32_t planned = 0;
-  for (const plan::Placing& placing : planner_.plan(request)) {
+  for (const plan::Placing& placing : cluster_.planner.plan(request)) {
     planned += placing.count;
     if (placing.start > request.from + constants::kTick) job.late_tasks += placing.count;
     book_ahead(job, placing);
