--- /dev/null
+++ b/src/control/autoscaler.h
@@ -0,0 +1,79 @@
+// How many machines of which kinds: scales out for tasks that would wait too long, keeps spare capacity for classes whose
+// objectives leave no time for a boot, and scales in what is idle.
+//
+// Owns the demand (what it has learnt of the work that comes), the cloud's capacity (what the cloud has refused, what is
+// wanted of it and the request under way) and which machines are spare capacity. Given the cluster state with each call; it
+// changes machines there only as the cloud answers. Never places, stops or books anything, and asks the cloud for nothing
+// by itself: its owner sends the requests, and only while it may act for the controllers. Pure, with the time passed in;
+// not thread-safe.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "control/cloud_offers.h"
+#include "control/cluster_state.h"
+#include "control/deadline_planner.h"
+#include "control/demand.h"
+#include "control/supply.h"
+#include "control/task_pricing.h"
+#include "wire/messages.h"
+
+namespace foxshunt::control {
+
+class Autoscaler {
+ public:
+  // The one that a successor of this lead, on the same node, begins with: it knows what the cloud has refused.
+  [[nodiscard]] Autoscaler successor() const;
+
+  [[nodiscard]] Demand& demand() { return demand_; }
+  [[nodiscard]] const Demand& demand() const { return demand_; }
+  [[nodiscard]] Supply& capacity() { return supply_; }
+  [[nodiscard]] const Supply& capacity() const { return supply_; }
+  [[nodiscard]] TaskPricing pricing(const ClusterState& cluster) const { return {cluster, demand_}; }
+  // Whether the machine is idle, but kept for what may come.
+  [[nodiscard]] bool is_spare(const MachineId& machine) const { return reserve_.contains(machine); }
+
+  // GPUs that are wanted now, and those that there are.
+  void learn_gpu_demand(const ClusterState& cluster, Instant now);
+  // Works out what is wanted of the cloud from now on. `queue`: the jobs that wait, in their planning order.
+  void size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue, const DeadlinePlanner& deadlines,
+                  Instant now);
+  // Without machine types nothing is wanted of the cloud.
+  void want_nothing();
+
+  // The request under way, or the next one.
+  [[nodiscard]] std::optional<wire::RentRequest> next_rental(const ClusterState& cluster, Term term, Instant now);
+  void on_rented(ClusterState& cluster, const wire::RentRequest& request, const std::vector<MachineId>& rented,
+                 Instant now);
+  void on_rent_refused(ClusterState& cluster, const wire::RentRequest& request, Instant now);
+  // Machines that are to be given back.
+  [[nodiscard]] static std::vector<MachineId> next_returns(const ClusterState& cluster);
+  // Whether there is something to rent or to return.
+  [[nodiscard]] bool cloud_wanted(const ClusterState& cluster) const;
+
+ private:
+  using MachineShares = std::map<Supply::Kind, double>;  // machines, of which a task may be a part
+
+  [[nodiscard]] std::optional<CloudOffers::Offer> offer_for_late(const CloudOffers& offers, const ClusterState& cluster,
+                                                                 const Job& job, const DeadlinePlanner& deadlines,
+                                                                 std::uint32_t late, Instant now) const;
+  [[nodiscard]] std::int64_t spare_for(const ClusterState& cluster, const wire::JobSpec& spec, std::int64_t reserve,
+                                       Instant now);
+  [[nodiscard]] std::int64_t reserve_for(const ClusterState& cluster, const std::string& job_class,
+                                         const wire::JobSpec& sample, Instant now);
+  void add_late_work(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
+                     const DeadlinePlanner& deadlines, MachineShares& shares, Instant now);
+  void add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares, Instant now);
+  void note_refusal(const ClusterState& cluster, const wire::RentRequest& request, Instant now);
+
+  Demand demand_;
+  Supply supply_;
+  std::set<MachineId> reserve_;  // idle, but kept for what may come
+};
+
+}  // namespace foxshunt::control
--- /dev/null
+++ b/src/control/cloud_offers.h
@@ -0,0 +1,48 @@
+// Which machines the cloud may have for a task, and the cheapest of them.
+//
+// A view for the length of a call: it holds references to what it was made of, owns nothing, changes nothing, asks the cloud
+// for nothing, and must not be stored. Pure.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+
+#include "control/cluster_state.h"
+#include "control/supply.h"
+#include "control/task_pricing.h"
+#include "wire/messages.h"
+
+namespace foxshunt::control {
+
+class CloudOffers {
+ public:
+  struct Offer {
+    Supply::Kind key;
+    double price = 0;       // an hour, for each of the tasks that would run on it
+    double full_price = 0;  // the same if it were full
+    std::int64_t fit = 0;   // tasks at once
+  };
+
+  // `have`: the machines that there are.
+  CloudOffers(const ClusterState& cluster, const TaskPricing& pricing, const Supply& capacity, const Supply::Held& have,
+              Instant now)
+      : cluster_(cluster), pricing_(pricing), capacity_(capacity), have_(have), now_(now) {}
+
+  // The cheapest for so many tasks. Nothing if none is on offer, or the cheapest costs more than `ratio_most` times the least
+  // price of a task. `ready_most`: how long it may take until a task runs there.
+  [[nodiscard]] std::optional<Offer> cheapest(const wire::JobSpec& spec, std::int64_t tasks, double ratio_most,
+                                              Millis ready_most = Millis::max()) const;
+
+ private:
+  [[nodiscard]] std::optional<Offer> offer_of(const wire::MachineType& kind, const std::string& zone, bool spot,
+                                              const wire::JobSpec& spec, std::int64_t tasks) const;
+
+  const ClusterState& cluster_;
+  const TaskPricing& pricing_;
+  const Supply& capacity_;
+  const Supply::Held& have_;
+  Instant now_;
+};
+
+}  // namespace foxshunt::control
--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -13,11 +13,11 @@
 #include "classes/ranking.h"
 #include "config/settings.h"
 #include "control/cluster_state.h"
-#include "control/demand.h"
+#include "control/autoscaler.h"
+#include "control/deadline_planner.h"
 #include "control/gang_reservation.h"
 #include "control/placement_rules.h"
 #include "control/job_requirements.h"
-#include "control/supply.h"
 #include "foresight/foresight.h"
 #include "aging/aging.h"
 #include "plan/planner.h"
@@ -122,7 +122,7 @@
   // What becomes of these by the plan, and what lacks.
   [[nodiscard]] std::map<JobId, foresight::Prospect> prospects(Instant now) const;
   // When the plan says that other jobs end; those without a booking are left out.
-  [[nodiscard]] std::map<JobId, Instant> planned_ends() const;
+  [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadlines_.planned_ends(cluster_); }
   // The order of the latest pass; empty without classes.
   [[nodiscard]] const classes::Ranking& ranking() const { return ranking_; }
 
@@ -190,12 +190,6 @@
   }
 
  private:
-  struct Offer {
-    Supply::Kind key;
-    double price = 0;       // an hour, for each of the tasks that would run on it
-    double full_price = 0;  // the same if it were full
-    std::int64_t fit = 0;
-  };
   // records
   Job& add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now);
   // What a record places there is believed to run for its estimate from now on.
@@ -242,9 +236,6 @@
   void find_stranded();
   std::size_t plan_stranded(Job& job, Instant now);
   // planning
-  // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
-  [[nodiscard]] Amounts offered(const wire::JobSpec& spec, const wire::MachineType& kind) const;
-  void learn_gpu_demand(Instant now);
   // How much later than it was submitted a job counts as submitted: the more it takes, the later,
   // and later still once it has missed what its class is hoped to wait at most.
   [[nodiscard]] Millis lag(const Job& job, Instant now) const;
@@ -306,58 +297,15 @@
   // Whether the placed tasks of a gang fetch still, and not for longer than is to be believed.
   [[nodiscard]] bool fetches(const Job& job, Instant now) const;
   void place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now);
-  [[nodiscard]] Millis rental_delay(const Job& job, Instant now) const;
   // standby
   void hint_machine(const std::string& name, const standby::Machine& told, Instant now);
   void hint_task(const standby::Key& key, const standby::Task& told, Instant now);
-  // calendar deadlines
-  [[nodiscard]] std::optional<Instant> planned_end(const Job& job) const;
-  // How many of the tasks without a place are booked to end by then.
-  [[nodiscard]] std::uint64_t tasks_booked_by(const Job& job, Instant by) const;
-  // Nothing if the kind is no use to the job.
-  [[nodiscard]] std::optional<foresight::Kind> rentable_kind(const Job& job, const wire::MachineType& kind,
-                                                             double price_most, const Supply::Held& have) const;
-  // Nothing as long as the plan does not tell.
-  [[nodiscard]] std::optional<foresight::Prospect> prospect_of(const Job& job, Instant by, const Supply::Held& have,
-                                                               Instant now) const;
-  [[nodiscard]] foresight::Work work_of(const Job& job, Instant by, const Supply::Held& have) const;
-  // How many of the tasks are planned to end too late, if machines rented now would keep the deadline.
-  [[nodiscard]] std::uint32_t overdue(const Job& job, const std::vector<plan::Placing>& placings,
-                                      const std::vector<plan::Place>& places, Instant now) const;
-  // How long a machine may take until it runs tasks of the job, for its calendar deadline.
-  [[nodiscard]] Millis time_to_rent(const Job& job, Instant now) const;
   // explanations: each gives the text that follows, if any
   [[nodiscard]] std::optional<std::string> explain_hold(const Job& job, Instant now) const;
   [[nodiscard]] std::optional<std::string> explain_wait(const Job& job, Instant now) const;
   [[nodiscard]] std::string explain_rank(const Job& job) const;
   [[nodiscard]] std::string explain_plan(const Job& job, Instant now) const;
   [[nodiscard]] std::string explain_renting() const;
-  // fleet size
-  // Whether a class has an aim that leaves no time for a boot.
-  [[nodiscard]] bool urgent_class(const std::string& job_class, const wire::JobSpec& sample) const;
-  [[nodiscard]] bool serves_urgent(const Machine& machine) const;
-  [[nodiscard]] double boot_cover_s(const wire::JobSpec& spec) const;
-  [[nodiscard]] Millis boot_awaited(const wire::JobSpec& spec) const;
-  [[nodiscard]] Millis boot_left(const Machine& machine, Instant now) const;
-  [[nodiscard]] Millis idle_most(const Machine& machine) const;
-  [[nodiscard]] std::optional<Offer> cheapest(const wire::JobSpec& spec, std::int64_t tasks, double ratio_most,
-                                              const Supply::Held& have, Instant now,
-                                              Millis ready_most = Millis::max()) const;
-  [[nodiscard]] std::optional<Offer> offer_of(const wire::MachineType& kind, const std::string& zone, bool spot,
-                                              const wire::JobSpec& spec, std::int64_t tasks, const Supply::Held& have,
-                                              Instant now) const;
-  [[nodiscard]] std::optional<Offer> offer_for_late(const Job& job, std::uint32_t late, const Supply::Held& have,
-                                                    Instant now) const;
-  // An hour of the cheapest kind for one task of the job, whether there is one to rent or not.
-  [[nodiscard]] double least_price(const wire::JobSpec& spec) const;
-  [[nodiscard]] std::int64_t spare_for(const wire::JobSpec& spec, std::int64_t reserve, Instant now);
-  [[nodiscard]] std::int64_t reserve_for(const std::string& job_class, const wire::JobSpec& sample, Instant now);
-  using MachineShares = std::map<Supply::Kind, double>;  // machines, of which a task may be a part
-  void add_late_work(MachineShares& shares, const Supply::Held& have, Instant now);
-  void add_reserves(MachineShares& shares, const Supply::Held& have, Instant now);
-  void size_fleet(Instant now);
-  void note_refusal(const wire::RentRequest& request, Instant now);
-
   ClusterState cluster_;
   bool leading_ = false;
   Term term_;
@@ -365,14 +313,12 @@
   Instant lease_confirmed_;
   Instant read_confirmed_;
   Instant gives_way_until_;
-  Supply supply_;
-  Demand demand_;
+  Autoscaler autoscaler_;
   GangReservation reservation_;
-  std::set<MachineId> reserve_;            // idle, but kept for what may come
   std::optional<std::deque<JobId>> pass_;  // what the pass under way has left to plan
   Instant planned_;                        // when the latest pass began
   classes::Ranking ranking_;
-  foresight::Dues dues_;
+  DeadlinePlanner deadlines_;
   Instant led_;  // since when
   Counters counters_;
 };
--- a/src/control/engine_explain.cpp
+++ b/src/control/engine_explain.cpp
@@ -73,7 +73,7 @@
 
 std::string Engine::explain_renting() const {
   if (!cluster_.settings.operators.may_rent) return "; the settings forbid renting";
-  return supply_.wanted() ? "; machines are being rented" : "";
+  return autoscaler_.capacity().wanted() ? "; machines are being rented" : "";
 }
 
 std::optional<std::string> Engine::explain(const JobId& id, Instant now) const {
--- a/src/control/engine_fleet.cpp
+++ b/src/control/engine_fleet.cpp
@@ -60,65 +60,22 @@
 }
 
 std::optional<wire::RentRequest> Engine::next_rental(Instant now) {
-  if (!may_start(now) || !cluster_.settings.operators.may_rent) return std::nullopt;
-  if (const auto& request = supply_.next(term_, cluster_.machines.held(), now)) return request;
-  // Pools come after live work.
-  supply_.ask(cluster_.pools.next_ask());
-  return supply_.next(term_, {}, now);
+  if (!may_start(now)) return std::nullopt;
+  return autoscaler_.next_rental(cluster_, term_, now);
 }
 
 void Engine::on_rented(const wire::RentRequest& request, const std::vector<MachineId>& rented, Instant now) {
-  if (!leading_ || !supply_.answered(request)) return;
-  cluster_.pools.answered(request, rented);
-  const wire::MachineType* kind = cluster_.type(request.type);
-  for (const MachineId& id : rented) {
-    Machine& machine = cluster_.know_machine(id, now);
-    if (machine.reported) continue;
-    machine.type = request.type;
-    machine.zone = request.zone;
-    machine.spot = request.spot;
-    machine.since = now;
-    machine.ready = now + from_seconds(kind == nullptr ? 0 : kind->boot_s);
-    cluster_.refresh_plan_machine(machine);
-  }
-  if (rented.size() < request.count) {
-    note_refusal(request, now);
-  } else {
-    supply_.given({request.type, request.zone, request.spot});
-  }
-  spdlog::info("rented {} of {} {} in {}{}", rented.size(), request.count, request.type, request.zone,
-               request.spot ? ", spot" : "");
-  cluster_.plan_wanted = true;
+  if (leading_) autoscaler_.on_rented(cluster_, request, rented, now);
 }
 
 void Engine::on_rent_refused(const wire::RentRequest& request, Instant now) {
-  if (!supply_.answered(request)) return;
-  cluster_.pools.answered(request, {});
-  note_refusal(request, now);
-  cluster_.plan_wanted = true;
+  autoscaler_.on_rent_refused(cluster_, request, now);
 }
 
-void Engine::note_refusal(const wire::RentRequest& request, Instant now) {
-  const Supply::Kind kind{request.type, request.zone, request.spot};
-  const std::size_t held_now = cluster_.machines.held()[kind];
-  const Millis pause = supply_.refused(kind, held_now, now);
-  spdlog::info("no more {} in {}{} to rent, {} are held; asked again after {:.0f} s", request.type, request.zone,
-               request.spot ? ", spot" : "", held_now, to_seconds(pause));
-}
-
-bool Engine::cloud_wanted() const {
-  return supply_.wanted() || cluster_.pools.next_ask() || std::ranges::any_of(cluster_.machines, [](const auto& entry) {
-           return entry.second.state == MachineState::returning;
-         });
-}
+bool Engine::cloud_wanted() const { return autoscaler_.cloud_wanted(cluster_); }
 
 std::vector<MachineId> Engine::next_returns(Instant now) {
-  std::vector<MachineId> names;
-  if (!may_start(now)) return names;
-  for (const auto& [id, machine] : cluster_.machines) {
-    if (machine.state == MachineState::returning && names.size() < constants::kReturnNamesMost) names.push_back(id);
-  }
-  return names;
+  return may_start(now) ? Autoscaler::next_returns(cluster_) : std::vector<MachineId>();
 }
 
 void Engine::on_returned(const std::vector<MachineId>& names, Instant now) {
@@ -230,8 +187,8 @@
       machine.idle_since.reset();
     } else if (!machine.idle_since) {
       machine.idle_since = now;
-    } else if (cluster_.settings.operators.may_return && !reserve_.contains(id) && !cluster_.pools.keeps(id) &&
-               may_start(now) && now - *machine.idle_since > idle_most(machine)) {
+    } else if (cluster_.settings.operators.may_return && !autoscaler_.is_spare(id) && !cluster_.pools.keeps(id) &&
+               may_start(now) && now - *machine.idle_since > autoscaler_.pricing(cluster_).idle_most(machine)) {
       machine.state = MachineState::returning;
       machine.why = "it is idle";
     }
--- a/src/control/engine_foresight.cpp
+++ b/src/control/engine_foresight.cpp
@@ -1,177 +1,21 @@
-// Deadlines of the calendar: when jobs end by the plan, renting early enough for them, and what lacks where that can't be.
-#include <algorithm>
-
-#include "config/constants.h"
+// The calendar's deadlines, as the engine hands them to the modules.
 #include "control/engine.h"
-#include "control/team_quota.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
 
 void Engine::on_dues(foresight::Dues dues) {
-  std::map<JobId, int> slack;
-  for (const auto& [id, due] : dues) slack.emplace_hint(slack.end(), id, due.step);
-  const bool same = std::ranges::equal(dues, dues_, [](const auto& one, const auto& other) {
-    return one.first == other.first && one.second.step == other.second.step;
-  });
-  if (!same) {
+  if (deadlines_.on_dues(std::move(dues))) {
     cluster_.plan_wanted = true;  // it ranks them
     planned_ = Instant();         // what was planned before tells nothing of them
   }
-  ranking_.on_slack(std::move(slack));
-  dues_ = std::move(dues);
-}
-
-namespace {
-
-std::uint64_t tasks_of(const plan::Booking& booking, const Job& job) {
-  return static_cast<std::uint64_t>(booking.amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
-}
-
-// How many tasks the places have room for, so early that these end by that time; counted up to `enough`.
-std::int64_t timely_room(const Job& job, const std::vector<plan::Place>& places, Instant by, std::uint32_t enough,
-                         Instant now) {
-  std::int64_t room = 0;
-  for (const plan::Place& place : places) {
-    const Instant from = std::max(now, place.node->info.ready);
-    if (from + place.before + run_time(job) > by) continue;
-    room += job.each.count_in(place.node->use.free(from, from + place.before + estimate(job)));
-    if (room >= enough) break;
-  }
-  return room;
-}
-
-}  // namespace
-
-std::optional<Instant> Engine::planned_end(const Job& job) const {
-  // Tasks that have neither a place nor a booking end at no known time, and the job with them.
-  std::uint64_t booked = job.runs_count;
-  Instant end;
-  const Millis beyond = run_time_beyond_booking(job);
-  for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = cluster_.planner.booking(booking);
-    if (found == nullptr) continue;
-    end = std::max(end, found->stop + beyond);
-    booked += tasks_of(*found, job);
-  }
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) {
-      const plan::Booking* found = cluster_.planner.booking(run.booking);
-      if (found != nullptr) end = std::max(end, found->stop);
-    }
-  }
-  if (booked == 0 || booked < job.spec.tasks - job.done_count) return std::nullopt;
-  return end;
-}
-
-std::map<JobId, Instant> Engine::planned_ends() const {
-  std::map<JobId, Instant> ends;
-  for (const auto& [id, job] : cluster_.jobs) {
-    if (job.withdrawn || is_service(job) || dues_.contains(id)) continue;
-    if (const auto end = planned_end(job)) ends.emplace_hint(ends.end(), id, *end);
-  }
-  return ends;
-}
-
-std::uint64_t Engine::tasks_booked_by(const Job& job, Instant by) const {
-  std::uint64_t timely = 0;
-  for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = cluster_.planner.booking(booking);
-    if (found == nullptr || found->stop + run_time_beyond_booking(job) > by) continue;
-    timely += tasks_of(*found, job);
-  }
-  return timely;
-}
-
-std::optional<foresight::Kind> Engine::rentable_kind(const Job& job, const wire::MachineType& kind, double price_most,
-                                                     const Supply::Held& have) const {
-  const std::int64_t fit = job.each.count_in(offered(job.spec, kind));
-  if (fit <= 0) return std::nullopt;
-  foresight::Kind found{.name = kind.name,
-                        .boot = from_seconds(kind.boot_s) + constants::kCloudCallLimit,
-                        .fetch = cluster_.fetch_time(job.spec, kind.name),
-                        .fit = static_cast<std::uint64_t>(fit)};
-  bool any = false;
-  for (const std::string& zone : kind.zones) {
-    for (const bool spot : {false, true}) {
-      if (!is_machine_allowed(job.spec, kind.name, zone, spot)) continue;
-      any = true;
-      const double hourly = spot ? kind.spot_price : kind.price;
-      if (!cluster_.counted_on(zone) || hourly > price_most * static_cast<double>(fit)) continue;
-      found.to_rent = found.to_rent || supply_.counted_on({kind.name, zone, spot}, have);
-    }
-  }
-  return any ? std::optional(std::move(found)) : std::nullopt;
-}
-
-foresight::Work Engine::work_of(const Job& job, Instant by, const Supply::Held& have) const {
-  foresight::Work work{.by = by, .run = run_time(job)};
-  work.waiting = job.pending();
-  work.together = is_gang(job);
-  work.may_rent = cluster_.settings.operators.may_rent;
-  work.end = planned_end(job);
-  work.late = work.waiting - std::min(work.waiting, tasks_booked_by(job, by));
-  if (const config::Team* team = cluster_.settings.team(job.spec.team); team != nullptr) {
-    work.limit = TeamQuota(*team).remaining_tasks(job.each, cluster_.jobs.team_use(job.spec.team));
-  }
-  if (const classes::Rank* rank = ranking_.find(job.spec.id); rank != nullptr && ranking_.on()) {
-    work.capped = rank->capped;
-  }
-  const double price_most = least_price(job.spec) * constants::kLatePriceMost;
-  for (const wire::MachineType& kind : cluster_.types) {
-    if (auto rentable = rentable_kind(job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
-  }
-  return work;
-}
-
-std::optional<foresight::Prospect> Engine::prospect_of(const Job& job, Instant by, const Supply::Held& have,
-                                                       Instant now) const {
-  // A pass books some of a very large array only; the rest is not late for that.
-  if (job.withdrawn || is_service(job) || job.pending() > constants::kTasksPlannedPerPass) return std::nullopt;
-  const auto end = planned_end(job);
-  if (end && *end <= by) return foresight::Prospect{.end = end};
-  // What came after the latest pass began has no place in it yet.
-  if (!end && job.submitted >= planned_) return std::nullopt;
-  return foresight::look(work_of(job, by, have), now);
+  ranking_.on_slack(deadlines_.slack());
 }
 
 std::map<JobId, foresight::Prospect> Engine::prospects(Instant now) const {
-  std::map<JobId, foresight::Prospect> prospects;
-  if (dues_.empty() || !leading_ || cluster_.types.empty()) return prospects;
   // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
-  if (pass_ || planned_ < led_ + detour_span(cluster_.settings)) return prospects;
-  const Supply::Held have = cluster_.machines.held();
-  for (const auto& [id, due] : dues_) {
-    const auto entry = cluster_.jobs.find(id);
-    if (entry == cluster_.jobs.end()) continue;
-    if (auto prospect = prospect_of(entry->second, due.by, have, now)) {
-      prospects.emplace_hint(prospects.end(), id, std::move(*prospect));
-    }
-  }
-  return prospects;
-}
-
-std::uint32_t Engine::overdue(const Job& job, const std::vector<plan::Placing>& placings,
-                              const std::vector<plan::Place>& places, Instant now) const {
-  const auto due = dues_.find(job.spec.id);
-  if (due == dues_.end()) return 0;
-  const Instant by = due->second.by;
-  std::uint32_t late = 0;
-  for (const plan::Placing& placing : placings) {
-    if (placing.stop + run_time_beyond_booking(job) > by) late += placing.count;
-  }
-  if (late == 0) return 0;
-  const foresight::Work work = work_of(job, by, {});
-  if (std::ranges::none_of(work.kinds, [&](const auto& kind) { return foresight::in_time(work, kind, now); })) return 0;
-  // Where machines have room for these in time it is something else that lacks, a limit perhaps: renting for it would go
-  // on in each pass, as what is rented stays empty.
-  return timely_room(job, places, by, late, now) >= late ? 0 : late;
-}
-
-Millis Engine::time_to_rent(const Job& job, Instant now) const {
-  const auto due = dues_.find(job.spec.id);
-  if (due == dues_.end()) return Millis::max();
-  return due->second.by - now - run_time(job);
+  if (!leading_ || pass_ || planned_ < led_ + detour_span(cluster_.settings)) return {};
+  return deadlines_.prospects({cluster_, autoscaler_.demand(), autoscaler_.capacity(), ranking_}, planned_, now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -32,8 +32,9 @@
 }
 
 aging::WaitingJob Engine::waiting_job(const Job& job, Instant now) const {
-  return {
-      .submitted = job.submitted, .lag = lag(job, now), .largest = demand_.largest(job.spec.job_class, job.spec.tasks)};
+  return {.submitted = job.submitted,
+          .lag = lag(job, now),
+          .largest = autoscaler_.demand().largest(job.spec.job_class, job.spec.tasks)};
 }
 
 Instant Engine::effective_submission(const Job& job, Instant now) const {
@@ -47,7 +48,7 @@
     const bool waits_whole = job.runs_count == 0 && job.pending() > 0 && !job.withdrawn && job.not_before <= now;
     if (!is_gang(job) || !waits_whole) continue;
     if (now - job.submitted < constants::kReservationAfter) continue;
-    if (!demand_.largest(job.spec.job_class, job.spec.tasks)) continue;
+    if (!autoscaler_.demand().largest(job.spec.job_class, job.spec.tasks)) continue;
     // At its team's limit no machine would help it.
     if (quota_for(cluster_, job, job.pending())) candidates.push_back({.job = id, .submitted = job.submitted});
   }
@@ -138,7 +139,7 @@
     extend_overrunning(job, now);
     forget_latest_plan(job);
   }
-  learn_gpu_demand(now);
+  autoscaler_.learn_gpu_demand(cluster_, now);
   find_stranded();
   reservation_.choose(reservation_candidates(now), now);
   pass_.emplace();
@@ -169,7 +170,11 @@
   counters_.places_seen += places;
   if (!pass_->empty()) return false;
   pass_.reset();
-  size_fleet(now);
+  if (cluster_.types.empty()) {
+    autoscaler_.want_nothing();
+  } else {
+    autoscaler_.size_fleet(cluster_, planning_order(now), deadlines_, now);
+  }
   return true;
 }
 
@@ -229,12 +234,13 @@
 };
 
 std::vector<Engine::TypeFit> Engine::type_fits(const Job& job) const {
+  const TaskPricing pricing = autoscaler_.pricing(cluster_);
   std::vector<TypeFit> fits;
   for (const wire::MachineType& type : cluster_.types) {
     fits.push_back({.type = &type,
                     .allowed = is_type_allowed(job.spec, type.name),
                     .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
-                    .offered = offered(job.spec, type),
+                    .offered = pricing.offered(job.spec, type),
                     .fetch = cluster_.fetch_time(job.spec, type.name)});
   }
   return fits;
@@ -267,7 +273,8 @@
 
 // What the machine has to do before a task of the job runs there: boot, and fetch the image.
 Millis Engine::preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const {
-  if (machine.state == MachineState::booting && machine.ready < now) return fetch + boot_left(machine, now);
+  if (machine.state == MachineState::booting && machine.ready < now)
+    return fetch + autoscaler_.pricing(cluster_).boot_left(machine, now);
   if (machine.images.contains(job.spec.image)) return Millis(0);
   // Of two that have to fetch it, the one that is to hold it anyway.
   if (fetch > Millis(0) && cluster_.pools.wants(machine.id, job.spec.image))
@@ -279,7 +286,7 @@
 std::vector<plan::Place> Engine::places_for(const Job& job, Instant now) const {
   const std::vector<TypeFit> fits = type_fits(job);
   const std::optional<std::size_t> warms = cluster_.pools.warms(job.spec, now - job.submitted);
-  plan::Items spare_gpus = demand_.gpus_spare();
+  plan::Items spare_gpus = autoscaler_.demand().gpus_spare();
   std::vector<plan::Place> places;
   const TypeFit* fit = nullptr;  // of the machine before, which mostly is of the same type
   for (const auto& [id, machine] : cluster_.machines) {
@@ -357,7 +364,8 @@
 std::uint32_t Engine::count_late_tasks(Job& job, const JobTurn& turn, Instant now) const {
   std::uint32_t planned = 0;
   // Renting helps only a task that a machine rented now would start earlier; those that boot are waited for.
-  const Instant rent_after = now + std::max(rental_delay(job, now), boot_awaited(job.spec));
+  const Instant rent_after =
+      now + std::max(deadlines_.rental_delay(job, now), autoscaler_.pricing(cluster_).boot_awaited(job.spec));
   for (const plan::Placing& placing : turn.placings) {
     planned += placing.count;
     if (placing.start > rent_after + constants::kTick) job.late_tasks += placing.count;
@@ -405,7 +413,9 @@
   if (place_due(job, turn.placings, now) && turn.gang) return places;
   book_later_starts(job, turn.placings, now);
   if (turn.reserves) keep_machines_free(job, turn.placings, now);
-  if (!turn.warms && !turn.joins) job.overdue_tasks = overdue(job, turn.placings, turn.request.places, now);
+  if (!turn.warms && !turn.joins)
+    job.overdue_tasks = deadlines_.overdue({cluster_, autoscaler_.demand(), autoscaler_.capacity(), ranking_}, job,
+                                           turn.placings, turn.request.places, now);
   // Under a cap only what was planned may displace anything.
   const std::uint32_t left = ranking_.on() ? count - (pending_before - job.pending()) : job.pending();
   if (left == 0) return places;
--- a/src/control/engine_pools.cpp
+++ b/src/control/engine_pools.cpp
@@ -28,7 +28,7 @@
     pools::Sight sight{.id = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot};
     sight.leaving = machine.state == MachineState::draining || machine.state == MachineState::returning;
     const bool booked = machine.planned != nullptr && !machine.planned->use.of(0).slots().empty();
-    sight.spare = machine.runs.empty() && !booked && !reserve_.contains(id) && cluster_.usable(machine, now);
+    sight.spare = machine.runs.empty() && !booked && !autoscaler_.is_spare(id) && cluster_.usable(machine, now);
     for (const TaskKey& key : machine.runs) {
       const Job& job = cluster_.jobs.at(key.job);
       cluster_.pools.look(sight, job.spec);
--- a/src/control/engine_records.cpp
+++ b/src/control/engine_records.cpp
@@ -25,12 +25,12 @@
 
 void Engine::lead(const Takeover& takeover, Instant now) {
   const std::vector<wire::MachineType> types = std::move(cluster_.types);
-  const Supply supply = supply_.refusals();
+  Autoscaler autoscaler = autoscaler_.successor();
   pools::Desk pools = std::move(cluster_.pools);
   classes::Ranking ranking = std::move(ranking_);
   *this = Engine(std::move(cluster_.settings));
   cluster_.types = types;
-  supply_ = supply;
+  autoscaler_ = std::move(autoscaler);
   cluster_.pools = std::move(pools);
   cluster_.pools.lead(now);
   ranking_ = std::move(ranking);
@@ -138,7 +138,7 @@
 
 Job& Engine::add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now) {
   Job& job = cluster_.jobs.add(record, mark, wall_ms, cluster_.machines, now);
-  demand_.learn(job.spec, job.each, job.submitted);
+  autoscaler_.demand().learn(job.spec, job.each, job.submitted);
   if (record.whole) book_adopted(job, 0, now);
   cluster_.plan_wanted = true;
   return job;
--- a/src/control/engine_standby.cpp
+++ b/src/control/engine_standby.cpp
@@ -59,6 +59,7 @@
 }  // namespace
 
 standby::Picture Engine::soft_state(Instant now) const {
+  const TaskPricing pricing = autoscaler_.pricing(cluster_);
   standby::Picture picture{.term = term_, .taken = now, .starts_s = 0, .facts = {}};
   std::vector<Fact>& facts = picture.facts;
   for (const auto& [id, machine] : cluster_.machines) {
@@ -104,15 +105,15 @@
                                          .not_before = job.not_before,
                                          .failed_on = first_of(job.failed_on)}));
   }
-  for (const auto& [key, supply] : supply_.refused()) {
+  for (const auto& [key, supply] : autoscaler_.capacity().refused()) {
     const auto& [type_name, zone, spot] = key;
     const auto place = std::ranges::find(cluster_.settings.zones, zone) - cluster_.settings.zones.begin();
     add(facts, Kind::refusal, type_name, static_cast<std::uint32_t>(place) * 2 + (spot ? 1U : 0U),
         standby::Shared(standby::Refusal{
             .zone = zone, .spot = spot, .not_before = supply.not_before, .pause = supply.pause, .most = supply.most}));
   }
-  for (const auto& [name, demand] : demand_.classes()) {
-    if (!urgent_class(name, demand.sample)) continue;
+  for (const auto& [name, demand] : autoscaler_.demand().classes()) {
+    if (!pricing.urgent_class(name, demand.sample)) continue;
     std::map<std::uint32_t, standby::Arrivals> sums;
     for (const auto& [when, count] : demand.arrivals) {
       if (when < now - constants::kDemandWindow) continue;
@@ -125,9 +126,9 @@
       add(facts, Kind::arrivals, name, number, sum);
     }
   }
-  for (const auto& [name, demand] : demand_.classes()) {
-    standby::Sample sample{.largest = demand_.most(name)};
-    if (const wire::JobSpec& spec = demand.sample; urgent_class(name, spec)) {
+  for (const auto& [name, demand] : autoscaler_.demand().classes()) {
+    standby::Sample sample{.largest = autoscaler_.demand().most(name)};
+    if (const wire::JobSpec& spec = demand.sample; pricing.urgent_class(name, spec)) {
       sample = {.cpus = spec.cpus,
                 .gpus = spec.gpus,
                 .ram_gb = spec.ram_gb,
@@ -139,9 +140,9 @@
     add(facts, Kind::sample, name, 0, standby::Shared(sample));
   }
   standby::GpuDemand gpus{.peaks = {},
-                          .cpus_beside = count_of(demand_.beside_gpu().of[0]),
-                          .ram_beside = count_of(demand_.beside_gpu().of[2])};
-  for (const auto& [when, items] : demand_.gpu_peaks()) {
+                          .cpus_beside = count_of(autoscaler_.demand().beside_gpu().of[0]),
+                          .ram_beside = count_of(autoscaler_.demand().beside_gpu().of[2])};
+  for (const auto& [when, items] : autoscaler_.demand().gpu_peaks()) {
     if (gpus.peaks.size() < constants::kStandbyListMost / 2) gpus.peaks.emplace_back(when, count_of(items));
   }
   if (!gpus.peaks.empty()) {
@@ -224,16 +225,17 @@
       }
       case Kind::refusal: {
         const auto& told = *std::get<standby::Shared<standby::Refusal>>(fact.what);
-        supply_.hint({fact.key.name, told.zone, told.spot},
-                     {.not_before = std::min(told.not_before, now + constants::kCapacityPauseMost),
-                      .pause = std::clamp(told.pause, constants::kCapacityPause, constants::kCapacityPauseMost),
-                      .most = told.most.value_or(0)});
+        autoscaler_.capacity().hint(
+            {fact.key.name, told.zone, told.spot},
+            {.not_before = std::min(told.not_before, now + constants::kCapacityPauseMost),
+             .pause = std::clamp(told.pause, constants::kCapacityPause, constants::kCapacityPauseMost),
+             .most = told.most.value_or(0)});
         break;
       }
       case Kind::arrivals: arrivals[fact.key.name].push_back(std::get<standby::Arrivals>(fact.what)); break;
       case Kind::sample: {
         const auto& told = *std::get<standby::Shared<standby::Sample>>(fact.what);
-        demand_.hint_largest(fact.key.name, static_cast<std::uint32_t>(told.largest), now);
+        autoscaler_.demand().hint_largest(fact.key.name, static_cast<std::uint32_t>(told.largest), now);
         if (told.estimate_s <= 0) break;
         wire::JobSpec sample;
         sample.job_class = fact.key.name;
@@ -243,7 +245,7 @@
         sample.image_gb = told.image_gb;
         sample.estimate_s = told.estimate_s;
         sample.spot = told.spot;
-        demand_.hint_sample(sample);
+        autoscaler_.demand().hint_sample(sample);
         break;
       }
       case Kind::gpus: {
@@ -252,12 +254,12 @@
         for (const auto& [when, items] : told.peaks) {
           if (when <= now && when >= now - constants::kGpuDemandWindow) peaks.emplace_back(when, items_of(items));
         }
-        demand_.hint_gpus(peaks, items_of(told.cpus_beside), items_of(told.ram_beside));
+        autoscaler_.demand().hint_gpus(peaks, items_of(told.cpus_beside), items_of(told.ram_beside));
         break;
       }
     }
   }
-  for (const auto& [name, sums] : arrivals) demand_.hint_arrivals(name, spread(sums, now), picture.taken);
+  for (const auto& [name, sums] : arrivals) autoscaler_.demand().hint_arrivals(name, spread(sums, now), picture.taken);
   cluster_.plan_wanted = true;
   spdlog::info("standby: hints of term {} taken: facts={} machines={} tasks={} age_s={:.1f}", picture.term.number(),
                picture.facts.size(), picture.count(Kind::machine), picture.count(Kind::task),
--- a/src/control/engine_zones.cpp
+++ b/src/control/engine_zones.cpp
@@ -130,7 +130,7 @@
 // nothing has moved, and the next pass books none of it.
 std::size_t Engine::plan_stranded(Job& job, Instant now) {
   // Renting before a boot would end at the proof costs for nothing.
-  const bool due = job.stranded_until - now <= boot_awaited(job.spec);
+  const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).boot_awaited(job.spec);
   if (!due) return 0;
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
                                            : std::min(job.stranded, std::uint32_t{constants::kTasksPlannedPerPass});
