--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -15,7 +15,7 @@
 #include "control/cluster_state.h"
 #include "control/autoscaler.h"
 #include "control/deadline_planner.h"
-#include "control/gang_reservation.h"
+#include "control/gang_coordinator.h"
 #include "control/placement_rules.h"
 #include "control/job_requirements.h"
 #include "foresight/foresight.h"
@@ -204,10 +204,6 @@
   void end_gang(Job& job, Instant now);
   // A task of the gang is gone together with its machine: another one joins the rest if they have not begun.
   void lost_from_gang(Job& job, bool had_run, Instant now);
-  void gather(Job& job, Instant now);
-  [[nodiscard]] Millis gather_span() const;
-  // Whether all that is left of a gang's attempt is known to wait for the others.
-  [[nodiscard]] bool gathers(const Job& job) const;
   [[nodiscard]] bool startable(const Job& job, const Run& run, Instant now) const;
   void learn_running(Job& job, Machine& machine, Run& run, std::uint32_t index, wire::TaskState state, Instant now);
   [[nodiscard]] double save_grace(const Job& job) const;
@@ -242,8 +238,6 @@
   [[nodiscard]] aging::WaitingJob waiting_job(const Job& job, Instant now) const;
   // When the job counts as submitted, in the planning order.
   [[nodiscard]] Instant effective_submission(const Job& job, Instant now) const;
-  // Gangs that have waited long enough for a backfill reservation and that their team's limit does not hold back.
-  [[nodiscard]] std::vector<GangReservation::Candidate> reservation_candidates(Instant now) const;
   [[nodiscard]] std::vector<Job*> planning_order(Instant now);
   // The same jobs in the order of their classes.
   void order_by_class(std::vector<Job*>& jobs, Instant now);
@@ -254,6 +248,7 @@
   void forget_latest_plan(Job& job);
   void begin_pass(Instant now);
   struct JobTurn;
+  // Ends the attempt when it is too late for that.
   [[nodiscard]] bool may_replace_members(Job& job, Instant now);
   // How many of the job's tasks the pass plans: all of a gang, a portion of others, less what its class's cap keeps back.
   [[nodiscard]] std::uint32_t tasks_to_plan(const Job& job, bool joins);
@@ -277,25 +272,10 @@
   // Whether pools leave the machine to the job. `warms`: the pool that its tasks are to warm.
   [[nodiscard]] bool left_to(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
                              Instant now) const;
-  // For tasks that start later; revoked by the next pass.
-  void book_ahead(Job& job, const plan::Placing& placing);
-  // Plans the gang that holds the reservation: in the zone and on the machines that are kept for it.
-  [[nodiscard]] std::vector<plan::Placing> plan_reserved(plan::Request request) const;
-  // Books the span from which each of the gang's machines is free until its planned start.
-  void keep_machines_free(Job& job, const std::vector<plan::Placing>& placings, Instant now);
   [[nodiscard]] bool gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const;
   bool place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
   // Places what may start now. Whether anything was placed.
   bool place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now);
-  // Of a gang's tasks those that are to be placed now; the others' places are booked, see docs/design/gathering.md.
-  std::vector<plan::Placing> due_of_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
-  // How long until the machine has the job's image, if the task is placed there now.
-  [[nodiscard]] Millis image_wait(const Job& job, const Machine& machine) const;
-  // How long until the placed task has its image, by the machine type's rate and by what was reported; never nothing
-  // while it is known to fetch.
-  [[nodiscard]] Millis image_left(const Job& job, const Run& run, Instant now) const;
-  // Whether the placed tasks of a gang fetch still, and not for longer than is to be believed.
-  [[nodiscard]] bool fetches(const Job& job, Instant now) const;
   void place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now);
   // standby
   void hint_machine(const std::string& name, const standby::Machine& told, Instant now);
@@ -314,7 +294,7 @@
   Instant read_confirmed_;
   Instant gives_way_until_;
   Autoscaler autoscaler_;
-  GangReservation reservation_;
+  GangCoordinator gangs_;
   std::optional<std::deque<JobId>> pass_;  // what the pass under way has left to plan
   Instant planned_;                        // when the latest pass began
   classes::Ranking ranking_;
--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -9,6 +9,7 @@
 #include "config/constants.h"
 #include "config/guards.h"
 #include "control/engine.h"
+#include "control/planned_bookings.h"
 #include "control/team_quota.h"
 #include "control/times.h"
 
@@ -38,23 +39,10 @@
 }
 
 Instant Engine::effective_submission(const Job& job, Instant now) const {
-  if (reservation_.held_by(job.spec.id)) return job.submitted - constants::kLargestHeadStart;
+  if (gangs_.holds_reservation(job.spec.id)) return job.submitted - constants::kLargestHeadStart;
   return aging::effective_submission(waiting_job(job, now), now);
 }
 
-std::vector<GangReservation::Candidate> Engine::reservation_candidates(Instant now) const {
-  std::vector<GangReservation::Candidate> candidates;
-  for (const auto& [id, job] : cluster_.jobs) {
-    const bool waits_whole = job.runs_count == 0 && job.pending() > 0 && !job.withdrawn && job.not_before <= now;
-    if (!is_gang(job) || !waits_whole) continue;
-    if (now - job.submitted < constants::kReservationAfter) continue;
-    if (!autoscaler_.demand().largest(job.spec.job_class, job.spec.tasks)) continue;
-    // At its team's limit no machine would help it.
-    if (quota_for(cluster_, job, job.pending())) candidates.push_back({.job = id, .submitted = job.submitted});
-  }
-  return candidates;
-}
-
 namespace {
 
 struct QueueEntry {
@@ -123,8 +111,7 @@
 }
 
 void Engine::forget_latest_plan(Job& job) {
-  for (const plan::BookingId booking : job.booked) cluster_.planner.revoke(booking);
-  job.booked.clear();
+  revoke_bookings(cluster_, job);
   job.planned_start.reset();
   job.late_tasks = 0;
   job.overdue_tasks = 0;
@@ -141,7 +128,7 @@
   }
   autoscaler_.learn_gpu_demand(cluster_, now);
   find_stranded();
-  reservation_.choose(reservation_candidates(now), now);
+  gangs_.choose_holder(cluster_, autoscaler_.demand(), now);
   pass_.emplace();
   for (const Job* job : planning_order(now)) pass_->push_back(job->spec.id);
 }
@@ -313,14 +300,10 @@
   std::vector<plan::Placing> placings;
 };
 
-// A gang whose start barrier holds waits for replacements up to a timeout; then the attempt ends.
 bool Engine::may_replace_members(Job& job, Instant now) {
-  if (!job.gather_until || !gathers(job)) return false;
-  // Those that fetch don't give up yet: the rest has until some time after they are there.
-  if (fetches(job, now)) job.gather_until = std::max(*job.gather_until, now + gather_span());
-  if (now <= *job.gather_until) return true;
-  end_gang(job, now);
-  return false;
+  const MissingMembers missing = GangCoordinator::missing_members(cluster_, job, now);
+  if (missing == MissingMembers::overdue) end_gang(job, now);
+  return missing == MissingMembers::replace;
 }
 
 std::uint32_t Engine::tasks_to_plan(const Job& job, bool joins) {
@@ -344,7 +327,7 @@
 }
 
 std::vector<plan::Placing> Engine::plan_turn(const JobTurn& turn) const {
-  if (turn.reserves) return plan_reserved(turn.request);
+  if (turn.reserves) return gangs_.plan_reserved(cluster_.planner, turn.request);
   return turn.warms ? one_to_a_machine(cluster_.planner, turn.request) : cluster_.planner.plan(turn.request);
 }
 
@@ -380,7 +363,7 @@
   for (const plan::Placing& placing : placings) {
     if (placing.start <= now && cluster_.machines.at(placing.machine).state == MachineState::up) continue;
     if (!job.planned_start || placing.start < *job.planned_start) job.planned_start = placing.start;
-    book_ahead(job, placing);
+    book_ahead(cluster_, job, placing);
   }
 }
 
@@ -403,7 +386,7 @@
   const std::uint32_t count = tasks_to_plan(job, turn.joins);
   if (count == 0) return 0;  // kept back by its class's cap
   turn.warms = cluster_.pools.warms(job.spec, now - job.submitted).has_value();
-  turn.reserves = !turn.joins && reservation_.held_by(job.spec.id);
+  turn.reserves = !turn.joins && gangs_.holds_reservation(job.spec.id);
   turn.request = planning_request(job, count, now);
   add_zones_taken(job, turn.request);
   const std::size_t places = find_placings(job, turn, now);
@@ -412,7 +395,7 @@
   const std::uint32_t pending_before = job.pending();
   if (place_due(job, turn.placings, now) && turn.gang) return places;
   book_later_starts(job, turn.placings, now);
-  if (turn.reserves) keep_machines_free(job, turn.placings, now);
+  if (turn.reserves) gangs_.keep_machines_free(cluster_, job, turn.placings, now);
   if (!turn.warms && !turn.joins)
     job.overdue_tasks = deadlines_.overdue({cluster_, autoscaler_.demand(), autoscaler_.capacity(), ranking_}, job,
                                            turn.placings, turn.request.places, now);
@@ -424,48 +407,6 @@
   return places;
 }
 
-void Engine::book_ahead(Job& job, const plan::Placing& placing) {
-  job.booked.push_back(cluster_.planner.book({.machine = placing.machine,
-                                              .team = job.spec.team,
-                                              .amounts = job.each.times(placing.count),
-                                              .start = placing.start,
-                                              .stop = placing.stop}));
-}
-
-std::vector<plan::Placing> Engine::plan_reserved(plan::Request request) const {
-  for (plan::Place& place : request.places) place.preferred = reservation_.keeps(place.node->info.id);
-  std::vector<plan::Placing> placings = cluster_.planner.plan(request);
-  if (!request.one_zone || placings.empty() || reservation_.zone().empty()) return placings;
-  // What was kept so far would go to others if it moved to the zone that looks best by the estimates of the moment. It moves
-  // only where it can start at once.
-  if (placings.front().start <= request.from) return placings;
-  // Bound to the zone where it is planned already, the same plan would be found again.
-  if (cluster_.planner.node(placings.front().machine)->info.zone == reservation_.zone()) return placings;
-  request.zone_bound = reservation_.zone();
-  std::vector<plan::Placing> there = cluster_.planner.plan(request);
-  return there.empty() ? placings : there;
-}
-
-void Engine::keep_machines_free(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  std::set<MachineId> kept;
-  for (const plan::Placing& placing : placings) {
-    const plan::PlanNode* node = cluster_.planner.node(placing.machine);
-    const Amounts amounts = job.each.times(placing.count);
-    const plan::Spans free =
-        node->use.free_spans(amounts, constants::kTick, std::max(now, node->info.ready), placing.start);
-    if (free.empty() || free.back().stop != placing.start) continue;
-    // Its team does not use it yet: others of the team may still reach the team's limit.
-    job.booked.push_back(cluster_.planner.book({.machine = placing.machine,
-                                                .team = {},
-                                                .amounts = amounts,
-                                                .start = free.back().start,
-                                                .stop = free.back().stop}));
-    if (free.back().start <= now) kept.insert(placing.machine);
-  }
-  const bool one_zone = job.spec.one_zone && !placings.empty();
-  reservation_.plan(one_zone ? cluster_.machines.at(placings.front().machine).zone : std::string(), std::move(kept));
-}
-
 void Engine::place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now) {
   Millis left = estimate(job);
   if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
@@ -483,62 +424,6 @@
                machine.id.text());
 }
 
-Millis Engine::image_wait(const Job& job, const Machine& machine) const {
-  return machine.images.contains(job.spec.image) ? Millis(0) : cluster_.fetch_time(job.spec, machine.type);
-}
-
-Millis Engine::image_left(const Job& job, const Run& run, Instant now) const {
-  const auto machine = cluster_.machines.find(run.machine);
-  if (machine == cluster_.machines.end()) return Millis(0);
-  const bool told = run.seen && *run.seen == wire::TaskState::fetching;
-  if (!told && (run.seen || machine->second.images.contains(job.spec.image))) return Millis(0);
-  const Millis passed = std::max(Millis(0), now - run.placed);
-  const Millis whole = cluster_.fetch_time(job.spec, machine->second.type);
-  // One that is overdue takes as much longer as it has shown already.
-  return std::max({whole - passed, passed / constants::kFetchOverdue, told ? constants::kTick : Millis(0)});
-}
-
-bool Engine::fetches(const Job& job, Instant now) const {
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) {
-      const auto machine = cluster_.machines.find(run.machine);
-      if (machine == cluster_.machines.end() || image_left(job, run, now) == Millis(0)) continue;
-      const Millis most = cluster_.fetch_time(job.spec, machine->second.type) * constants::kFetchDoubt;
-      if (now - run.placed < most + from_seconds(cluster_.settings.gang_wait_s)) return true;
-    }
-  }
-  return false;
-}
-
-// PROTOCOL: a task that has its image gives up after `gang_wait_s` if the others have not theirs, and begins again only as
-// another attempt; when the attempt is ended, the fetches of the others are given up. So those that would wait for too
-// long are placed when the others are nearly there: a gang whose fetches differ by more would never begin. A task is
-// never started twice with the same attempt on the same machine, since an old report could then tell of either.
-std::vector<plan::Placing> Engine::due_of_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  Millis last{};
-  Millis first = Millis::max();
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) last = std::max(last, image_left(job, run, now));
-  }
-  for (const plan::Placing& placing : placings) {
-    const Millis wait = image_wait(job, cluster_.machines.at(placing.machine));
-    last = std::max(last, wait);
-    first = std::min(first, wait);
-  }
-  if (last - first > from_seconds(cluster_.settings.gang_wait_s) / constants::kGangApart) job.in_stages = true;
-  if (!job.in_stages) return placings;
-  std::vector<plan::Placing> due;
-  for (const plan::Placing& placing : placings) {
-    if (image_wait(job, cluster_.machines.at(placing.machine)) >= last) {
-      due.push_back(placing);
-    } else {
-      book_ahead(job, placing);
-    }
-  }
-  if (due.size() < placings.size() && !job.gather_until) job.gather_until = now + last + gather_span();
-  return due;
-}
-
 bool Engine::gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const {
   const bool all_fit = std::ranges::all_of(placings, [&](const plan::Placing& placing) {
     const Machine& machine = cluster_.machines.at(placing.machine);
@@ -553,7 +438,7 @@
   const AttemptNo attempt = gang_attempt(job);
   const std::vector<std::uint32_t> tasks = jobs::JobTable::pending_tasks(job, job.spec.tasks);
   auto next = tasks.begin();
-  for (const plan::Placing& placing : due_of_gang(job, placings, now)) {
+  for (const plan::Placing& placing : GangCoordinator::due_of_gang(cluster_, job, placings, now)) {
     for (std::uint32_t at = 0; at < placing.count && next != tasks.end(); ++at, ++next) {
       place(job, *next, attempt, cluster_.machines.at(placing.machine), now);
     }
--- a/src/control/engine_records.cpp
+++ b/src/control/engine_records.cpp
@@ -6,6 +6,7 @@
 #include "config/constants.h"
 #include "config/guards.h"
 #include "control/engine.h"
+#include "control/planned_bookings.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
@@ -85,7 +86,8 @@
     runs += job.runs_count;
     // That a gang lost a task and gathers, or that the rest is to be halted, only the earlier leader knew: unless another
     // task joins them, those that wait would keep their places until they give up by themselves.
-    if (job.spec.kind == wire::JobKind::gang && job.runs_count > 0 && job.pending() > 0) gather(job, now);
+    if (job.spec.kind == wire::JobKind::gang && job.runs_count > 0 && job.pending() > 0)
+      GangCoordinator::gather(cluster_, job, now);
     if (job.withdrawn) withdrawn.push_back(id);
   }
   for (const JobId& id : withdrawn) {
@@ -204,8 +206,7 @@
 }
 
 void Engine::withdraw(Job& job, Instant now) {
-  for (const plan::BookingId booking : job.booked) cluster_.planner.revoke(booking);
-  job.booked.clear();
+  revoke_bookings(cluster_, job);
   for (Part& part : job.parts) {
     for (auto& [unused, run] : part.runs) {
       run.halting = true;
--- a/src/control/engine_workers.cpp
+++ b/src/control/engine_workers.cpp
@@ -68,38 +68,8 @@
   }
 }
 
-bool Engine::gathers(const Job& job) const {
-  return job.spec.kind == wire::JobKind::gang && job.runs_count > 0 &&
-         std::ranges::all_of(job.parts, [](const Part& part) {
-           return std::ranges::all_of(part.runs, [](const auto& entry) {
-             const Run& run = entry.second;
-             if (run.halting) return false;
-             // What an earlier leader placed may have begun long ago.
-             if (!run.seen) return !run.adopted;
-             return *run.seen == TaskState::fetching || *run.seen == TaskState::waiting;
-           });
-         });
-}
-
-// PROTOCOL, "Gangs": while the gang has not started the rest keep waiting, and a replacement with the same attempt number
-// completes it. Ending the attempt instead costs all the others their places and image fetches. If it has started after all
-// the others tell so by `mates_gone`, and the attempt ends as always.
 void Engine::lost_from_gang(Job& job, bool had_run, Instant now) {
-  if (job.spec.kind != wire::JobKind::gang) return;
-  if (had_run || job.withdrawn || !gathers(job)) return end_gang(job, now);
-  gather(job, now);
-}
-
-Millis Engine::gather_span() const {
-  return from_seconds(std::min(cluster_.settings.gang_wait_s / 4, to_seconds(constants::kGangGather)));
-}
-
-void Engine::gather(Job& job, Instant now) {
-  if (!job.gather_until) {
-    job.gather_until = now + gather_span();
-    spdlog::info("job {}: its gang lost a task before its start, another one is to join", job.spec.id.text());
-  }
-  cluster_.plan_wanted = true;
+  if (is_gang(job) && !GangCoordinator::survives_loss(cluster_, job, had_run, now)) end_gang(job, now);
 }
 
 void Engine::on_task_ended(Job& job, Machine& machine, const wire::TaskReport& task, Instant now) {
--- a/src/control/engine_zones.cpp
+++ b/src/control/engine_zones.cpp
@@ -6,6 +6,7 @@
 #include "config/constants.h"
 #include "config/guards.h"
 #include "control/engine.h"
+#include "control/planned_bookings.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
@@ -140,7 +141,7 @@
   for (const plan::Placing& placing : cluster_.planner.plan(request)) {
     planned += placing.count;
     if (placing.start > request.from + constants::kTick) job.late_tasks += placing.count;
-    book_ahead(job, placing);
+    book_ahead(cluster_, job, placing);
   }
   if (planned < request.count) job.late_tasks += static_cast<std::uint32_t>(request.count - planned);
   return request.places.size();
