--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -17,6 +17,7 @@
 #include "control/deadline_planner.h"
 #include "control/gang_coordinator.h"
 #include "control/placement_rules.h"
+#include "control/scheduling_queue.h"
 #include "control/job_requirements.h"
 #include "foresight/foresight.h"
 #include "aging/aging.h"
@@ -124,7 +125,7 @@
   // When the plan says that other jobs end; those without a booking are left out.
   [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadlines_.planned_ends(cluster_); }
   // The order of the latest pass; empty without classes.
-  [[nodiscard]] const classes::Ranking& ranking() const { return ranking_; }
+  [[nodiscard]] const classes::Ranking& ranking() const { return queue_.ranking(); }
 
   // ---- workers ----
   // The commands to answer with; nothing when this engine may not act for the controllers.
@@ -232,18 +233,6 @@
   void find_stranded();
   std::size_t plan_stranded(Job& job, Instant now);
   // planning
-  // How much later than it was submitted a job counts as submitted: the more it takes, the later,
-  // and later still once it has missed what its class is hoped to wait at most.
-  [[nodiscard]] Millis lag(const Job& job, Instant now) const;
-  [[nodiscard]] aging::WaitingJob waiting_job(const Job& job, Instant now) const;
-  // When the job counts as submitted, in the planning order.
-  [[nodiscard]] Instant effective_submission(const Job& job, Instant now) const;
-  [[nodiscard]] std::vector<Job*> planning_order(Instant now);
-  // The same jobs in the order of their classes.
-  void order_by_class(std::vector<Job*>& jobs, Instant now);
-  // Whether the room that running work would make is not the asking job's: the work would be ranked before it when it
-  // waits again, or what is ranked before it would take the room without being entitled to.
-  [[nodiscard]] bool kept_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const;
   void extend_overrunning(const Job& job, Instant now);
   void forget_latest_plan(Job& job);
   void begin_pass(Instant now);
@@ -297,7 +286,7 @@
   GangCoordinator gangs_;
   std::optional<std::deque<JobId>> pass_;  // what the pass under way has left to plan
   Instant planned_;                        // when the latest pass began
-  classes::Ranking ranking_;
+  SchedulingQueue queue_;
   DeadlinePlanner deadlines_;
   Instant led_;  // since when
   Counters counters_;
--- a/src/control/engine_explain.cpp
+++ b/src/control/engine_explain.cpp
@@ -55,10 +55,10 @@
 }
 
 std::string Engine::explain_rank(const Job& job) const {
-  const classes::Rank* rank = ranking_.find(job.spec.id);
-  if (rank == nullptr || !ranking_.on()) return {};
+  const classes::Rank* rank = queue_.ranking().find(job.spec.id);
+  if (rank == nullptr || !queue_.ranking().on()) return {};
   const std::string place = rank->place > 0 ? fmt::format("; ranked {}", rank->place) : std::string();
-  return place + fmt::format(" with standing {}: {}", rank->standing, classes::reason(*rank, ranking_.table()));
+  return place + fmt::format(" with standing {}: {}", rank->standing, classes::reason(*rank, queue_.ranking().table()));
 }
 
 std::string Engine::explain_plan(const Job& job, Instant now) const {
--- a/src/control/engine_foresight.cpp
+++ b/src/control/engine_foresight.cpp
@@ -9,13 +9,14 @@
     cluster_.plan_wanted = true;  // it ranks them
     planned_ = Instant();         // what was planned before tells nothing of them
   }
-  ranking_.on_slack(deadlines_.slack());
+  queue_.ranking().on_slack(deadlines_.slack());
 }
 
 std::map<JobId, foresight::Prospect> Engine::prospects(Instant now) const {
   // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
   if (!leading_ || pass_ || planned_ < led_ + detour_span(cluster_.settings)) return {};
-  return deadlines_.prospects({cluster_, autoscaler_.demand(), autoscaler_.capacity(), ranking_}, planned_, now);
+  return deadlines_.prospects({cluster_, autoscaler_.demand(), autoscaler_.capacity(), queue_.ranking()}, planned_,
+                              now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -15,89 +15,6 @@
 
 namespace foxshunt::control {
 
-Millis Engine::lag(const Job& job, Instant now) const {
-  const Amounts fleet = cluster_.planner.fleet().capacity();
-  double share = 0;
-  for (std::size_t r = 0; r < plan::kResources; ++r) {
-    if (fleet.of[r] <= 0) continue;
-    share = std::max(share, static_cast<double>(job.each.of[r]) * job.spec.tasks / static_cast<double>(fleet.of[r]));
-  }
-  const Millis work = from_seconds(share * to_seconds(estimate(job)) * constants::kLagPerWork);
-  // What was hoped for a job and can't be had any more must not cost those that can still have it.
-  Millis missed{};
-  for (const config::Objective& objective : cluster_.settings.objectives) {
-    if (objective.kind != "wait" || objective.job_class != job.spec.job_class) continue;
-    if (now - job.submitted > from_seconds(objective.within_s)) missed += constants::kLagMissed;
-  }
-  return work + missed;
-}
-
-aging::WaitingJob Engine::waiting_job(const Job& job, Instant now) const {
-  return {.submitted = job.submitted,
-          .lag = lag(job, now),
-          .largest = autoscaler_.demand().largest(job.spec.job_class, job.spec.tasks)};
-}
-
-Instant Engine::effective_submission(const Job& job, Instant now) const {
-  if (gangs_.holds_reservation(job.spec.id)) return job.submitted - constants::kLargestHeadStart;
-  return aging::effective_submission(waiting_job(job, now), now);
-}
-
-namespace {
-
-struct QueueEntry {
-  Job* job;
-  bool borrowed;
-  Instant since;
-};
-
-// A team's jobs in the order in which they use up its guarantee: urgent work first.
-void sort_for_guarantee(std::vector<Job*>& jobs) {
-  std::ranges::sort(jobs, {}, [](const Job* job) {
-    return std::tuple(-static_cast<int>(job->spec.priority), job->submitted, job->spec.id);
-  });
-}
-
-// Marks which of the team's jobs fit its guarantee. `team` may be null: nothing is guaranteed to a team that no setting
-// names.
-void mark_borrowed(const std::vector<Job*>& jobs, const config::Team* team) {
-  double cpus = 0;
-  double gpus = 0;
-  for (Job* job : jobs) {
-    const double tasks = job->spec.tasks - job->done_count;
-    cpus += job->spec.cpus * tasks;
-    gpus += job->spec.gpus * tasks;
-    job->borrowed = team == nullptr || cpus > team->cpus || (team->gpus > 0 && gpus > team->gpus);
-  }
-}
-
-}  // namespace
-
-// What fits a team's guarantee goes before what is borrowed; then by priority.
-std::vector<Job*> Engine::planning_order(Instant now) {
-  std::map<std::string, std::vector<Job*>> by_team;
-  for (auto& [unused, job] : cluster_.jobs) {
-    if (!job.withdrawn) by_team[job.spec.team].push_back(&job);
-  }
-  std::vector<QueueEntry> queue;
-  for (auto& [team_name, jobs] : by_team) {
-    sort_for_guarantee(jobs);
-    mark_borrowed(jobs, cluster_.settings.team(team_name));
-    for (Job* job : jobs) {
-      if ((job->pending() == 0 && job->stranded == 0) || job->not_before > now) continue;
-      queue.push_back({.job = job, .borrowed = job->borrowed, .since = effective_submission(*job, now)});
-    }
-  }
-  std::ranges::sort(queue, {}, [](const QueueEntry& entry) {
-    return std::tuple(entry.borrowed, -static_cast<int>(entry.job->spec.priority), entry.since, entry.job->spec.id);
-  });
-  std::vector<Job*> jobs;
-  jobs.reserve(queue.size());
-  for (const QueueEntry& entry : queue) jobs.push_back(entry.job);
-  if (ranking_.on()) order_by_class(jobs, now);
-  return jobs;
-}
-
 // An overrunning booking is extended by its estimate; what was booked behind it is planned anew.
 void Engine::extend_overrunning(const Job& job, Instant now) {
   for (const Part& part : job.parts) {
@@ -130,7 +47,7 @@
   find_stranded();
   gangs_.choose_holder(cluster_, autoscaler_.demand(), now);
   pass_.emplace();
-  for (const Job* job : planning_order(now)) pass_->push_back(job->spec.id);
+  for (const Job* job : queue_.order(cluster_, gangs_, autoscaler_.demand(), now)) pass_->push_back(job->spec.id);
 }
 
 bool Engine::plan_some(Instant now, std::size_t places_most) {
@@ -160,7 +77,7 @@
   if (cluster_.types.empty()) {
     autoscaler_.want_nothing();
   } else {
-    autoscaler_.size_fleet(cluster_, planning_order(now), deadlines_, now);
+    autoscaler_.size_fleet(cluster_, queue_.order(cluster_, gangs_, autoscaler_.demand(), now), deadlines_, now);
   }
   return true;
 }
@@ -310,8 +227,8 @@
   const bool gang = is_gang(job);
   const std::uint32_t count =
       gang ? job.pending() : std::min<std::uint32_t>(job.pending(), constants::kTasksPlannedPerPass);
-  if (!ranking_.on() || joins) return count;
-  return static_cast<std::uint32_t>(ranking_.room(job.spec, count, gang));
+  if (!queue_.ranking().on() || joins) return count;
+  return static_cast<std::uint32_t>(queue_.ranking().room(job.spec, count, gang));
 }
 
 void Engine::add_zones_taken(const Job& job, plan::Request& request) const {
@@ -391,19 +308,19 @@
   add_zones_taken(job, turn.request);
   const std::size_t places = find_placings(job, turn, now);
   const std::uint32_t planned = count_late_tasks(job, turn, now);
-  if (ranking_.on() && !turn.joins) ranking_.take(job.spec, planned);
+  if (queue_.ranking().on() && !turn.joins) queue_.ranking().take(job.spec, planned);
   const std::uint32_t pending_before = job.pending();
   if (place_due(job, turn.placings, now) && turn.gang) return places;
   book_later_starts(job, turn.placings, now);
   if (turn.reserves) gangs_.keep_machines_free(cluster_, job, turn.placings, now);
   if (!turn.warms && !turn.joins)
-    job.overdue_tasks = deadlines_.overdue({cluster_, autoscaler_.demand(), autoscaler_.capacity(), ranking_}, job,
-                                           turn.placings, turn.request.places, now);
+    job.overdue_tasks = deadlines_.overdue({cluster_, autoscaler_.demand(), autoscaler_.capacity(), queue_.ranking()},
+                                           job, turn.placings, turn.request.places, now);
   // Under a cap only what was planned may displace anything.
-  const std::uint32_t left = ranking_.on() ? count - (pending_before - job.pending()) : job.pending();
+  const std::uint32_t left = queue_.ranking().on() ? count - (pending_before - job.pending()) : job.pending();
   if (left == 0) return places;
   if (!turn.joins && may_preempt(job, now)) make_room(job, left, turn.request.places, now);
-  if (ranking_.on() && quota_for(cluster_, job, turn.gang ? left : 1)) ranking_.lacks_room(job.spec.id);
+  if (queue_.ranking().on() && quota_for(cluster_, job, turn.gang ? left : 1)) queue_.ranking().lacks_room(job.spec.id);
   return places;
 }
 
--- a/src/control/engine_preempt.cpp
+++ b/src/control/engine_preempt.cpp
@@ -40,7 +40,7 @@
                          .lost = repeated * tasks,
                          .left = booking == nullptr ? Millis(0) : std::max(Millis(0), booking->stop - now),
                          .spared = other.displaced ? std::optional(now - *other.displaced) : std::nullopt};
-  victim.kept = ranking_.on() && kept_by_rank(other, victim, asks);
+  victim.kept = queue_.ranking().on() && queue_.kept_by_rank(other, victim, asks);
   if (!whole) return victim;
   victim.tasks.clear();
   for (const Part& part : other.parts) {
--- /dev/null
+++ b/src/control/scheduling_queue.cpp
@@ -0,0 +1,153 @@
+#include "control/scheduling_queue.h"
+
+#include <algorithm>
+#include <deque>
+#include <map>
+#include <string>
+#include <tuple>
+
+#include "aging/aging.h"
+#include "config/constants.h"
+#include "control/job_requirements.h"
+#include "control/times.h"
+
+namespace foxshunt::control {
+
+namespace {
+
+// How much later than it was submitted a job counts as submitted: the more it takes, the later, and later still once it
+// has missed what its class is hoped to wait at most.
+Millis lag(const ClusterState& cluster, const Job& job, Instant now) {
+  const Amounts fleet = cluster.planner.fleet().capacity();
+  double share = 0;
+  for (std::size_t r = 0; r < plan::kResources; ++r) {
+    if (fleet.of[r] <= 0) continue;
+    share = std::max(share, static_cast<double>(job.each.of[r]) * job.spec.tasks / static_cast<double>(fleet.of[r]));
+  }
+  const Millis work = from_seconds(share * to_seconds(estimate(job)) * constants::kLagPerWork);
+  // What was hoped for a job and can't be had any more must not cost those that can still have it.
+  Millis missed{};
+  for (const config::Objective& objective : cluster.settings.objectives) {
+    if (objective.kind != "wait" || objective.job_class != job.spec.job_class) continue;
+    if (now - job.submitted > from_seconds(objective.within_s)) missed += constants::kLagMissed;
+  }
+  return work + missed;
+}
+
+aging::WaitingJob waiting_job(const ClusterState& cluster, const Demand& demand, const Job& job, Instant now) {
+  return {.submitted = job.submitted,
+          .lag = lag(cluster, job, now),
+          .largest = demand.largest(job.spec.job_class, job.spec.tasks)};
+}
+
+// When the job counts as submitted, in the planning order.
+Instant effective_submission(const ClusterState& cluster, const GangCoordinator& gangs, const Demand& demand,
+                             const Job& job, Instant now) {
+  if (gangs.holds_reservation(job.spec.id)) return job.submitted - constants::kLargestHeadStart;
+  return aging::effective_submission(waiting_job(cluster, demand, job, now), now);
+}
+
+struct QueueEntry {
+  Job* job;
+  bool borrowed;
+  Instant since;
+};
+
+// A team's jobs in the order in which they use up its guarantee: urgent work first.
+void sort_for_guarantee(std::vector<Job*>& jobs) {
+  std::ranges::sort(jobs, {}, [](const Job* job) {
+    return std::tuple(-static_cast<int>(job->spec.priority), job->submitted, job->spec.id);
+  });
+}
+
+// Marks which of the team's jobs fit its guarantee. `team` may be null: nothing is guaranteed to a team that no setting
+// names.
+void mark_borrowed(const std::vector<Job*>& jobs, const config::Team* team) {
+  double cpus = 0;
+  double gpus = 0;
+  for (Job* job : jobs) {
+    const double tasks = job->spec.tasks - job->done_count;
+    cpus += job->spec.cpus * tasks;
+    gpus += job->spec.gpus * tasks;
+    job->borrowed = team == nullptr || cpus > team->cpus || (team->gpus > 0 && gpus > team->gpus);
+  }
+}
+
+}  // namespace
+
+// What fits a team's guarantee goes before what is borrowed; then by priority.
+std::vector<Job*> SchedulingQueue::order(ClusterState& cluster, const GangCoordinator& gangs, const Demand& demand,
+                                         Instant now) {
+  std::map<std::string, std::vector<Job*>> by_team;
+  for (auto& [unused, job] : cluster.jobs) {
+    if (!job.withdrawn) by_team[job.spec.team].push_back(&job);
+  }
+  std::vector<QueueEntry> queue;
+  for (auto& [team_name, jobs] : by_team) {
+    sort_for_guarantee(jobs);
+    mark_borrowed(jobs, cluster.settings.team(team_name));
+    for (Job* job : jobs) {
+      if ((job->pending() == 0 && job->stranded == 0) || job->not_before > now) continue;
+      queue.push_back(
+          {.job = job, .borrowed = job->borrowed, .since = effective_submission(cluster, gangs, demand, *job, now)});
+    }
+  }
+  std::ranges::sort(queue, {}, [](const QueueEntry& entry) {
+    return std::tuple(entry.borrowed, -static_cast<int>(entry.job->spec.priority), entry.since, entry.job->spec.id);
+  });
+  std::vector<Job*> jobs;
+  jobs.reserve(queue.size());
+  for (const QueueEntry& entry : queue) jobs.push_back(entry.job);
+  if (ranking_.on()) order_by_class(cluster, jobs, now);
+  return jobs;
+}
+
+void SchedulingQueue::order_by_class(ClusterState& cluster, std::vector<Job*>& jobs, Instant now) {
+  std::vector<classes::Candidate> candidates;
+  candidates.reserve(cluster.jobs.size());
+  for (const auto& [unused, job] : cluster.jobs) {
+    candidates.push_back({.spec = &job.spec,
+                          .submitted_wall_ms = job.submitted_wall_ms,
+                          .done = job.done_count,
+                          .placed = job.runs_count,
+                          .waiting = job.withdrawn ? 0 : job.pending(),
+                          .withdrawn = job.withdrawn});
+  }
+  ranking_.begin(std::move(candidates), cluster.settings.teams, now);
+  // Jobs of no class keep the order that they had among themselves, in the places that such jobs have.
+  using Room = std::tuple<bool, std::uint32_t, wire::Priority>;
+  const auto room_of = [](const classes::Rank& rank) { return Room(rank.borrowed, rank.standing, rank.priority); };
+  std::map<Room, std::deque<Job*>> unclassed;
+  std::map<JobId, Job*> planned;
+  for (Job* job : jobs) {
+    const classes::Rank& rank = *ranking_.find(job->spec.id);
+    planned.emplace(job->spec.id, job);
+    if (!rank.of) unclassed[room_of(rank)].push_back(job);
+  }
+  std::vector<Job*> ordered;
+  for (const classes::Rank& rank : ranking_.order()) {
+    cluster.jobs.at(rank.job).borrowed = rank.borrowed;
+    const auto job = planned.find(rank.job);
+    if (job == planned.end()) continue;
+    if (rank.of) {
+      ordered.push_back(job->second);
+      continue;
+    }
+    std::deque<Job*>& next = unclassed.at(room_of(rank));
+    ordered.push_back(next.front());
+    next.pop_front();
+  }
+  jobs = std::move(ordered);
+}
+
+bool SchedulingQueue::kept_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const {
+  if (ranking_.find(runs.spec.id) == nullptr) return false;
+  if (!ranking_.goes_first(asks.spec.id, runs.spec.id)) return true;
+  return std::ranges::any_of(ranking_.lacking(), [&](const classes::Rank* rank) {
+    preempt::Victim seen{.priority = victim.priority, .borrowed = victim.borrowed};
+    seen.same_team = rank->team == runs.spec.team;
+    return !preempt::entitled({.priority = rank->priority, .guaranteed = !rank->borrowed}, seen);
+  });
+}
+
+}  // namespace foxshunt::control
