--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -251,16 +251,6 @@
   [[nodiscard]] bool may_preempt(const Job& job, Instant now) const;
   // How many places it looked at.
   std::size_t plan_job(Job& job, Instant now);
-  struct TypeFit;
-  [[nodiscard]] std::vector<TypeFit> type_fits(const Job& job) const;
-  [[nodiscard]] bool may_plan_on(const Job& job, const Machine& machine, Instant now) const;
-  [[nodiscard]] bool leaves_gpu_room(const Job& job, const Machine& machine, const Amounts& offered,
-                                     plan::Items& spare_gpus) const;
-  [[nodiscard]] Millis preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const;
-  [[nodiscard]] std::vector<plan::Place> places_for(const Job& job, Instant now) const;
-  // Whether pools leave the machine to the job. `warms`: the pool that its tasks are to warm.
-  [[nodiscard]] bool left_to(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
-                             Instant now) const;
   [[nodiscard]] bool gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const;
   bool place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
   // Places what may start now. Whether anything was placed.
--- a/src/control/engine_zones.cpp
+++ b/src/control/engine_zones.cpp
@@ -6,6 +6,7 @@
 #include "config/constants.h"
 #include "config/guards.h"
 #include "control/engine.h"
+#include "control/machine_filter.h"
 #include "control/planned_bookings.h"
 #include "control/times.h"
 
@@ -136,7 +137,7 @@
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
                                            : std::min(job.stranded, std::uint32_t{constants::kTasksPlannedPerPass});
   plan::Request request = planning_request(job, count, std::max(now, job.stranded_until));
-  request.places = places_for(job, now);
+  request.places = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
   std::uint32_t planned = 0;
   for (const plan::Placing& placing : cluster_.planner.plan(request)) {
     planned += placing.count;
