--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -18,6 +18,7 @@
 #include "control/gang_coordinator.h"
 #include "control/placement_rules.h"
 #include "control/scheduling_queue.h"
+#include "control/task_actions.h"
 #include "control/job_requirements.h"
 #include "foresight/foresight.h"
 #include "aging/aging.h"
@@ -78,7 +79,7 @@
   Millis fence_left{};          // until workers' reports may no longer be answered
 };
 
-class Engine {
+class Engine : private TaskActions {
  public:
   explicit Engine(config::Settings settings);
   // Another one that goes on from the same moment, for tests that try several orders.
@@ -101,7 +102,7 @@
   void confirm_reading(Instant when);
   // Whether workers' reports may be answered with 200, and whether anything may be started.
   [[nodiscard]] bool may_answer(Instant now) const;
-  [[nodiscard]] bool may_start(Instant now) const;
+  [[nodiscard]] bool may_start(Instant now) const override;
 
   // ---- records ----
   void on_job_record(const JobId& job, const wire::Value& record, Revision mark, std::int64_t wall_ms, Instant now);
@@ -202,7 +203,7 @@
   void know_halting(const MachineId& id);
   void finish_task(Job& job, std::uint32_t index, Instant now);
   void on_task_ended(Job& job, Machine& machine, const wire::TaskReport& task, Instant now);
-  void end_gang(Job& job, Instant now);
+  void end_gang(Job& job, Instant now) override;
   // A task of the gang is gone together with its machine: another one joins the rest if they have not begun.
   void lost_from_gang(Job& job, bool had_run, Instant now);
   [[nodiscard]] bool startable(const Job& job, const Run& run, Instant now) const;
@@ -214,20 +215,6 @@
   // zones
   void look_at_zones(Instant now);
   [[nodiscard]] std::vector<MachineId> not_granted(const std::string& zone, Instant now) const;
-  // preemption
-  struct Victims;
-  [[nodiscard]] std::uint32_t tasks_to_make_room_for(const Job& job, std::uint32_t tasks_most) const;
-  [[nodiscard]] preempt::Victim describe_victim(const TaskKey& key, const Job& other, const Run& run, const Job& asks,
-                                                Instant now) const;
-  [[nodiscard]] std::optional<std::size_t> victim_of(const TaskKey& key, const Job& asks, Victims& victims,
-                                                     Instant now);
-  [[nodiscard]] std::vector<preempt::Contested> contested_machines(const Job& job,
-                                                                   const std::vector<plan::Place>& places,
-                                                                   Victims& victims, Instant now);
-  // How many tasks it stops.
-  std::size_t stop_victim(const preempt::Victim& victim, Instant now);
-  // Stops work that has to give way to the job, if that makes room for it.
-  void make_room(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now);
   // Replicas are moved out of zones that are out of service, one machine after the other; all other work runs out.
   void move_replicas(Instant now);
   void find_stranded();
@@ -255,7 +242,8 @@
   bool place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
   // Places what may start now. Whether anything was placed.
   bool place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now);
-  void place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now);
+  void place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now) override;
+  void stop_for_other_work(Job& job, std::uint32_t index) override { halt(job, index, save_grace(job)); }
   // standby
   void hint_machine(const std::string& name, const standby::Machine& told, Instant now);
   void hint_task(const standby::Key& key, const standby::Task& told, Instant now);
--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -11,6 +11,7 @@
 #include "control/engine.h"
 #include "control/machine_filter.h"
 #include "control/planned_bookings.h"
+#include "control/preemptor.h"
 #include "control/team_quota.h"
 #include "control/times.h"
 
@@ -228,7 +229,8 @@
   // Under a cap only what was planned may displace anything.
   const std::uint32_t left = queue_.ranking().on() ? count - (pending_before - job.pending()) : job.pending();
   if (left == 0) return places;
-  if (!turn.joins && may_preempt(job, now)) make_room(job, left, turn.request.places, now);
+  if (!turn.joins && may_preempt(job, now))
+    Preemptor(cluster_, queue_, *this).make_room(job, left, turn.request.places, now);
   if (queue_.ranking().on() && quota_for(cluster_, job, turn.gang ? left : 1)) queue_.ranking().lacks_room(job.spec.id);
   return places;
 }
--- a/src/control/engine_preempt.cpp
+++ b/src/control/preemptor.cpp
@@ -1,31 +1,33 @@
-// Preemption: what runs is shown to src/preempt, and what it chooses is stopped in order.
+#include "control/preemptor.h"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <map>
 
 #include "config/constants.h"
-#include "control/engine.h"
+#include "control/job_requirements.h"
+#include "control/placement_rules.h"
 #include "control/times.h"
-#include "preempt/preempt.h"
 
 namespace foxshunt::control {
 
 // What may be stopped, numbered in the order in which it is found. A gang is one victim, wherever its tasks run.
-struct Engine::Victims {
+struct Preemptor::Victims {
   std::vector<preempt::Victim> all;
   std::map<JobId, std::size_t> gangs;
 };
 
 // A gang needs room for all its tasks or none; of other jobs as many are asked for as the team's quota allows.
-std::uint32_t Engine::tasks_to_make_room_for(const Job& job, std::uint32_t tasks_most) const {
+std::uint32_t Preemptor::tasks_to_make_room_for(const Job& job, std::uint32_t tasks_most) const {
   const bool gang = is_gang(job);
   std::uint32_t count = gang ? tasks_most : std::min(tasks_most, constants::kPreemptTasksMost);
   while (count > 0 && !quota_for(cluster_, job, count)) count = gang ? 0 : count - 1;
   return count;
 }
 
-preempt::Victim Engine::describe_victim(const TaskKey& key, const Job& other, const Run& run, const Job& asks,
-                                        Instant now) const {
+preempt::Victim Preemptor::describe_victim(const TaskKey& key, const Job& other, const Run& run, const Job& asks,
+                                           Instant now) const {
   const bool whole = is_gang(other);
   const Millis ran = now - *run.running_since;
   const std::uint32_t tasks = whole ? other.runs_count : 1;
@@ -51,7 +53,7 @@
 
 // The number of the victim that the task belongs to; nothing for what is being stopped already, has not begun, or runs for
 // ever.
-std::optional<std::size_t> Engine::victim_of(const TaskKey& key, const Job& asks, Victims& victims, Instant now) {
+std::optional<std::size_t> Preemptor::victim_of(const TaskKey& key, const Job& asks, Victims& victims, Instant now) {
   const Job& other = cluster_.jobs.at(key.job);
   const Run& run = *cluster_.jobs.find_run(key);
   if (other.withdrawn || run.halting || !run.running_since || is_service(other)) return std::nullopt;
@@ -63,8 +65,8 @@
   return number;
 }
 
-std::vector<preempt::Contested> Engine::contested_machines(const Job& job, const std::vector<plan::Place>& places,
-                                                           Victims& victims, Instant now) {
+std::vector<preempt::Contested> Preemptor::contested_machines(const Job& job, const std::vector<plan::Place>& places,
+                                                              Victims& victims, Instant now) {
   std::vector<preempt::Contested> machines;
   for (const plan::Place& place : places) {
     const Machine& machine = cluster_.machines.at(place.node->info.id);
@@ -83,19 +85,19 @@
   return machines;
 }
 
-std::size_t Engine::stop_victim(const preempt::Victim& victim, Instant now) {
+std::size_t Preemptor::stop_victim(const preempt::Victim& victim, Instant now) {
   Job& other = cluster_.jobs.at(victim.job);
   other.displaced = now;
   for (const TaskKey& key : victim.tasks) {
-    halt(other, key.index, save_grace(other));
+    tasks_.stop_for_other_work(other, key.index);
     // All tasks of a gang have to hear of it within `gang_peer_s`, which may be less than until their next reports.
     if (is_gang(other)) cluster_.jobs.find_run(key)->halt_due = now;
   }
   return victim.tasks.size();
 }
 
-void Engine::make_room(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now) {
-  if (!may_start(now)) return;
+void Preemptor::make_room(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now) {
+  if (!tasks_.may_start(now)) return;
   const std::uint32_t count = tasks_to_make_room_for(job, tasks_most);
   if (count == 0) return;
   const preempt::Need need{.each = job.each,
