--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -13,11 +13,12 @@
 #include "classes/ranking.h"
 #include "config/settings.h"
 #include "control/cluster_state.h"
+#include "control/counters.h"
 #include "control/autoscaler.h"
 #include "control/deadline_planner.h"
 #include "control/gang_coordinator.h"
 #include "control/placement_rules.h"
-#include "control/scheduling_queue.h"
+#include "control/scheduling_cycle.h"
 #include "control/task_actions.h"
 #include "control/job_requirements.h"
 #include "foresight/foresight.h"
@@ -54,18 +55,6 @@
   std::int64_t wall_ms = 0;  // now, by the time of day
 };
 
-// What this leader has done so far, for operators and tests.
-struct Counters {
-  std::uint64_t reports = 0;
-  std::uint64_t passes = 0;
-  std::uint64_t portions = 0;      // of the passes
-  std::uint64_t jobs_planned = 0;  // in them
-  std::uint64_t places_seen = 0;   // machines looked at for these jobs
-  std::uint64_t placed = 0;        // tasks
-  std::uint64_t writes = 0;        // transactions
-  std::uint64_t writes_failed = 0;
-};
-
 // What there is now.
 struct Census {
   std::uint64_t jobs = 0;
@@ -126,7 +115,7 @@
   // When the plan says that other jobs end; those without a booking are left out.
   [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadlines_.planned_ends(cluster_); }
   // The order of the latest pass; empty without classes.
-  [[nodiscard]] const classes::Ranking& ranking() const { return queue_.ranking(); }
+  [[nodiscard]] const classes::Ranking& ranking() const { return cycle_.queue().ranking(); }
 
   // ---- workers ----
   // The commands to answer with; nothing when this engine may not act for the controllers.
@@ -173,9 +162,9 @@
   bool plan_some(Instant now, std::size_t places_most);
   // A whole pass.
   void plan_pass(Instant now);
-  [[nodiscard]] bool plan_wanted() const { return cluster_.plan_wanted || pass_; }
+  [[nodiscard]] bool plan_wanted() const { return cluster_.plan_wanted || cycle_.under_way(); }
   // Whether a pass is under way: what it has not come to has no booking.
-  [[nodiscard]] bool planning() const { return pass_.has_value(); }
+  [[nodiscard]] bool planning() const { return cycle_.under_way(); }
   // Whether there is something to rent or to return.
   [[nodiscard]] bool cloud_wanted() const;
   [[nodiscard]] bool writes_wanted() const { return cluster_.jobs.writes_wanted(); }
@@ -217,31 +206,7 @@
   [[nodiscard]] std::vector<MachineId> not_granted(const std::string& zone, Instant now) const;
   // Replicas are moved out of zones that are out of service, one machine after the other; all other work runs out.
   void move_replicas(Instant now);
-  void find_stranded();
-  std::size_t plan_stranded(Job& job, Instant now);
   // planning
-  void extend_overrunning(const Job& job, Instant now);
-  void forget_latest_plan(Job& job);
-  void begin_pass(Instant now);
-  struct JobTurn;
-  // Ends the attempt when it is too late for that.
-  [[nodiscard]] bool may_replace_members(Job& job, Instant now);
-  // How many of the job's tasks the pass plans: all of a gang, a portion of others, less what its class's cap keeps back.
-  [[nodiscard]] std::uint32_t tasks_to_plan(const Job& job, bool joins);
-  void add_zones_taken(const Job& job, plan::Request& request) const;
-  [[nodiscard]] std::vector<plan::Placing> plan_turn(const JobTurn& turn) const;
-  // Fills in the turn's placings. How many places it looked at.
-  std::size_t find_placings(Job& job, JobTurn& turn, Instant now);
-  // Notes how many tasks start later than on a machine rented now. How many are planned at all.
-  std::uint32_t count_late_tasks(Job& job, const JobTurn& turn, Instant now) const;
-  void book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now);
-  [[nodiscard]] bool may_preempt(const Job& job, Instant now) const;
-  // How many places it looked at.
-  std::size_t plan_job(Job& job, Instant now);
-  [[nodiscard]] bool gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const;
-  bool place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
-  // Places what may start now. Whether anything was placed.
-  bool place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now);
   void place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now) override;
   void stop_for_other_work(Job& job, std::uint32_t index) override { halt(job, index, save_grace(job)); }
   // standby
@@ -262,9 +227,7 @@
   Instant gives_way_until_;
   Autoscaler autoscaler_;
   GangCoordinator gangs_;
-  std::optional<std::deque<JobId>> pass_;  // what the pass under way has left to plan
-  Instant planned_;                        // when the latest pass began
-  SchedulingQueue queue_;
+  SchedulingCycle cycle_;
   DeadlinePlanner deadlines_;
   Instant led_;  // since when
   Counters counters_;
--- a/src/control/engine_classes.cpp
+++ b/src/control/engine_classes.cpp
@@ -4,8 +4,8 @@
 namespace foxshunt::control {
 
 void Engine::on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now) {
-  queue_.ranking().on_catalog(set);
-  queue_.ranking().tell_time(wall_ms, now);
+  cycle_.queue().ranking().on_catalog(set);
+  cycle_.queue().ranking().tell_time(wall_ms, now);
   cluster_.plan_wanted = true;
 }
 
--- a/src/control/engine_explain.cpp
+++ b/src/control/engine_explain.cpp
@@ -55,10 +55,11 @@
 }
 
 std::string Engine::explain_rank(const Job& job) const {
-  const classes::Rank* rank = queue_.ranking().find(job.spec.id);
-  if (rank == nullptr || !queue_.ranking().on()) return {};
+  const classes::Rank* rank = cycle_.queue().ranking().find(job.spec.id);
+  if (rank == nullptr || !cycle_.queue().ranking().on()) return {};
   const std::string place = rank->place > 0 ? fmt::format("; ranked {}", rank->place) : std::string();
-  return place + fmt::format(" with standing {}: {}", rank->standing, classes::reason(*rank, queue_.ranking().table()));
+  return place +
+         fmt::format(" with standing {}: {}", rank->standing, classes::reason(*rank, cycle_.queue().ranking().table()));
 }
 
 std::string Engine::explain_plan(const Job& job, Instant now) const {
--- a/src/control/engine_fleet.cpp
+++ b/src/control/engine_fleet.cpp
@@ -111,7 +111,7 @@
   }
   cluster_.planner.forget_before(now);
   // What waits for the end of a pause, its own or the cloud's, is not woken by any event.
-  if (now - planned_ >= constants::kReplanEvery && std::ranges::any_of(cluster_.jobs, [](const auto& entry) {
+  if (now - cycle_.planned_at() >= constants::kReplanEvery && std::ranges::any_of(cluster_.jobs, [](const auto& entry) {
         return !entry.second.withdrawn && entry.second.pending() > 0;
       })) {
     cluster_.plan_wanted = true;
--- a/src/control/engine_records.cpp
+++ b/src/control/engine_records.cpp
@@ -28,14 +28,14 @@
   const std::vector<wire::MachineType> types = std::move(cluster_.types);
   Autoscaler autoscaler = autoscaler_.successor();
   pools::Desk pools = std::move(cluster_.pools);
-  classes::Ranking ranking = std::move(queue_.ranking());
+  classes::Ranking ranking = std::move(cycle_.queue().ranking());
   *this = Engine(std::move(cluster_.settings));
   cluster_.types = types;
   autoscaler_ = std::move(autoscaler);
   cluster_.pools = std::move(pools);
   cluster_.pools.lead(now);
-  queue_.ranking() = std::move(ranking);
-  queue_.ranking().tell_time(takeover.wall_ms, now);
+  cycle_.queue().ranking() = std::move(ranking);
+  cycle_.queue().ranking().tell_time(takeover.wall_ms, now);
   leading_ = true;
   term_ = takeover.term;
   term_mark_ = takeover.term_mark;
@@ -160,7 +160,7 @@
 void Engine::on_job_record(const JobId& id, const wire::Value& record, Revision mark, std::int64_t wall_ms,
                            Instant now) {
   if (!leading_) return;
-  queue_.ranking().tell_time(wall_ms, now);
+  cycle_.queue().ranking().tell_time(wall_ms, now);
   if (!cluster_.jobs.on_record(id, mark)) return;
   try {
     const Job& job = add_job(state::job_from(record), mark, wall_ms, now);
--- a/src/control/engine_zones.cpp
+++ b/src/control/engine_zones.cpp
@@ -6,8 +6,6 @@
 #include "config/constants.h"
 #include "config/guards.h"
 #include "control/engine.h"
-#include "control/machine_filter.h"
-#include "control/planned_bookings.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
@@ -112,40 +110,4 @@
   if (next != nullptr) drain(*next, "its zone is out of service", now);
 }
 
-void Engine::find_stranded() {
-  if (!cluster_.settings.operators.zone_evacuation) return;
-  for (auto& [unused, job] : cluster_.jobs) job.stranded = 0;
-  for (const auto& [unused, machine] : cluster_.machines) {
-    if (machine.runs.empty() || machine.expired || !cluster_.zones.leaves(machine.zone)) continue;
-    const Instant until = cluster_.lease_end(machine);
-    for (const TaskKey& key : machine.runs) {
-      Job& job = cluster_.jobs.at(key.job);
-      if (job.withdrawn || job.spec.kind == wire::JobKind::service) continue;
-      job.stranded_until = job.stranded == 0 ? until : std::max(job.stranded_until, until);
-      ++job.stranded;
-    }
-  }
-}
-
-// Room for what will have to start again elsewhere once it is proved gone: booked from then on in the job's turn, so that
-// machines are rented for it just in time and nothing less important takes the room meanwhile. If the zone returns before,
-// nothing has moved, and the next pass books none of it.
-std::size_t Engine::plan_stranded(Job& job, Instant now) {
-  // Renting before a boot would end at the proof costs for nothing.
-  const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).boot_awaited(job.spec);
-  if (!due) return 0;
-  const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
-                                           : std::min(job.stranded, std::uint32_t{constants::kTasksPlannedPerPass});
-  plan::Request request = planning_request(job, count, std::max(now, job.stranded_until));
-  request.places = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
-  std::uint32_t planned = 0;
-  for (const plan::Placing& placing : cluster_.planner.plan(request)) {
-    planned += placing.count;
-    if (placing.start > request.from + constants::kTick) job.late_tasks += placing.count;
-    book_ahead(cluster_, job, placing);
-  }
-  if (planned < request.count) job.late_tasks += static_cast<std::uint32_t>(request.count - planned);
-  return request.places.size();
-}
-
 }  // namespace foxshunt::control
