--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -212,12 +212,7 @@
   // standby
   void hint_machine(const std::string& name, const standby::Machine& told, Instant now);
   void hint_task(const standby::Key& key, const standby::Task& told, Instant now);
-  // explanations: each gives the text that follows, if any
-  [[nodiscard]] std::optional<std::string> explain_hold(const Job& job, Instant now) const;
-  [[nodiscard]] std::optional<std::string> explain_wait(const Job& job, Instant now) const;
-  [[nodiscard]] std::string explain_rank(const Job& job) const;
-  [[nodiscard]] std::string explain_plan(const Job& job, Instant now) const;
-  [[nodiscard]] std::string explain_renting() const;
+
   ClusterState cluster_;
   bool leading_ = false;
   Term term_;
