--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -21,6 +21,7 @@
 #include "control/scheduling_cycle.h"
 #include "control/task_actions.h"
 #include "control/job_requirements.h"
+#include "control/leadership.h"
 #include "foresight/foresight.h"
 #include "aging/aging.h"
 #include "plan/planner.h"
@@ -79,11 +80,11 @@
   void resign(const std::string& why);
   // A write failed by its condition on this revision of the term's record: ends the lead that the write was of, and no other.
   void on_term_conflict(Revision term_mark);
-  [[nodiscard]] bool leading() const { return leading_; }
+  [[nodiscard]] bool leading() const { return leadership_.is_leader(); }
   // Whether it left the lead to others so recently that they go first.
-  [[nodiscard]] bool gives_way(Instant now) const { return now < gives_way_until_; }
-  [[nodiscard]] Term term() const { return term_; }
-  [[nodiscard]] Revision term_mark() const { return term_mark_; }
+  [[nodiscard]] bool gives_way(Instant now) const { return leadership_.should_yield(now); }
+  [[nodiscard]] Term term() const { return leadership_.term(); }
+  [[nodiscard]] Revision term_mark() const { return leadership_.term_revision(); }
   // Word of a term from a sibling: a higher one ends this lead.
   void hear_of(Term term);
   // The lease was confirmed / all changes of records were known at that moment.
@@ -214,17 +215,11 @@
   void hint_task(const standby::Key& key, const standby::Task& told, Instant now);
 
   ClusterState cluster_;
-  bool leading_ = false;
-  Term term_;
-  Revision term_mark_;
-  Instant lease_confirmed_;
-  Instant read_confirmed_;
-  Instant gives_way_until_;
+  Leadership leadership_;
   Autoscaler autoscaler_;
   GangCoordinator gangs_;
   SchedulingCycle cycle_;
   DeadlinePlanner deadlines_;
-  Instant led_;  // since when
   Counters counters_;
 };
 
--- a/src/control/engine_explain.cpp
+++ b/src/control/engine_explain.cpp
@@ -26,14 +26,14 @@
       default: ++census.machines_leaving; break;
     }
   }
-  census.fence_left =
-      std::max(Millis(0), std::min(lease_confirmed_, read_confirmed_) + fence_span(cluster_.settings) - now);
+  census.fence_left = std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
   return census;
 }
 
 std::optional<std::string> Engine::explain(const JobId& id, Instant now) const {
-  if (!leading_) return std::nullopt;
-  return Explanation(cluster_, cycle_.queue().ranking(), autoscaler_.capacity(), may_start(now)).of(id, now);
+  if (!leadership_.is_leader()) return std::nullopt;
+  return Explanation(cluster_, cycle_.queue().ranking(), autoscaler_.capacity(), leadership_.can_start(now))
+      .of(id, now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/engine_fleet.cpp
+++ b/src/control/engine_fleet.cpp
@@ -42,7 +42,7 @@
 }
 
 void Engine::on_machine_list(const std::vector<wire::ListedMachine>& listed, Instant now) {
-  if (!leading_) return;
+  if (!leadership_.is_leader()) return;
   for (const wire::ListedMachine& entry : listed) {
     const wire::MachineType* kind = cluster_.type(entry.type);
     const auto known = cluster_.machines.list(entry, from_seconds(kind == nullptr ? 0 : kind->boot_s), now);
@@ -60,12 +60,12 @@
 }
 
 std::optional<wire::RentRequest> Engine::next_rental(Instant now) {
-  if (!may_start(now)) return std::nullopt;
-  return autoscaler_.next_rental(cluster_, term_, now);
+  if (!leadership_.can_start(now)) return std::nullopt;
+  return autoscaler_.next_rental(cluster_, leadership_.term(), now);
 }
 
 void Engine::on_rented(const wire::RentRequest& request, const std::vector<MachineId>& rented, Instant now) {
-  if (leading_) autoscaler_.on_rented(cluster_, request, rented, now);
+  if (leadership_.is_leader()) autoscaler_.on_rented(cluster_, request, rented, now);
 }
 
 void Engine::on_rent_refused(const wire::RentRequest& request, Instant now) {
@@ -75,11 +75,11 @@
 bool Engine::cloud_wanted() const { return autoscaler_.cloud_wanted(cluster_); }
 
 std::vector<MachineId> Engine::next_returns(Instant now) {
-  return may_start(now) ? Autoscaler::next_returns(cluster_) : std::vector<MachineId>();
+  return leadership_.can_start(now) ? Autoscaler::next_returns(cluster_) : std::vector<MachineId>();
 }
 
 void Engine::on_returned(const std::vector<MachineId>& names, Instant now) {
-  if (!leading_) return;
+  if (!leadership_.is_leader()) return;
   for (const MachineId& id : names) {
     const auto entry = cluster_.machines.find(id);
     if (entry == cluster_.machines.end()) continue;
@@ -99,14 +99,14 @@
 // No worker reaches this node, and no sibling passes reports on: their leases end soon, whoever leads. Another node may
 // hear them. Only while the state service answers, without which nobody could take the lead.
 bool Engine::unheard(Instant now) const {
-  return cluster_.machines.unheard(now) >= constants::kUnheardLeast && cluster_.settings.nodes > 1 && may_start(now);
+  return cluster_.machines.unheard(now) >= constants::kUnheardLeast && cluster_.settings.nodes > 1 &&
+         leadership_.can_start(now);
 }
 
 void Engine::tick(Instant now) {
-  if (!leading_) return;
+  if (!leadership_.is_leader()) return;
   if (unheard(now)) {
-    resign("no worker reaches it");
-    gives_way_until_ = now + constants::kGiveWay;
+    leadership_.yield("no worker reaches it", now);
     return;
   }
   cluster_.planner.forget_before(now);
@@ -188,7 +188,8 @@
     } else if (!machine.idle_since) {
       machine.idle_since = now;
     } else if (cluster_.settings.operators.may_return && !autoscaler_.is_spare(id) && !cluster_.pools.keeps(id) &&
-               may_start(now) && now - *machine.idle_since > autoscaler_.pricing(cluster_).idle_most(machine)) {
+               leadership_.can_start(now) &&
+               now - *machine.idle_since > autoscaler_.pricing(cluster_).idle_most(machine)) {
       machine.state = MachineState::returning;
       machine.why = "it is idle";
     }
--- a/src/control/engine_foresight.cpp
+++ b/src/control/engine_foresight.cpp
@@ -14,7 +14,9 @@
 
 std::map<JobId, foresight::Prospect> Engine::prospects(Instant now) const {
   // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
-  if (!leading_ || cycle_.under_way() || cycle_.planned_at() < led_ + detour_span(cluster_.settings)) return {};
+  if (!leadership_.is_leader() || cycle_.under_way() ||
+      cycle_.planned_at() < leadership_.since() + detour_span(cluster_.settings))
+    return {};
   return deadlines_.prospects({cluster_, autoscaler_.demand(), autoscaler_.capacity(), cycle_.queue().ranking()},
                               cycle_.planned_at(), now);
 }
--- a/src/control/engine_plan.cpp
+++ b/src/control/engine_plan.cpp
@@ -10,7 +10,7 @@
 namespace foxshunt::control {
 
 bool Engine::plan_some(Instant now, std::size_t places_most) {
-  if (!leading_) {
+  if (!leadership_.is_leader()) {
     cycle_.abandon();
     return true;
   }
--- a/src/control/engine_pools.cpp
+++ b/src/control/engine_pools.cpp
@@ -6,14 +6,14 @@
 void Engine::steer(pools::Steer steer) {
   const bool was_on = cluster_.pools.on();
   cluster_.pools.take(std::move(steer));
-  if (!leading_) return;
+  if (!leadership_.is_leader()) return;
   for (auto& [unused, machine] : cluster_.machines) cluster_.know_cache(machine);
   if (cluster_.pools.on() != was_on) cluster_.plan_wanted = true;
 }
 
 pools::Sighting Engine::sight_pools(Instant now) {
   pools::Sighting seen;
-  if (!leading_) return seen;
+  if (!leadership_.is_leader()) return seen;
   seen.answers = cluster_.pools.answers();
   seen.may_rent = cluster_.settings.operators.may_rent;
   seen.types = cluster_.types;
--- a/src/control/engine_records.cpp
+++ b/src/control/engine_records.cpp
@@ -14,7 +14,7 @@
 using guards::Guard;
 using guards::kept;
 
-Engine::Engine(config::Settings settings) : cluster_(std::move(settings)) {}
+Engine::Engine(config::Settings settings) : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
 
 Engine Engine::copy() const {
   Engine made = *this;
@@ -36,10 +36,7 @@
   cluster_.pools.lead(now);
   cycle_.queue().ranking() = std::move(ranking);
   cycle_.queue().ranking().tell_time(takeover.wall_ms, now);
-  leading_ = true;
-  term_ = takeover.term;
-  term_mark_ = takeover.term_mark;
-  led_ = lease_confirmed_ = read_confirmed_ = now;
+  leadership_.begin(takeover.term, takeover.term_mark, now);
   cluster_.older_leaders_until = kept(Guard::others_counted) ? takeover.others_until : now;
   cluster_.delegations = zone::Book(cluster_.settings.siblings, grant_spans(cluster_.settings));
   for (const config::Team& team : cluster_.settings.teams) {
@@ -96,45 +93,22 @@
     withdraw(job, now);
   }
   cluster_.plan_wanted = true;
-  spdlog::info("leading in term {}: {} jobs, {} placed tasks", term_.number(), cluster_.jobs.size(), runs);
+  spdlog::info("leading in term {}: {} jobs, {} placed tasks", leadership_.term().number(), cluster_.jobs.size(), runs);
 }
 
-void Engine::resign(const std::string& why) {
-  if (!leading_) return;
-  leading_ = false;
-  spdlog::info("no longer leading in term {}: {}", term_.number(), why);
-}
+void Engine::resign(const std::string& why) { leadership_.step_down(why); }
 
-void Engine::on_term_conflict(Revision term_mark) {
-  if (kept(Guard::write_earlier_lead) && term_mark != term_mark_) return;
-  resign("another leader has a higher term");
-}
+void Engine::on_term_conflict(Revision term_mark) { leadership_.on_term_conflict(term_mark); }
 
-void Engine::hear_of(Term term) {
-  if (kept(Guard::higher_term) && leading_ && term > term_)
-    resign("a sibling knows of term " + std::to_string(term.number()));
-}
+void Engine::hear_of(Term term) { leadership_.observe_term(term, "a sibling knows of"); }
 
-void Engine::confirm_lease(Instant when) { lease_confirmed_ = std::max(lease_confirmed_, when); }
+void Engine::confirm_lease(Instant when) { leadership_.on_lease_confirmed(when); }
 
-void Engine::confirm_reading(Instant when) {
-  // Of a removal that came while a write was under way it is not known yet whose it was: a cancellation, perhaps, that
-  // nothing was halted for. Until the record is read again, what is known goes no further.
-  if (kept(Guard::reading_settled) && cluster_.jobs.has_unread()) return;
-  read_confirmed_ = std::max(read_confirmed_, when);
-}
+void Engine::confirm_reading(Instant when) { leadership_.on_records_confirmed(when, cluster_.jobs); }
 
-bool Engine::may_answer(Instant now) const {
-  // A cancellation that this leader can't read may have been told to a user just after the last moment whose
-  // changes it knows. The workers' leases that it renews must have ended `cancel_s` after that.
-  const Instant known = kept(Guard::fence_reading) ? std::min(lease_confirmed_, read_confirmed_) : lease_confirmed_;
-  return leading_ && (!kept(Guard::fence) || now < known + fence_span(cluster_.settings));
-}
+bool Engine::may_answer(Instant now) const { return leadership_.can_renew_agent_leases(now); }
 
-bool Engine::may_start(Instant now) const {
-  return leading_ &&
-         (!kept(Guard::start_confirmed) || now < std::min(lease_confirmed_, read_confirmed_) + constants::kLeaderLease);
-}
+bool Engine::may_start(Instant now) const { return leadership_.can_start(now); }
 
 // ---- records ----
 
@@ -159,7 +133,7 @@
 
 void Engine::on_job_record(const JobId& id, const wire::Value& record, Revision mark, std::int64_t wall_ms,
                            Instant now) {
-  if (!leading_) return;
+  if (!leadership_.is_leader()) return;
   cycle_.queue().ranking().tell_time(wall_ms, now);
   if (!cluster_.jobs.on_record(id, mark)) return;
   try {
@@ -172,7 +146,7 @@
 }
 
 void Engine::on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now) {
-  if (!leading_) return;
+  if (!leadership_.is_leader()) return;
   Job* job = cluster_.jobs.on_reloaded(reload, mark);
   if (job == nullptr) return;
   spdlog::info("job {}: its record is gone, {} tasks to stop", reload.job.text(), job->runs_count);
@@ -180,7 +154,7 @@
 }
 
 void Engine::on_job_removed(const JobId& id, Instant now) {
-  if (!leading_) return;
+  if (!leadership_.is_leader()) return;
   Job* job = cluster_.jobs.on_removed(id);
   if (job == nullptr) return;
   spdlog::info("job {}: withdrawn, {} tasks to stop", id.text(), job->runs_count);
@@ -189,7 +163,7 @@
 
 bool Engine::on_job_list(Term read_in, const std::vector<state::Entry>& live, std::int64_t wall_ms, Instant now) {
   // Read in an earlier lead, it lacks what was accepted since, which would be taken for withdrawn and never run.
-  if (!leading_ || (kept(Guard::list_term) && read_in != term_)) return false;
+  if (!leadership_.is_leader() || (kept(Guard::list_term) && read_in != leadership_.term())) return false;
   std::set<JobId> there;
   for (const state::Entry& entry : live) {
     const auto id = state::job_of_key(entry.key);
@@ -219,14 +193,15 @@
 }
 
 std::optional<WriteBatch> Engine::begin_write(Instant now) {
-  if (!may_start(now)) return std::nullopt;
-  return cluster_.jobs.begin_write(term_mark_, cluster_.settings.state_txn_ops, now);
+  if (!leadership_.can_start(now)) return std::nullopt;
+  return cluster_.jobs.begin_write(leadership_.term_revision(), cluster_.settings.state_txn_ops, now);
 }
 
 void Engine::end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now) {
   // The answer to an earlier lead's write tells nothing of this one: that its condition on the term failed is no reason to
   // give this lead up, and the job table that it was built from is gone.
-  if (!leading_ || (kept(Guard::write_earlier_lead) && batch.term_mark != term_mark_)) return;
+  if (!leadership_.is_leader() || (kept(Guard::write_earlier_lead) && batch.term_mark != leadership_.term_revision()))
+    return;
   ++counters_.writes;
   if (result.answer != state::Answer::ok) ++counters_.writes_failed;
   if (result.answer == state::Answer::conflict &&
--- a/src/control/engine_standby.cpp
+++ b/src/control/engine_standby.cpp
@@ -60,7 +60,7 @@
 
 standby::Picture Engine::soft_state(Instant now) const {
   const TaskPricing pricing = autoscaler_.pricing(cluster_);
-  standby::Picture picture{.term = term_, .taken = now, .starts_s = 0, .facts = {}};
+  standby::Picture picture{.term = leadership_.term(), .taken = now, .starts_s = 0, .facts = {}};
   std::vector<Fact>& facts = picture.facts;
   for (const auto& [id, machine] : cluster_.machines) {
     const bool there = machine.state == MachineState::booting || machine.state == MachineState::up;
@@ -205,7 +205,8 @@
 
 void Engine::hint(const standby::Picture& picture, Instant now) {
   // Of its own term it knows more than any sibling.
-  if (!leading_ || picture.term >= term_ || now - picture.taken > constants::kStandbyOldest) return;
+  if (!leadership_.is_leader() || picture.term >= leadership_.term() || now - picture.taken > constants::kStandbyOldest)
+    return;
   std::map<std::string, std::vector<standby::Arrivals>> arrivals;
   for (const Fact& fact : picture.facts) {
     switch (fact.key.kind) {
--- a/src/control/engine_workers.cpp
+++ b/src/control/engine_workers.cpp
@@ -156,13 +156,13 @@
 }
 
 bool Engine::startable(const Job& job, const Run& run, Instant now) const {
-  if ((kept(Guard::start_durable) && !run.durable) || run.halting || !may_start(now)) return false;
+  if ((kept(Guard::start_durable) && !run.durable) || run.halting || !leadership_.can_start(now)) return false;
   // All tasks of a gang start, or none: each one's placement has to be durable.
   return job.spec.kind != wire::JobKind::gang || !kept(Guard::gang_durable) || jobs::JobTable::all_durable(job);
 }
 
 bool Engine::settled(const wire::Report& report) const {
-  if (!leading_) return true;
+  if (!leadership_.is_leader()) return true;
   const auto entry = cluster_.machines.find(report.machine);
   if (entry == cluster_.machines.end()) return true;
   const bool any_ended =
@@ -179,7 +179,7 @@
 
 std::optional<std::vector<Command>> Engine::later_commands(const wire::Report& report, Instant now) {
   // An answer renews the worker's lease, so the right to answer is looked at again.
-  if (kept(Guard::answer_rechecked) && !may_answer(now)) return std::nullopt;
+  if (kept(Guard::answer_rechecked) && !leadership_.can_renew_agent_leases(now)) return std::nullopt;
   std::vector<Command> commands;
   const auto entry = cluster_.machines.find(report.machine);
   if (entry == cluster_.machines.end()) return commands;
@@ -206,18 +206,15 @@
 }
 
 std::optional<std::vector<Command>> Engine::on_report(const wire::Report& report, Instant now) {
-  if (!leading_) return std::nullopt;
-  if (kept(Guard::higher_term) && report.term > term_) {
-    resign("a worker has seen term " + std::to_string(report.term.number()));
-    return std::nullopt;
-  }
-  if (!may_answer(now)) return std::nullopt;
+  if (!leadership_.is_leader()) return std::nullopt;
+  leadership_.observe_term(report.term, "a worker has seen");
+  if (!leadership_.can_renew_agent_leases(now)) return std::nullopt;
   ++counters_.reports;
   std::vector<Command> commands;
   // Held up on its way: it teaches nothing.
   if (!cluster_.machines.news(report)) return commands;
   Machine& machine = cluster_.know_machine(report.machine, now);
-  if (cluster_.machines.hear(machine, report, term_, now)) cluster_.plan_wanted = true;
+  if (cluster_.machines.hear(machine, report, leadership_.term(), now)) cluster_.plan_wanted = true;
   cluster_.refresh_plan_machine(machine);
 
   // A later session began with nothing.
@@ -313,12 +310,15 @@
 
 std::vector<DirectHalt> Engine::due_halts(Instant now) {
   std::vector<DirectHalt> due;
-  if (!leading_) return due;
+  if (!leadership_.is_leader()) return due;
   for (auto& [id, machine] : cluster_.machines) {
     if (!machine.halting || !machine.reported || machine.address.empty()) continue;
     machine.halting = false;
-    DirectHalt halts{
-        .term = term_, .machine = id, .address = machine.address, .session = machine.session, .commands = {}};
+    DirectHalt halts{.term = leadership_.term(),
+                     .machine = id,
+                     .address = machine.address,
+                     .session = machine.session,
+                     .commands = {}};
     for (const TaskKey& key : machine.runs) {
       Run& run = *cluster_.jobs.find_run(key);
       machine.halting = machine.halting || run.halting;
--- a/src/control/engine_zones.cpp
+++ b/src/control/engine_zones.cpp
@@ -38,23 +38,23 @@
 }
 
 std::optional<zone::Grant> Engine::on_ask(const zone::Ask& ask, Instant now) {
-  if (!leading_) return std::nullopt;
+  if (!leadership_.is_leader()) return std::nullopt;
   const auto sibling = std::ranges::find(cluster_.settings.siblings, ask.node, &config::Sibling::name);
   if (sibling == cluster_.settings.siblings.end()) return std::nullopt;
   const bool older_over = cluster_.delegations.older_terms_over();
   // First what the word tells: a machine that the sibling has answered is not taken for dead.
-  if (!cluster_.delegations.hear(ask, term_, now)) return std::nullopt;
+  if (!cluster_.delegations.hear(ask, leadership_.term(), now)) return std::nullopt;
   std::vector<MachineId> except;
   std::optional<Instant> known;
   if (cluster_.settings.operators.zone_grants) {
     except = not_granted(sibling->zone, now);
-    if (except.size() <= constants::kGrantMachinesMost) known = std::min(lease_confirmed_, read_confirmed_);
+    if (except.size() <= constants::kGrantMachinesMost) known = leadership_.last_confirmed();
   }
   if (!older_over && cluster_.delegations.older_terms_over()) {
     cluster_.older_leaders_until = std::min(cluster_.older_leaders_until, now);
     spdlog::info("every sibling has left older terms");
   }
-  return cluster_.delegations.give(ask.node, term_, known, except, now);
+  return cluster_.delegations.give(ask.node, leadership_.term(), known, except, now);
 }
 
 // ---- view ----
