--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -91,8 +91,17 @@
   return from_seconds(spec.image_gb / kind->fetch_gb_per_s);
 }
 
+Millis ClusterState::boot_time(const std::string& type_name) const {
+  const wire::MachineType* kind = type(type_name);
+  return from_seconds(kind == nullptr ? 0 : kind->boot_s);
+}
+
 bool ClusterState::counted_on(const std::string& zone) const {
   return settings.in_service(zone) && zones.trusted(zone);
 }
 
+bool has_bookings(const Machine& machine) {
+  return machine.planned != nullptr && !machine.planned->use.of(0).slots().empty();
+}
+
 }  // namespace foxshunt::control
--- a/src/control/cluster_state.h
+++ b/src/control/cluster_state.h
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "config/settings.h"
+#include "control/counters.h"
 #include "inventory/machine_inventory.h"
 #include "jobs/job_table.h"
 #include "plan/planner.h"
@@ -59,6 +60,8 @@
   [[nodiscard]] const wire::MachineType* type(const std::string& name) const;
   // How long a machine of the type takes to fetch the job's image; zero if that is not known.
   [[nodiscard]] Millis fetch_time(const wire::JobSpec& spec, const std::string& machine_type) const;
+  // How long a machine of the type takes to boot; zero if that is not known.
+  [[nodiscard]] Millis boot_time(const std::string& type_name) const;
   // Whether machines may be rented in the zone.
   [[nodiscard]] bool counted_on(const std::string& zone) const;
 
@@ -72,6 +75,10 @@
   zone::Book delegations;       // of the right to renew agents' leases, to the other controllers
   Instant older_leaders_until;  // until then leaders of earlier terms may still renew agents' leases
   bool plan_wanted = false;     // something has happened since the latest planning pass began
+  Counters counters;
 };
 
+// Whether the plan has anything for the machine, of what is placed there or is to be.
+[[nodiscard]] bool has_bookings(const Machine& machine);
+
 }  // namespace foxshunt::control
--- /dev/null
+++ b/src/control/engine.cpp
@@ -0,0 +1,125 @@
+#include "control/engine.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "config/constants.h"
+#include "config/guards.h"
+#include "control/machine_housekeeper.h"
+#include "control/reconciler.h"
+#include "control/soft_state.h"
+#include "control/times.h"
+
+namespace foxshunt::control {
+
+using guards::Guard;
+using guards::kept;
+
+Engine::Engine(config::Settings settings) : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
+
+Engine Engine::copy() const {
+  Engine made = *this;
+  made.cluster_.rebind_planned_nodes();
+  return made;
+}
+
+// ---- leadership ----
+
+void Engine::lead(const Takeover& takeover, Instant now) {
+  const std::vector<wire::MachineType> types = std::move(cluster_.types);
+  Autoscaler autoscaler = autoscaler_.successor();
+  pools::Desk pools = std::move(cluster_.pools);
+  classes::Ranking ranking = std::move(cycle_.queue().ranking());
+  *this = Engine(std::move(cluster_.settings));
+  cluster_.types = types;
+  autoscaler_ = std::move(autoscaler);
+  cluster_.pools = std::move(pools);
+  cluster_.pools.lead(now);
+  cycle_.queue().ranking() = std::move(ranking);
+  cycle_.queue().ranking().tell_time(takeover.wall_ms, now);
+  leadership_.begin(takeover.term, takeover.term_mark, now);
+  cluster_.older_leaders_until = kept(Guard::others_counted) ? takeover.others_until : now;
+  cluster_.delegations = zone::Book(cluster_.settings.siblings, grant_spans(cluster_.settings));
+  set_team_quotas();
+  restore_jobs(takeover, now);
+  std::size_t allocated = 0;
+  for (const auto& [unused, job] : cluster_.jobs) allocated += job.runs_count;
+  resume_jobs(now);
+  cluster_.plan_wanted = true;
+  spdlog::info("leading in term {}: {} jobs, {} placed tasks", leadership_.term().number(), cluster_.jobs.size(),
+               allocated);
+}
+
+void Engine::set_team_quotas() {
+  const auto limit = [](double most) {
+    return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
+  };
+  for (const config::Team& team : cluster_.settings.teams) {
+    cluster_.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
+  }
+}
+
+void Engine::resign(const std::string& why) { leadership_.step_down(why); }
+
+void Engine::on_term_conflict(Revision term_mark) { leadership_.on_term_conflict(term_mark); }
+
+void Engine::hear_of(Term term) { leadership_.observe_term(term, "a sibling knows of"); }
+
+void Engine::confirm_lease(Instant when) { leadership_.on_lease_confirmed(when); }
+
+void Engine::confirm_reading(Instant when) { leadership_.on_records_confirmed(when, cluster_.jobs); }
+
+bool Engine::may_answer(Instant now) const { return leadership_.can_renew_agent_leases(now); }
+
+bool Engine::may_start(Instant now) const { return leadership_.can_start(now); }
+
+// ---- agents ----
+
+std::optional<std::vector<wire::Command>> Engine::on_report(const wire::Report& report, Instant now) {
+  if (!leadership_.is_leader()) return std::nullopt;
+  leadership_.observe_term(report.term, "a worker has seen");
+  if (!leadership_.can_renew_agent_leases(now)) return std::nullopt;
+  ++cluster_.counters.reports;
+  return Reconciler(cluster_, leadership_).on_heartbeat(report, now);
+}
+
+bool Engine::settled(const wire::Report& report) const {
+  if (!leadership_.is_leader() || !cluster_.machines.contains(report.machine)) return true;
+  const bool any_ended = std::ranges::any_of(
+      report.tasks, [](const wire::TaskReport& task) { return task.state == wire::TaskState::ended; });
+  if (any_ended && plan_wanted()) return false;
+  return is_durable(cluster_, report);
+}
+
+std::optional<std::vector<wire::Command>> Engine::later_commands(const wire::Report& report, Instant now) {
+  // An answer renews the agent's lease, so the right to answer is looked at again.
+  if (kept(Guard::answer_rechecked) && !leadership_.can_renew_agent_leases(now)) return std::nullopt;
+  return Reconciler(cluster_, leadership_).later_commands(report, now);
+}
+
+std::vector<DirectHalt> Engine::due_halts(Instant now) { return tasks().due_direct_stops(now); }
+
+// ---- other controllers ----
+
+std::optional<zone::Grant> Engine::on_ask(const zone::Ask& ask, Instant now) {
+  return zone_coordinator().on_delegation_request(ask, now);
+}
+
+standby::Picture Engine::soft_state(Instant now) const {
+  const Demand& demand = autoscaler_.demand();
+  const TaskPricing pricing = autoscaler_.pricing(cluster_);
+  std::set<std::string> urgent_classes;
+  for (const auto& [name, of_class] : demand.classes()) {
+    if (pricing.urgent_class(name, of_class.sample)) urgent_classes.insert(name);
+  }
+  return soft_state_snapshot(
+      {.cluster = cluster_, .demand = demand, .supply = autoscaler_.capacity(), .urgent_classes = urgent_classes},
+      leadership_.term(), now);
+}
+
+void Engine::hint(const standby::Picture& picture, Instant now) {
+  SoftState(cluster_, leadership_, autoscaler_.demand(), autoscaler_.capacity()).apply(picture, now);
+}
+
+}  // namespace foxshunt::control
--- a/src/control/engine.h
+++ b/src/control/engine.h
@@ -19,9 +19,10 @@
 #include "control/gang_coordinator.h"
 #include "control/placement_rules.h"
 #include "control/scheduling_cycle.h"
-#include "control/task_actions.h"
 #include "control/job_requirements.h"
 #include "control/leadership.h"
+#include "control/task_lifecycle.h"
+#include "control/zone_coordinator.h"
 #include "foresight/foresight.h"
 #include "aging/aging.h"
 #include "plan/planner.h"
@@ -38,14 +39,6 @@
 
 namespace foxshunt::control {
 
-struct DirectHalt {
-  Term term;  // in which it was decided: its token, whoever leads when it is sent
-  MachineId machine;
-  std::string address;
-  SessionNo session;
-  std::vector<wire::Command> commands;
-};
-
 struct Takeover {
   Term term;
   Revision term_mark;
@@ -69,7 +62,7 @@
   Millis fence_left{};          // until workers' reports may no longer be answered
 };
 
-class Engine : private TaskActions {
+class Engine {
  public:
   explicit Engine(config::Settings settings);
   // Another one that goes on from the same moment, for tests that try several orders.
@@ -92,7 +85,7 @@
   void confirm_reading(Instant when);
   // Whether workers' reports may be answered with 200, and whether anything may be started.
   [[nodiscard]] bool may_answer(Instant now) const;
-  [[nodiscard]] bool may_start(Instant now) const override;
+  [[nodiscard]] bool may_start(Instant now) const;
 
   // ---- records ----
   void on_job_record(const JobId& job, const wire::Value& record, Revision mark, std::int64_t wall_ms, Instant now);
@@ -148,7 +141,7 @@
   void steer(pools::Steer steer);
   [[nodiscard]] pools::Sighting sight_pools(Instant now);
 
-  // ---- standby (engine_standby.cpp) ----
+  // ---- standby ----
   // What no record tells, for siblings.
   [[nodiscard]] standby::Picture soft_state(Instant now) const;
   // What an earlier term's leader knew: steers plans and renting, and is taken back by what is seen. It proves nothing,
@@ -173,7 +166,7 @@
   [[nodiscard]] Census census(Instant now) const;
   // Why the job's tasks wait and when the next is planned to start, in words; nothing if no such job is known.
   [[nodiscard]] std::optional<std::string> explain(const JobId& job, Instant now) const;
-  [[nodiscard]] const Counters& counters() const { return counters_; }
+  [[nodiscard]] const Counters& counters() const { return cluster_.counters; }
   [[nodiscard]] const std::map<JobId, Job>& jobs() const { return cluster_.jobs.all(); }
   [[nodiscard]] const std::map<MachineId, Machine>& machines() const { return cluster_.machines.all(); }
   // Whether jobs, runs and machines agree, for tests: what does not, in words.
@@ -182,37 +175,28 @@
   }
 
  private:
+  // Modules that store no state are made for the length of a call.
+  [[nodiscard]] TaskLifecycle tasks() { return {cluster_, leadership_}; }
+  [[nodiscard]] ZoneCoordinator zone_coordinator() { return {cluster_, leadership_}; }
   // records
+  void set_team_quotas();
+  // Takes in what earlier leaders have recorded.
+  void restore_jobs(const Takeover& takeover, Instant now);
+  Job* restore_job(const state::Entry& entry, std::int64_t wall_ms, Instant now);
+  void restore_part(const state::Entry& entry, Instant now);
+  // Goes on with gangs and cancellations that an earlier leader has left half done.
+  void resume_jobs(Instant now);
   Job& add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now);
   // What a record places there is believed to run for its estimate from now on.
   void book_adopted(Job& job, std::uint32_t part, Instant now);
-  void withdraw(Job& job, Instant now);
-  // runs
-  void prove_gone(Job& job, std::uint32_t index, const char* why, Instant now);
-  void halt(Job& job, std::uint32_t index, double grace_s);
-  void know_halting(const MachineId& id);
-  void finish_task(Job& job, std::uint32_t index, Instant now);
-  void on_task_ended(Job& job, Machine& machine, const wire::TaskReport& task, Instant now);
-  void end_gang(Job& job, Instant now) override;
-  // A task of the gang is gone together with its machine: another one joins the rest if they have not begun.
-  void lost_from_gang(Job& job, bool had_run, Instant now);
-  [[nodiscard]] bool startable(const Job& job, const Run& run, Instant now) const;
-  void learn_running(Job& job, Machine& machine, Run& run, std::uint32_t index, wire::TaskState state, Instant now);
-  [[nodiscard]] double save_grace(const Job& job) const;
   // machines
-  [[nodiscard]] bool unheard(Instant now) const;
-  void drain(Machine& machine, const std::string& why, Instant now);
-  // zones
-  void look_at_zones(Instant now);
-  [[nodiscard]] std::vector<MachineId> not_granted(const std::string& zone, Instant now) const;
-  // Replicas are moved out of zones that are out of service, one machine after the other; all other work runs out.
-  void move_replicas(Instant now);
-  // planning
-  void place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now) override;
-  void stop_for_other_work(Job& job, std::uint32_t index) override { halt(job, index, save_grace(job)); }
-  // standby
-  void hint_machine(const std::string& name, const standby::Machine& told, Instant now);
-  void hint_task(const standby::Key& key, const standby::Task& told, Instant now);
+  // No agent reaches this node, and no other controller passes heartbeats on: the agents' leases end soon, whoever leads, and
+  // another node may hear them. Only while the state service answers, without which nobody could take the lead.
+  [[nodiscard]] bool is_unreachable(Instant now) const;
+  // Wants a pass for what waits for the end of a pause, its own or the cloud's, and is not woken by any event.
+  void request_overdue_pass(Instant now);
+  void review_machines(Instant now);
+  [[nodiscard]] bool may_return_idle(const Machine& machine, Instant now) const;
 
   ClusterState cluster_;
   Leadership leadership_;
@@ -220,7 +204,6 @@
   GangCoordinator gangs_;
   SchedulingCycle cycle_;
   DeadlinePlanner deadlines_;
-  Counters counters_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/engine_pools.cpp
+++ b/src/control/engine_pools.cpp
@@ -27,7 +27,7 @@
     if (machine.type.empty()) continue;
     pools::Sight sight{.id = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot};
     sight.leaving = machine.state == MachineState::draining || machine.state == MachineState::returning;
-    const bool booked = machine.planned != nullptr && !machine.planned->use.of(0).slots().empty();
+    const bool booked = has_bookings(machine);
     sight.spare = machine.runs.empty() && !booked && !autoscaler_.is_spare(id) && cluster_.usable(machine, now);
     for (const TaskKey& key : machine.runs) {
       const Job& job = cluster_.jobs.at(key.job);
--- a/src/control/engine_records.cpp
+++ b/src/control/engine_records.cpp
@@ -1,4 +1,4 @@
-// Leadership and records: what is durable, and what of it is on its way.
+// Records: what is durable, and what of it is on its way.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -14,103 +14,65 @@
 using guards::Guard;
 using guards::kept;
 
-Engine::Engine(config::Settings settings) : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
+// ---- taken over from earlier leaders ----
 
-Engine Engine::copy() const {
-  Engine made = *this;
-  made.cluster_.rebind_planned_nodes();
-  return made;
-}
-
-// ---- leadership ----
-
-void Engine::lead(const Takeover& takeover, Instant now) {
-  const std::vector<wire::MachineType> types = std::move(cluster_.types);
-  Autoscaler autoscaler = autoscaler_.successor();
-  pools::Desk pools = std::move(cluster_.pools);
-  classes::Ranking ranking = std::move(cycle_.queue().ranking());
-  *this = Engine(std::move(cluster_.settings));
-  cluster_.types = types;
-  autoscaler_ = std::move(autoscaler);
-  cluster_.pools = std::move(pools);
-  cluster_.pools.lead(now);
-  cycle_.queue().ranking() = std::move(ranking);
-  cycle_.queue().ranking().tell_time(takeover.wall_ms, now);
-  leadership_.begin(takeover.term, takeover.term_mark, now);
-  cluster_.older_leaders_until = kept(Guard::others_counted) ? takeover.others_until : now;
-  cluster_.delegations = zone::Book(cluster_.settings.siblings, grant_spans(cluster_.settings));
-  for (const config::Team& team : cluster_.settings.teams) {
-    const auto limit = [](double most) {
-      return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
-    };
-    cluster_.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
+void Engine::restore_jobs(const Takeover& takeover, Instant now) {
+  // What lingers is read last, and a job that its user cancels meanwhile is in both: taken in twice its tasks would
+  // count twice for the team's quota, and once more than they can be confirmed terminated.
+  for (const state::Entry& entry : takeover.linger) {
+    if (Job* job = restore_job(entry, takeover.wall_ms, now); job != nullptr) job->withdrawn = true;
   }
-  const auto load = [&](const state::Entry& entry, bool withdrawn) {
-    try {
-      Job& job = add_job(state::job_from(entry.data), entry.mark, takeover.wall_ms, now);
-      if (withdrawn) job.withdrawn = true;
-    } catch (const wire::Malformed& error) {
-      spdlog::error("record {} cannot be read: {}", entry.key, error.what());
-    }
-  };
-  // What lingers is read last, and a job that its user withdraws meanwhile is in both: taken in twice its tasks would
-  // count twice for the team's limit, and once more than they can be proved gone.
-  for (const state::Entry& entry : takeover.linger) load(entry, true);
   for (const state::Entry& entry : takeover.live) {
     const auto id = state::job_of_key(entry.key);
     if (kept(Guard::adopted_once) && id && cluster_.jobs.find(*id) != cluster_.jobs.end()) continue;
-    load(entry, false);
+    restore_job(entry, takeover.wall_ms, now);
   }
-  for (const state::Entry& entry : takeover.parts) {
-    const auto id = state::job_of_key(entry.key);
-    const auto number = state::part_of_key(entry.key);
-    const auto known = id ? cluster_.jobs.find(*id) : cluster_.jobs.end();
-    if (known == cluster_.jobs.end() || !number || *number >= known->second.parts.size()) continue;
-    Job& job = known->second;
-    try {
-      job.parts[*number].mark = entry.mark;
-      job.parts[*number].recorded = true;
-      cluster_.jobs.adopt_part(job, *number, state::part_from(entry.data, state::part_size(job.spec.tasks, *number)),
-                               cluster_.machines, now);
-      book_adopted(job, *number, now);
-    } catch (const wire::Malformed& error) {
-      spdlog::error("record {} cannot be read: {}", entry.key, error.what());
-    }
+  for (const state::Entry& entry : takeover.parts) restore_part(entry, now);
+}
+
+Job* Engine::restore_job(const state::Entry& entry, std::int64_t wall_ms, Instant now) {
+  try {
+    return &add_job(state::job_from(entry.data), entry.mark, wall_ms, now);
+  } catch (const wire::Malformed& error) {
+    spdlog::error("record {} cannot be read: {}", entry.key, error.what());
+    return nullptr;
   }
-  std::vector<JobId> withdrawn;
-  std::size_t runs = 0;
+}
+
+void Engine::restore_part(const state::Entry& entry, Instant now) {
+  const auto id = state::job_of_key(entry.key);
+  const auto number = state::part_of_key(entry.key);
+  const auto known = id ? cluster_.jobs.find(*id) : cluster_.jobs.end();
+  if (known == cluster_.jobs.end() || !number || *number >= known->second.parts.size()) return;
+  Job& job = known->second;
+  try {
+    job.parts[*number].mark = entry.mark;
+    job.parts[*number].recorded = true;
+    cluster_.jobs.adopt_part(job, *number, state::part_from(entry.data, state::part_size(job.spec.tasks, *number)),
+                             cluster_.machines, now);
+    book_adopted(job, *number, now);
+  } catch (const wire::Malformed& error) {
+    spdlog::error("record {} cannot be read: {}", entry.key, error.what());
+  }
+}
+
+void Engine::resume_jobs(Instant now) {
+  std::vector<JobId> cancelled;
   for (auto& [id, job] : cluster_.jobs) {
-    runs += job.runs_count;
-    // That a gang lost a task and gathers, or that the rest is to be halted, only the earlier leader knew: unless another
-    // task joins them, those that wait would keep their places until they give up by themselves.
-    if (job.spec.kind == wire::JobKind::gang && job.runs_count > 0 && job.pending() > 0)
-      GangCoordinator::gather(cluster_, job, now);
-    if (job.withdrawn) withdrawn.push_back(id);
+    // That a gang lost a task and waits for another, or that the rest is to be stopped, only the earlier leader knew: unless
+    // another task joins them, those that wait would keep their places until they give up by themselves.
+    const bool incomplete_gang = job.spec.kind == wire::JobKind::gang && job.runs_count > 0 && job.pending() > 0;
+    if (incomplete_gang) GangCoordinator::gather(cluster_, job, now);
+    if (job.withdrawn) cancelled.push_back(id);
   }
-  for (const JobId& id : withdrawn) {
+  for (const JobId& id : cancelled) {
     Job& job = cluster_.jobs.at(id);
     job.had_runs = true;
-    withdraw(job, now);
+    tasks().cancel(job, now);
   }
-  cluster_.plan_wanted = true;
-  spdlog::info("leading in term {}: {} jobs, {} placed tasks", leadership_.term().number(), cluster_.jobs.size(), runs);
 }
 
-void Engine::resign(const std::string& why) { leadership_.step_down(why); }
-
-void Engine::on_term_conflict(Revision term_mark) { leadership_.on_term_conflict(term_mark); }
-
-void Engine::hear_of(Term term) { leadership_.observe_term(term, "a sibling knows of"); }
-
-void Engine::confirm_lease(Instant when) { leadership_.on_lease_confirmed(when); }
-
-void Engine::confirm_reading(Instant when) { leadership_.on_records_confirmed(when, cluster_.jobs); }
-
-bool Engine::may_answer(Instant now) const { return leadership_.can_renew_agent_leases(now); }
-
-bool Engine::may_start(Instant now) const { return leadership_.can_start(now); }
-
-// ---- records ----
+// ---- changes of records ----
 
 Job& Engine::add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now) {
   Job& job = cluster_.jobs.add(record, mark, wall_ms, cluster_.machines, now);
@@ -150,7 +112,7 @@
   Job* job = cluster_.jobs.on_reloaded(reload, mark);
   if (job == nullptr) return;
   spdlog::info("job {}: its record is gone, {} tasks to stop", reload.job.text(), job->runs_count);
-  withdraw(*job, now);
+  tasks().cancel(*job, now);
 }
 
 void Engine::on_job_removed(const JobId& id, Instant now) {
@@ -158,7 +120,7 @@
   Job* job = cluster_.jobs.on_removed(id);
   if (job == nullptr) return;
   spdlog::info("job {}: withdrawn, {} tasks to stop", id.text(), job->runs_count);
-  withdraw(*job, now);
+  tasks().cancel(*job, now);
 }
 
 bool Engine::on_job_list(Term read_in, const std::vector<state::Entry>& live, std::int64_t wall_ms, Instant now) {
@@ -179,19 +141,6 @@
   return true;
 }
 
-void Engine::withdraw(Job& job, Instant now) {
-  revoke_bookings(cluster_, job);
-  for (Part& part : job.parts) {
-    for (auto& [unused, run] : part.runs) {
-      run.halting = true;
-      run.grace_s = 0;
-      know_halting(run.machine);
-    }
-  }
-  for (const std::uint32_t index : cluster_.jobs.withdraw(job)) prove_gone(job, index, "never started", now);
-  cluster_.plan_wanted = true;
-}
-
 std::optional<WriteBatch> Engine::begin_write(Instant now) {
   if (!leadership_.can_start(now)) return std::nullopt;
   return cluster_.jobs.begin_write(leadership_.term_revision(), cluster_.settings.state_txn_ops, now);
@@ -202,8 +151,8 @@
   // give this lead up, and the job table that it was built from is gone.
   if (!leadership_.is_leader() || (kept(Guard::write_earlier_lead) && batch.term_mark != leadership_.term_revision()))
     return;
-  ++counters_.writes;
-  if (result.answer != state::Answer::ok) ++counters_.writes_failed;
+  ++cluster_.counters.writes;
+  if (result.answer != state::Answer::ok) ++cluster_.counters.writes_failed;
   if (result.answer == state::Answer::conflict &&
       std::ranges::find(result.failed, state::kTermKey) != result.failed.end()) {
     on_term_conflict(batch.term_mark);
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -53,7 +53,7 @@
 
 bool JobPlanner::may_replace_members(Job& job, Instant now) {
   const MissingMembers missing = GangCoordinator::missing_members(cluster_, job, now);
-  if (missing == MissingMembers::overdue) tasks_.end_gang(job, now);
+  if (missing == MissingMembers::overdue) tasks_.end_gang_attempt(job);
   return missing == MissingMembers::replace;
 }
 
@@ -183,7 +183,7 @@
 }
 
 bool JobPlanner::place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  if (!tasks_.may_start(now)) return false;
+  if (!tasks_.can_start_anything(now)) return false;
   if (is_gang(job)) return place_gang(job, placings, now);
   bool any = false;
   for (const plan::Placing& placing : placings) {
--- a/src/control/job_planner.h
+++ b/src/control/job_planner.h
@@ -13,7 +13,7 @@
 #include "control/deadline_planner.h"
 #include "control/gang_coordinator.h"
 #include "control/scheduling_queue.h"
-#include "control/task_actions.h"
+#include "control/task_lifecycle.h"
 #include "plan/planner.h"
 
 namespace foxshunt::control {
@@ -21,7 +21,7 @@
 class JobPlanner {
  public:
   JobPlanner(ClusterState& cluster, SchedulingQueue& queue, GangCoordinator& gangs, const Autoscaler& autoscaler,
-             const DeadlinePlanner& deadlines, TaskActions& tasks)
+             const DeadlinePlanner& deadlines, TaskLifecycle& tasks)
       : cluster_(cluster),
         queue_(queue),
         gangs_(gangs),
@@ -58,7 +58,7 @@
   GangCoordinator& gangs_;
   const Autoscaler& autoscaler_;
   const DeadlinePlanner& deadlines_;
-  TaskActions& tasks_;
+  TaskLifecycle& tasks_;
 };
 
 }  // namespace foxshunt::control
--- /dev/null
+++ b/src/control/machine_housekeeper.cpp
@@ -0,0 +1,90 @@
+#include "control/machine_housekeeper.h"
+
+#include <spdlog/spdlog.h>
+
+#include <set>
+
+#include "config/constants.h"
+#include "control/times.h"
+
+namespace foxshunt::control {
+
+MachineHousekeeper::Verdict MachineHousekeeper::review(Machine& machine, Instant now) {
+  expire_lease(machine, now);
+  give_up_unheard_tasks(machine, now);
+  if (!machine.runs.empty()) return Verdict::stays;
+  const bool awaited = is_zone_awaited(machine, now);
+  if (machine.state == MachineState::booting && is_boot_lost(machine, now) && !awaited) {
+    machine.state = MachineState::returning;
+    machine.why = "it did not come up";
+    return Verdict::returning;
+  }
+  if (machine.state == MachineState::draining) {
+    machine.state = MachineState::returning;
+    return Verdict::returning;
+  }
+  // Dead machines stay listed for a while.
+  if (machine.expired && !awaited && now - machine.last_report > lease_span(cluster_.settings) * 2) {
+    machine.state = MachineState::returning;
+    if (machine.why.empty()) machine.why = "it is silent";
+    return Verdict::returning;
+  }
+  return has_vanished(machine, now) ? Verdict::vanished : Verdict::stays;
+}
+
+void MachineHousekeeper::expire_lease(Machine& machine, Instant now) {
+  // Nobody can have renewed its lease since.
+  if (machine.expired || machine.state == MachineState::booting || !cluster_.lease_over(machine, now)) return;
+  machine.expired = true;
+  const std::set<TaskKey> runs = machine.runs.copy();
+  if (!runs.empty() || machine.reported) {
+    // Of a zone that is gone one line tells, not hundreds.
+    const bool alone = cluster_.zones.of(machine.zone) != zone::State::cut;
+    spdlog::log(alone ? spdlog::level::info : spdlog::level::debug,
+                "machine {} is silent, its lease has ended with {} tasks", machine.id.text(), runs.size());
+  }
+  for (const TaskKey& key : runs) tasks_.lose_task(key, "the machine's lease ended", now);
+}
+
+void MachineHousekeeper::give_up_unheard_tasks(Machine& machine, Instant now) {
+  // They count until the lease can't have been renewed.
+  if (machine.state != MachineState::booting || machine.runs.empty() || !cluster_.lease_over(machine, now)) return;
+  const std::set<TaskKey> runs = machine.runs.copy();
+  for (const TaskKey& key : runs) {
+    Job& job = cluster_.jobs.at(key.job);
+    tasks_.confirm_terminated(job, key.index, "no leader has heard of its machine", now);
+    tasks_.end_gang_attempt(job);
+  }
+}
+
+bool MachineHousekeeper::is_boot_lost(const Machine& machine, Instant now) const {
+  // A new leader hears of machines by the list before their agents send it heartbeats: those that are up must not be taken for
+  // lost boots. They have the time in which an agent finds its leader.
+  const Millis boot = cluster_.boot_time(machine.type);
+  const Millis lease = lease_span(cluster_.settings);
+  const Millis known = now - machine.known;
+  if (machine.listed.running || machine.hinted == inventory::Hinted::up) return known > lease * 2 + boot;
+  const bool type_known = cluster_.type(machine.type) != nullptr;
+  return type_known && known > lease && now - machine.since > boot * constants::kBootLost;
+}
+
+bool MachineHousekeeper::has_vanished(const Machine& machine, Instant now) const {
+  // One that is neither heard nor listed no longer exists. The same of one that only a standby's word tells of: it may have
+  // been returned since.
+  const Millis unlisted = from_seconds(cluster_.settings.cloud_list_lag_s * 3) + constants::kListEvery * 4;
+  const bool hearsay = machine.type.empty() || machine.hinted != inventory::Hinted::no;
+  return !machine.reported && hearsay && now - machine.listed.last > unlisted;
+}
+
+bool MachineHousekeeper::is_zone_awaited(const Machine& machine, Instant now) const {
+  return cluster_.settings.operators.zone_watch && cluster_.zones.keeps(machine.zone, now);
+}
+
+bool MachineHousekeeper::is_idle(const Machine& machine, Instant now) const {
+  // One that a waiting task is booked on is not idle.
+  if (!machine.runs.empty() || has_bookings(machine) || machine.state != MachineState::up) return false;
+  // A silent one of a zone that is waited for is wanted when it is back, most likely.
+  return !(is_zone_awaited(machine, now) && cluster_.machines.silent(machine, now));
+}
+
+}  // namespace foxshunt::control
--- /dev/null
+++ b/src/control/machine_housekeeper.h
@@ -0,0 +1,43 @@
+// Housekeeping of machines as time passes: agent leases that have ended, boots that are lost, drained machines that are empty, and
+// machines that no longer exist.
+//
+// Owns no state of its own. Is given the cluster state, which it changes, and leadership. Marks machines to be returned, and never
+// returns or forgets one itself. Made for the moment of a call and not kept; pure; not thread-safe.
+#pragma once
+
+#include <cstdint>
+
+#include "control/cluster_state.h"
+#include "control/leadership.h"
+#include "control/task_lifecycle.h"
+
+namespace foxshunt::control {
+
+class MachineHousekeeper {
+ public:
+  MachineHousekeeper(ClusterState& cluster, const Leadership& leadership)
+      : cluster_(cluster), tasks_(cluster, leadership) {}
+
+  enum class Verdict : std::uint8_t {
+    stays,
+    returning,  // it is marked to be returned
+    vanished,   // it no longer exists and is to be forgotten
+  };
+  [[nodiscard]] Verdict review(Machine& machine, Instant now);
+  // Whether it is up and has nothing to do, now and by the plan.
+  [[nodiscard]] bool is_idle(const Machine& machine, Instant now) const;
+
+ private:
+  void expire_lease(Machine& machine, Instant now);
+  // Tasks that a record places on a machine that no leader has heard of.
+  void give_up_unheard_tasks(Machine& machine, Instant now);
+  [[nodiscard]] bool is_boot_lost(const Machine& machine, Instant now) const;
+  [[nodiscard]] bool has_vanished(const Machine& machine, Instant now) const;
+  // Whether the machine's zone is lost and waited for.
+  [[nodiscard]] bool is_zone_awaited(const Machine& machine, Instant now) const;
+
+  ClusterState& cluster_;
+  TaskLifecycle tasks_;
+};
+
+}  // namespace foxshunt::control
--- a/src/control/preemptor.h
+++ b/src/control/preemptor.h
@@ -11,7 +11,7 @@
 
 #include "control/cluster_state.h"
 #include "control/scheduling_queue.h"
-#include "control/task_actions.h"
+#include "control/task_lifecycle.h"
 #include "plan/planner.h"
 #include "preempt/preempt.h"
 
@@ -19,7 +19,7 @@
 
 class Preemptor {
  public:
-  Preemptor(ClusterState& cluster, const SchedulingQueue& queue, TaskActions& tasks)
+  Preemptor(ClusterState& cluster, const SchedulingQueue& queue, TaskLifecycle& tasks)
       : cluster_(cluster), queue_(queue), tasks_(tasks) {}
 
   // Stops work that has to give way to the job, if that makes room for it.
@@ -40,7 +40,7 @@
 
   ClusterState& cluster_;
   const SchedulingQueue& queue_;
-  TaskActions& tasks_;
+  TaskLifecycle& tasks_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/scheduling_cycle.h
+++ b/src/control/scheduling_cycle.h
@@ -16,7 +16,7 @@
 #include "control/deadline_planner.h"
 #include "control/gang_coordinator.h"
 #include "control/scheduling_queue.h"
-#include "control/task_actions.h"
+#include "control/task_lifecycle.h"
 
 namespace foxshunt::control {
 
@@ -26,7 +26,7 @@
   GangCoordinator& gangs;
   Autoscaler& autoscaler;
   const DeadlinePlanner& deadlines;
-  TaskActions& tasks;
+  TaskLifecycle& tasks;
   Counters& counters;
 };
 
--- a/src/control/engine_standby.cpp
+++ b/src/control/soft_state.cpp
@@ -1,12 +1,12 @@
-// Soft state: told to siblings by a leader, and taken by the next one as hints. docs/design/standby.md says why no rule hangs
-// on them: a hinted machine boots, as far as this engine is concerned, until it reports; a hinted start counts once a report
-// says that the task runs; nothing here ends, proves or frees anything.
+#include "control/soft_state.h"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <map>
 
 #include "config/constants.h"
-#include "control/engine.h"
+#include "control/job_requirements.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
@@ -56,13 +56,8 @@
 
 std::uint64_t count_of(plan::Items items) { return static_cast<std::uint64_t>(std::max<plan::Items>(0, items)); }
 
-}  // namespace
-
-standby::Picture Engine::soft_state(Instant now) const {
-  const TaskPricing pricing = autoscaler_.pricing(cluster_);
-  standby::Picture picture{.term = leadership_.term(), .taken = now, .starts_s = 0, .facts = {}};
-  std::vector<Fact>& facts = picture.facts;
-  for (const auto& [id, machine] : cluster_.machines) {
+void add_machines(std::vector<Fact>& facts, const ClusterState& cluster) {
+  for (const auto& [id, machine] : cluster.machines) {
     const bool there = machine.state == MachineState::booting || machine.state == MachineState::up;
     if (!there || machine.type.empty() || machine.listed.failed || machine.expired) continue;
     const bool up =
@@ -79,56 +74,81 @@
                                          .errors = static_cast<std::uint64_t>(machine.errors),
                                          .images = first_of(machine.images)}));
   }
+}
+
+// The job's tasks that have begun or have saved progress, by their index.
+std::map<std::uint32_t, standby::Task> tasks_of(const Job& job) {
+  std::map<std::uint32_t, standby::Task> told;
+  for (const auto& [index, saved] : job.saved) told[index].saved = saved;
+  for (const Part& part : job.parts) {
+    for (const auto& [index, run] : part.runs) {
+      const auto began = run.running_since ? run.running_since : run.told_began;
+      if (!began) continue;
+      standby::Task& task = told[index];
+      task.attempt = run.attempt;
+      task.began = began;
+    }
+  }
+  return told;
+}
+
+void add_tasks(std::vector<Fact>& facts, const ClusterState& cluster) {
   std::size_t tasks = 0;
-  for (const auto& [id, job] : cluster_.jobs) {
+  for (const auto& [id, job] : cluster.jobs) {
     if (job.withdrawn) continue;
-    std::map<std::uint32_t, standby::Task> told;
-    for (const auto& [index, saved] : job.saved) told[index].saved = saved;
-    for (const Part& part : job.parts) {
-      for (const auto& [index, run] : part.runs) {
-        const auto began = run.running_since ? run.running_since : run.told_began;
-        if (!began) continue;
-        standby::Task& task = told[index];
-        task.attempt = run.attempt;
-        task.began = began;
-      }
-    }
-    for (const auto& [index, task] : told) {
+    for (const auto& [index, task] : tasks_of(job)) {
       if (++tasks > constants::kStandbyTasksMost) break;
       add(facts, Kind::task, id.text(), index, task);
     }
   }
-  for (const auto& [id, job] : cluster_.jobs) {
+}
+
+void add_failures(std::vector<Fact>& facts, const ClusterState& cluster) {
+  for (const auto& [id, job] : cluster.jobs) {
     if (job.withdrawn || (job.errors == 0 && job.failed_on.empty())) continue;
     add(facts, Kind::trouble, id.text(), 0,
         standby::Shared(standby::Trouble{.errors = static_cast<std::uint64_t>(job.errors),
                                          .not_before = job.not_before,
                                          .failed_on = first_of(job.failed_on)}));
   }
-  for (const auto& [key, supply] : autoscaler_.capacity().refused()) {
+}
+
+void add_refusals(std::vector<Fact>& facts, const ClusterState& cluster, const Supply& capacity) {
+  for (const auto& [key, supply] : capacity.refused()) {
     const auto& [type_name, zone, spot] = key;
-    const auto place = std::ranges::find(cluster_.settings.zones, zone) - cluster_.settings.zones.begin();
+    const auto place = std::ranges::find(cluster.settings.zones, zone) - cluster.settings.zones.begin();
     add(facts, Kind::refusal, type_name, static_cast<std::uint32_t>(place) * 2 + (spot ? 1U : 0U),
         standby::Shared(standby::Refusal{
             .zone = zone, .spot = spot, .not_before = supply.not_before, .pause = supply.pause, .most = supply.most}));
   }
-  for (const auto& [name, demand] : autoscaler_.demand().classes()) {
-    if (!pricing.urgent_class(name, demand.sample)) continue;
-    std::map<std::uint32_t, standby::Arrivals> sums;
-    for (const auto& [when, count] : demand.arrivals) {
-      if (when < now - constants::kDemandWindow) continue;
-      standby::Arrivals& sum = sums[bucket_of(when)];
-      sum.from = Instant(constants::kStandbyArrivals * bucket_of(when));
-      ++sum.jobs;
-      sum.tasks += count;
-    }
-    for (const auto& [number, sum] : sums) {
+}
+
+// Sums of the arrivals of late, by the number of their span of time.
+std::map<std::uint32_t, standby::Arrivals> sums_of(const Demand::Arrivals& arrivals, Instant now) {
+  std::map<std::uint32_t, standby::Arrivals> sums;
+  for (const auto& [when, count] : arrivals) {
+    if (when < now - constants::kDemandWindow) continue;
+    standby::Arrivals& sum = sums[bucket_of(when)];
+    sum.from = Instant(constants::kStandbyArrivals * bucket_of(when));
+    ++sum.jobs;
+    sum.tasks += count;
+  }
+  return sums;
+}
+
+void add_arrivals(std::vector<Fact>& facts, const SoftStateSources& sources, Instant now) {
+  for (const auto& [name, demand] : sources.demand.classes()) {
+    if (!sources.urgent_classes.contains(name)) continue;
+    for (const auto& [number, sum] : sums_of(demand.arrivals, now)) {
       add(facts, Kind::arrivals, name, number, sum);
     }
   }
-  for (const auto& [name, demand] : autoscaler_.demand().classes()) {
-    standby::Sample sample{.largest = autoscaler_.demand().most(name)};
-    if (const wire::JobSpec& spec = demand.sample; pricing.urgent_class(name, spec)) {
+}
+
+void add_samples(std::vector<Fact>& facts, const SoftStateSources& sources) {
+  for (const auto& [name, demand] : sources.demand.classes()) {
+    standby::Sample sample{.largest = sources.demand.most(name)};
+    if (const wire::JobSpec& spec = demand.sample; sources.urgent_classes.contains(name)) {
       sample = {.cpus = spec.cpus,
                 .gpus = spec.gpus,
                 .ram_gb = spec.ram_gb,
@@ -139,19 +159,35 @@
     }
     add(facts, Kind::sample, name, 0, standby::Shared(sample));
   }
+}
+
+void add_gpu_demand(std::vector<Fact>& facts, const Demand& demand) {
   standby::GpuDemand gpus{.peaks = {},
-                          .cpus_beside = count_of(autoscaler_.demand().beside_gpu().of[0]),
-                          .ram_beside = count_of(autoscaler_.demand().beside_gpu().of[2])};
-  for (const auto& [when, items] : autoscaler_.demand().gpu_peaks()) {
+                          .cpus_beside = count_of(demand.beside_gpu().of[0]),
+                          .ram_beside = count_of(demand.beside_gpu().of[2])};
+  for (const auto& [when, items] : demand.gpu_peaks()) {
     if (gpus.peaks.size() < constants::kStandbyListMost / 2) gpus.peaks.emplace_back(when, count_of(items));
   }
   if (!gpus.peaks.empty()) {
     add(facts, Kind::gpus, std::string(), 0, standby::Shared(std::move(gpus)));
   }
-  return picture;
 }
 
-void Engine::hint_machine(const std::string& name, const standby::Machine& told, Instant now) {
+}  // namespace
+
+standby::Picture soft_state_snapshot(const SoftStateSources& sources, Term term, Instant now) {
+  standby::Picture snapshot{.term = term, .taken = now, .starts_s = 0, .facts = {}};
+  add_machines(snapshot.facts, sources.cluster);
+  add_tasks(snapshot.facts, sources.cluster);
+  add_failures(snapshot.facts, sources.cluster);
+  add_refusals(snapshot.facts, sources.cluster, sources.supply);
+  add_arrivals(snapshot.facts, sources, now);
+  add_samples(snapshot.facts, sources);
+  add_gpu_demand(snapshot.facts, sources.demand);
+  return snapshot;
+}
+
+void SoftState::apply_machine(const std::string& name, const standby::Machine& told, Instant now) {
   const MachineId id(name);
   if (id.empty() || told.type.empty() || cluster_.machines.gone(id)) return;
   Machine& machine = cluster_.know_machine(id, now);
@@ -160,6 +196,10 @@
   machine.errors = std::max(machine.errors,
                             static_cast<int>(std::min<std::uint64_t>(told.errors, constants::kMachineErrorsMost - 1)));
   if (machine.reported || machine.state != MachineState::booting || machine.hinted != inventory::Hinted::no) return;
+  expect_machine(machine, told, now);
+}
+
+void SoftState::expect_machine(Machine& machine, const standby::Machine& told, Instant now) {
   if (machine.type.empty()) {  // not listed yet
     machine.hinted = told.up ? inventory::Hinted::up : inventory::Hinted::boots;
     machine.address = told.address;
@@ -169,8 +209,7 @@
   }
   if (told.up) {
     // It reports within an interval, most likely. After a while it is no longer waited for.
-    const wire::MachineType* kind = cluster_.type(machine.type);
-    const Millis boot = from_seconds(kind == nullptr ? 0 : kind->boot_s);
+    const Millis boot = cluster_.boot_time(machine.type);
     const auto slack = std::chrono::ceil<Millis>(boot * constants::kBootSlack);
     machine.since = now - std::max(Millis(0), slack - constants::kStandbyUnheard);
     machine.ready = now + from_seconds(cluster_.settings.report_s);
@@ -181,7 +220,7 @@
   cluster_.refresh_plan_machine(machine);
 }
 
-void Engine::hint_task(const Key& key, const standby::Task& told, Instant now) {
+void SoftState::apply_task(const Key& key, const standby::Task& told, Instant now) {
   const auto entry = cluster_.jobs.find(JobId(key.name));
   if (entry == cluster_.jobs.end() || key.number >= entry->second.spec.tasks) return;
   Job& job = entry->second;
@@ -203,68 +242,67 @@
                                         .stop = now + std::max(left, constants::kAllocationLimit)});
 }
 
-void Engine::hint(const standby::Picture& picture, Instant now) {
-  // Of its own term it knows more than any sibling.
-  if (!leadership_.is_leader() || picture.term >= leadership_.term() || now - picture.taken > constants::kStandbyOldest)
-    return;
+void SoftState::apply_failures(const JobId& id, const standby::Trouble& told, Instant now) {
+  const auto job = cluster_.jobs.find(id);
+  if (job == cluster_.jobs.end()) return;
+  job->second.errors = std::max(job->second.errors, static_cast<int>(std::min<std::uint64_t>(told.errors, 99)));
+  job->second.not_before =
+      std::max(job->second.not_before, std::min(told.not_before, now + constants::kErrorPauseMost));
+  job->second.failed_on.insert(told.failed_on.begin(), told.failed_on.end());
+}
+
+void SoftState::apply_refusal(const std::string& type, const standby::Refusal& told, Instant now) {
+  supply_.hint({type, told.zone, told.spot},
+               {.not_before = std::min(told.not_before, now + constants::kCapacityPauseMost),
+                .pause = std::clamp(told.pause, constants::kCapacityPause, constants::kCapacityPauseMost),
+                .most = told.most.value_or(0)});
+}
+
+void SoftState::apply_sample(const std::string& job_class, const standby::Sample& told, Instant now) {
+  demand_.hint_largest(job_class, static_cast<std::uint32_t>(told.largest), now);
+  if (told.estimate_s <= 0) return;
+  wire::JobSpec sample;
+  sample.job_class = job_class;
+  sample.cpus = told.cpus;
+  sample.gpus = told.gpus;
+  sample.ram_gb = told.ram_gb;
+  sample.image_gb = told.image_gb;
+  sample.estimate_s = told.estimate_s;
+  sample.spot = told.spot;
+  demand_.hint_sample(sample);
+}
+
+void SoftState::apply_gpu_demand(const standby::GpuDemand& told, Instant now) {
+  Demand::GpuPeaks peaks;
+  for (const auto& [when, items] : told.peaks) {
+    if (when <= now && when >= now - constants::kGpuDemandWindow) peaks.emplace_back(when, items_of(items));
+  }
+  demand_.hint_gpus(peaks, items_of(told.cpus_beside), items_of(told.ram_beside));
+}
+
+void SoftState::apply(const standby::Picture& snapshot, Instant now) {
+  // Of its own term it knows more than any standby.
+  if (!leadership_.is_leader() || snapshot.term >= leadership_.term()) return;
+  if (now - snapshot.taken > constants::kStandbyOldest) return;
   std::map<std::string, std::vector<standby::Arrivals>> arrivals;
-  for (const Fact& fact : picture.facts) {
-    switch (fact.key.kind) {
-      case Kind::machine:
-        hint_machine(fact.key.name, *std::get<standby::Shared<standby::Machine>>(fact.what), now);
-        break;
-      case Kind::task: hint_task(fact.key, std::get<standby::Task>(fact.what), now); break;
-      case Kind::trouble: {
-        const auto& told = *std::get<standby::Shared<standby::Trouble>>(fact.what);
-        const auto job = cluster_.jobs.find(JobId(fact.key.name));
-        if (job == cluster_.jobs.end()) break;
-        job->second.errors = std::max(job->second.errors, static_cast<int>(std::min<std::uint64_t>(told.errors, 99)));
-        job->second.not_before =
-            std::max(job->second.not_before, std::min(told.not_before, now + constants::kErrorPauseMost));
-        job->second.failed_on.insert(told.failed_on.begin(), told.failed_on.end());
-        break;
-      }
-      case Kind::refusal: {
-        const auto& told = *std::get<standby::Shared<standby::Refusal>>(fact.what);
-        autoscaler_.capacity().hint(
-            {fact.key.name, told.zone, told.spot},
-            {.not_before = std::min(told.not_before, now + constants::kCapacityPauseMost),
-             .pause = std::clamp(told.pause, constants::kCapacityPause, constants::kCapacityPauseMost),
-             .most = told.most.value_or(0)});
-        break;
-      }
-      case Kind::arrivals: arrivals[fact.key.name].push_back(std::get<standby::Arrivals>(fact.what)); break;
-      case Kind::sample: {
-        const auto& told = *std::get<standby::Shared<standby::Sample>>(fact.what);
-        autoscaler_.demand().hint_largest(fact.key.name, static_cast<std::uint32_t>(told.largest), now);
-        if (told.estimate_s <= 0) break;
-        wire::JobSpec sample;
-        sample.job_class = fact.key.name;
-        sample.cpus = told.cpus;
-        sample.gpus = told.gpus;
-        sample.ram_gb = told.ram_gb;
-        sample.image_gb = told.image_gb;
-        sample.estimate_s = told.estimate_s;
-        sample.spot = told.spot;
-        autoscaler_.demand().hint_sample(sample);
-        break;
-      }
-      case Kind::gpus: {
-        const auto& told = *std::get<standby::Shared<standby::GpuDemand>>(fact.what);
-        Demand::GpuPeaks peaks;
-        for (const auto& [when, items] : told.peaks) {
-          if (when <= now && when >= now - constants::kGpuDemandWindow) peaks.emplace_back(when, items_of(items));
-        }
-        autoscaler_.demand().hint_gpus(peaks, items_of(told.cpus_beside), items_of(told.ram_beside));
+  for (const auto& [key, what] : snapshot.facts) {
+    switch (key.kind) {
+      case Kind::machine: apply_machine(key.name, *std::get<standby::Shared<standby::Machine>>(what), now); break;
+      case Kind::task: apply_task(key, std::get<standby::Task>(what), now); break;
+      case Kind::trouble:
+        apply_failures(JobId(key.name), *std::get<standby::Shared<standby::Trouble>>(what), now);
         break;
-      }
+      case Kind::refusal: apply_refusal(key.name, *std::get<standby::Shared<standby::Refusal>>(what), now); break;
+      case Kind::arrivals: arrivals[key.name].push_back(std::get<standby::Arrivals>(what)); break;
+      case Kind::sample: apply_sample(key.name, *std::get<standby::Shared<standby::Sample>>(what), now); break;
+      case Kind::gpus: apply_gpu_demand(*std::get<standby::Shared<standby::GpuDemand>>(what), now); break;
     }
   }
-  for (const auto& [name, sums] : arrivals) autoscaler_.demand().hint_arrivals(name, spread(sums, now), picture.taken);
+  for (const auto& [name, sums] : arrivals) demand_.hint_arrivals(name, spread(sums, now), snapshot.taken);
   cluster_.plan_wanted = true;
-  spdlog::info("standby: hints of term {} taken: facts={} machines={} tasks={} age_s={:.1f}", picture.term.number(),
-               picture.facts.size(), picture.count(Kind::machine), picture.count(Kind::task),
-               to_seconds(now - picture.taken));
+  spdlog::info("standby: hints of term {} taken: facts={} machines={} tasks={} age_s={:.1f}", snapshot.term.number(),
+               snapshot.facts.size(), snapshot.count(Kind::machine), snapshot.count(Kind::task),
+               to_seconds(now - snapshot.taken));
 }
 
 }  // namespace foxshunt::control
