--- a/src/control/engine.cpp
+++ b/src/control/controller.cpp
@@ -1,4 +1,4 @@
-#include "control/engine.h"
+#include "control/controller.h"
 
 #include <spdlog/spdlog.h>
 
@@ -16,22 +16,23 @@
 using guards::Guard;
 using guards::kept;
 
-Engine::Engine(config::Settings settings) : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
+Controller::Controller(config::Settings settings)
+    : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
 
-Engine Engine::copy() const {
-  Engine made = *this;
+Controller Controller::copy() const {
+  Controller made = *this;
   made.cluster_.rebind_planned_nodes();
   return made;
 }
 
 // ---- leadership ----
 
-void Engine::lead(const Takeover& takeover, Instant now) {
+void Controller::lead(const Takeover& takeover, Instant now) {
   const std::vector<wire::MachineType> types = std::move(cluster_.types);
   Autoscaler autoscaler = autoscaler_.successor();
   pools::Desk pools = std::move(cluster_.pools);
   classes::Ranking ranking = std::move(cycle_.queue().ranking());
-  *this = Engine(std::move(cluster_.settings));
+  *this = Controller(std::move(cluster_.settings));
   cluster_.types = types;
   autoscaler_ = std::move(autoscaler);
   cluster_.pools = std::move(pools);
@@ -51,7 +52,7 @@
                allocated);
 }
 
-void Engine::set_team_quotas() {
+void Controller::set_team_quotas() {
   const auto limit = [](double most) {
     return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
   };
@@ -60,23 +61,23 @@
   }
 }
 
-void Engine::resign(const std::string& why) { leadership_.step_down(why); }
+void Controller::resign(const std::string& why) { leadership_.step_down(why); }
 
-void Engine::on_term_conflict(Revision term_mark) { leadership_.on_term_conflict(term_mark); }
+void Controller::on_term_conflict(Revision term_mark) { leadership_.on_term_conflict(term_mark); }
 
-void Engine::hear_of(Term term) { leadership_.observe_term(term, "a sibling knows of"); }
+void Controller::hear_of(Term term) { leadership_.observe_term(term, "a sibling knows of"); }
 
-void Engine::confirm_lease(Instant when) { leadership_.on_lease_confirmed(when); }
+void Controller::confirm_lease(Instant when) { leadership_.on_lease_confirmed(when); }
 
-void Engine::confirm_reading(Instant when) { leadership_.on_records_confirmed(when, cluster_.jobs); }
+void Controller::confirm_reading(Instant when) { leadership_.on_records_confirmed(when, cluster_.jobs); }
 
-bool Engine::may_answer(Instant now) const { return leadership_.can_renew_agent_leases(now); }
+bool Controller::may_answer(Instant now) const { return leadership_.can_renew_agent_leases(now); }
 
-bool Engine::may_start(Instant now) const { return leadership_.can_start(now); }
+bool Controller::may_start(Instant now) const { return leadership_.can_start(now); }
 
 // ---- agents ----
 
-std::optional<std::vector<wire::Command>> Engine::on_report(const wire::Report& report, Instant now) {
+std::optional<std::vector<wire::Command>> Controller::on_report(const wire::Report& report, Instant now) {
   if (!leadership_.is_leader()) return std::nullopt;
   leadership_.observe_term(report.term, "a worker has seen");
   if (!leadership_.can_renew_agent_leases(now)) return std::nullopt;
@@ -84,7 +85,7 @@
   return Reconciler(cluster_, leadership_).on_heartbeat(report, now);
 }
 
-bool Engine::settled(const wire::Report& report) const {
+bool Controller::settled(const wire::Report& report) const {
   if (!leadership_.is_leader() || !cluster_.machines.contains(report.machine)) return true;
   const bool any_ended = std::ranges::any_of(
       report.tasks, [](const wire::TaskReport& task) { return task.state == wire::TaskState::ended; });
@@ -92,21 +93,21 @@
   return is_durable(cluster_, report);
 }
 
-std::optional<std::vector<wire::Command>> Engine::later_commands(const wire::Report& report, Instant now) {
+std::optional<std::vector<wire::Command>> Controller::later_commands(const wire::Report& report, Instant now) {
   // An answer renews the agent's lease, so the right to answer is looked at again.
   if (kept(Guard::answer_rechecked) && !leadership_.can_renew_agent_leases(now)) return std::nullopt;
   return Reconciler(cluster_, leadership_).later_commands(report, now);
 }
 
-std::vector<DirectHalt> Engine::due_halts(Instant now) { return tasks().due_direct_stops(now); }
+std::vector<DirectHalt> Controller::due_halts(Instant now) { return tasks().due_direct_stops(now); }
 
 // ---- other controllers ----
 
-std::optional<zone::Grant> Engine::on_ask(const zone::Ask& ask, Instant now) {
+std::optional<zone::Grant> Controller::on_ask(const zone::Ask& ask, Instant now) {
   return zone_coordinator().on_delegation_request(ask, now);
 }
 
-standby::Picture Engine::soft_state(Instant now) const {
+standby::Picture Controller::soft_state(Instant now) const {
   const Demand& demand = autoscaler_.demand();
   const TaskPricing pricing = autoscaler_.pricing(cluster_);
   std::set<std::string> urgent_classes;
@@ -118,7 +119,7 @@
       leadership_.term(), now);
 }
 
-void Engine::hint(const standby::Picture& picture, Instant now) {
+void Controller::hint(const standby::Picture& picture, Instant now) {
   SoftState(cluster_, leadership_, autoscaler_.demand(), autoscaler_.capacity()).apply(picture, now);
 }
 
--- a/src/control/engine.h
+++ b/src/control/controller.h
@@ -62,11 +62,11 @@
   Millis fence_left{};          // until workers' reports may no longer be answered
 };
 
-class Engine {
+class Controller {
  public:
-  explicit Engine(config::Settings settings);
+  explicit Controller(config::Settings settings);
   // Another one that goes on from the same moment, for tests that try several orders.
-  [[nodiscard]] Engine copy() const;
+  [[nodiscard]] Controller copy() const;
 
   // ---- leadership ----
   void lead(const Takeover& takeover, Instant now);
@@ -112,7 +112,7 @@
   [[nodiscard]] const classes::Ranking& ranking() const { return cycle_.queue().ranking(); }
 
   // ---- workers ----
-  // The commands to answer with; nothing when this engine may not act for the controllers.
+  // The commands to answer with; nothing when this controller may not act for the controllers.
   [[nodiscard]] std::optional<std::vector<wire::Command>> on_report(const wire::Report& report, Instant now);
   // Whether all that the report told is durable and planned, so that nothing better can be answered by waiting.
   [[nodiscard]] bool settled(const wire::Report& report) const;
--- a/src/control/engine_explain.cpp
+++ b/src/control/controller_explain.cpp
@@ -1,13 +1,13 @@
 // What operators are told of the leader's state.
 #include <algorithm>
 
-#include "control/engine.h"
+#include "control/controller.h"
 #include "control/explanation.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
 
-Census Engine::census(Instant now) const {
+Census Controller::census(Instant now) const {
   Census census;
   census.jobs = cluster_.jobs.size();
   for (const auto& [unused, job] : cluster_.jobs) {
@@ -30,7 +30,7 @@
   return census;
 }
 
-std::optional<std::string> Engine::explain(const JobId& id, Instant now) const {
+std::optional<std::string> Controller::explain(const JobId& id, Instant now) const {
   if (!leadership_.is_leader()) return std::nullopt;
   return Explanation(cluster_, cycle_.queue().ranking(), autoscaler_.capacity(), leadership_.can_start(now))
       .of(id, now);
--- a/src/control/engine_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -5,13 +5,13 @@
 
 #include "config/constants.h"
 #include "config/guards.h"
-#include "control/engine.h"
+#include "control/controller.h"
 #include "control/machine_housekeeper.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
 
-void Engine::on_types(const std::vector<wire::MachineType>& types) {
+void Controller::on_types(const std::vector<wire::MachineType>& types) {
   cluster_.types = types;
   for (auto& [unused, machine] : cluster_.machines) {
     cluster_.refresh_plan_machine(machine);
@@ -20,7 +20,7 @@
   cluster_.plan_wanted = true;
 }
 
-void Engine::on_machine_list(const std::vector<wire::ListedMachine>& listed, Instant now) {
+void Controller::on_machine_list(const std::vector<wire::ListedMachine>& listed, Instant now) {
   if (!leadership_.is_leader()) return;
   for (const wire::ListedMachine& entry : listed) {
     const auto known = cluster_.machines.list(entry, cluster_.boot_time(entry.type), now);
@@ -37,26 +37,26 @@
   }
 }
 
-std::optional<wire::RentRequest> Engine::next_rental(Instant now) {
+std::optional<wire::RentRequest> Controller::next_rental(Instant now) {
   if (!leadership_.can_start(now)) return std::nullopt;
   return autoscaler_.next_rental(cluster_, leadership_.term(), now);
 }
 
-void Engine::on_rented(const wire::RentRequest& request, const std::vector<MachineId>& rented, Instant now) {
+void Controller::on_rented(const wire::RentRequest& request, const std::vector<MachineId>& rented, Instant now) {
   if (leadership_.is_leader()) autoscaler_.on_rented(cluster_, request, rented, now);
 }
 
-void Engine::on_rent_refused(const wire::RentRequest& request, Instant now) {
+void Controller::on_rent_refused(const wire::RentRequest& request, Instant now) {
   autoscaler_.on_rent_refused(cluster_, request, now);
 }
 
-bool Engine::cloud_wanted() const { return autoscaler_.cloud_wanted(cluster_); }
+bool Controller::cloud_wanted() const { return autoscaler_.cloud_wanted(cluster_); }
 
-std::vector<MachineId> Engine::next_returns(Instant now) {
+std::vector<MachineId> Controller::next_returns(Instant now) {
   return leadership_.can_start(now) ? Autoscaler::next_returns(cluster_) : std::vector<MachineId>();
 }
 
-void Engine::on_returned(const std::vector<MachineId>& names, Instant now) {
+void Controller::on_returned(const std::vector<MachineId>& names, Instant now) {
   if (!leadership_.is_leader()) return;
   for (const MachineId& id : names) {
     const auto entry = cluster_.machines.find(id);
@@ -69,12 +69,12 @@
   }
 }
 
-bool Engine::is_unreachable(Instant now) const {
+bool Controller::is_unreachable(Instant now) const {
   return cluster_.machines.unheard(now) >= constants::kUnheardLeast && cluster_.settings.nodes > 1 &&
          leadership_.can_start(now);
 }
 
-void Engine::tick(Instant now) {
+void Controller::tick(Instant now) {
   if (!leadership_.is_leader()) return;
   if (is_unreachable(now)) return leadership_.yield("no worker reaches it", now);
   cluster_.planner.forget_before(now);
@@ -86,14 +86,14 @@
   review_machines(now);
 }
 
-void Engine::request_overdue_pass(Instant now) {
+void Controller::request_overdue_pass(Instant now) {
   if (now - cycle_.planned_at() < constants::kReplanEvery) return;
   const bool any_pending = std::ranges::any_of(
       cluster_.jobs, [](const auto& entry) { return !entry.second.withdrawn && entry.second.pending() > 0; });
   if (any_pending) cluster_.plan_wanted = true;
 }
 
-void Engine::review_machines(Instant now) {
+void Controller::review_machines(Instant now) {
   MachineHousekeeper housekeeper(cluster_, leadership_);
   std::vector<MachineId> vanished;
   for (auto& [id, machine] : cluster_.machines) {
@@ -112,7 +112,7 @@
   for (const MachineId& id : vanished) cluster_.forget_machine(id);
 }
 
-bool Engine::may_return_idle(const Machine& machine, Instant now) const {
+bool Controller::may_return_idle(const Machine& machine, Instant now) const {
   const bool kept = autoscaler_.is_spare(machine.id) || cluster_.pools.keeps(machine.id);
   return cluster_.settings.operators.may_return && !kept && leadership_.can_start(now) &&
          now - *machine.idle_since > autoscaler_.pricing(cluster_).idle_most(machine);
--- a/src/control/engine_plan.cpp
+++ b/src/control/controller_plan.cpp
@@ -4,12 +4,12 @@
 #include <algorithm>
 
 #include "config/constants.h"
-#include "control/engine.h"
+#include "control/controller.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
 
-bool Engine::plan_some(Instant now, std::size_t places_most) {
+bool Controller::plan_some(Instant now, std::size_t places_most) {
   if (!leadership_.is_leader()) {
     cycle_.abandon();
     return true;
@@ -18,7 +18,7 @@
   return cycle_.plan_some({cluster_, gangs_, autoscaler_, deadlines_, lifecycle, cluster_.counters}, now, places_most);
 }
 
-void Engine::plan_pass(Instant now) {
+void Controller::plan_pass(Instant now) {
   bool ended = false;
   while (!ended) ended = plan_some(now, SIZE_MAX);
 }
--- a/src/control/engine_pools.cpp
+++ b/src/control/controller_pools.cpp
@@ -1,9 +1,9 @@
-// What the engine does for warm pools: it tells what it sees and keeps to what they want.
-#include "control/engine.h"
+// What the controller does for warm pools: it tells what it sees and keeps to what they want.
+#include "control/controller.h"
 
 namespace foxshunt::control {
 
-void Engine::steer(pools::Steer steer) {
+void Controller::steer(pools::Steer steer) {
   const bool was_on = cluster_.pools.on();
   cluster_.pools.take(std::move(steer));
   if (!leadership_.is_leader()) return;
@@ -11,7 +11,7 @@
   if (cluster_.pools.on() != was_on) cluster_.plan_wanted = true;
 }
 
-pools::Sighting Engine::sight_pools(Instant now) {
+pools::Sighting Controller::sight_pools(Instant now) {
   pools::Sighting seen;
   if (!leadership_.is_leader()) return seen;
   seen.answers = cluster_.pools.answers();
--- a/src/control/engine_records.cpp
+++ b/src/control/controller_records.cpp
@@ -5,7 +5,7 @@
 
 #include "config/constants.h"
 #include "config/guards.h"
-#include "control/engine.h"
+#include "control/controller.h"
 #include "control/planned_bookings.h"
 #include "control/times.h"
 
@@ -16,7 +16,7 @@
 
 // ---- taken over from earlier leaders ----
 
-void Engine::restore_jobs(const Takeover& takeover, Instant now) {
+void Controller::restore_jobs(const Takeover& takeover, Instant now) {
   // What lingers is read last, and a job that its user cancels meanwhile is in both: taken in twice its tasks would
   // count twice for the team's quota, and once more than they can be confirmed terminated.
   for (const state::Entry& entry : takeover.linger) {
@@ -30,7 +30,7 @@
   for (const state::Entry& entry : takeover.parts) restore_part(entry, now);
 }
 
-Job* Engine::restore_job(const state::Entry& entry, std::int64_t wall_ms, Instant now) {
+Job* Controller::restore_job(const state::Entry& entry, std::int64_t wall_ms, Instant now) {
   try {
     return &add_job(state::job_from(entry.data), entry.mark, wall_ms, now);
   } catch (const wire::Malformed& error) {
@@ -39,7 +39,7 @@
   }
 }
 
-void Engine::restore_part(const state::Entry& entry, Instant now) {
+void Controller::restore_part(const state::Entry& entry, Instant now) {
   const auto id = state::job_of_key(entry.key);
   const auto number = state::part_of_key(entry.key);
   const auto known = id ? cluster_.jobs.find(*id) : cluster_.jobs.end();
@@ -56,7 +56,7 @@
   }
 }
 
-void Engine::resume_jobs(Instant now) {
+void Controller::resume_jobs(Instant now) {
   std::vector<JobId> cancelled;
   for (auto& [id, job] : cluster_.jobs) {
     // That a gang lost a task and waits for another, or that the rest is to be stopped, only the earlier leader knew: unless
@@ -74,7 +74,7 @@
 
 // ---- changes of records ----
 
-Job& Engine::add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now) {
+Job& Controller::add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now) {
   Job& job = cluster_.jobs.add(record, mark, wall_ms, cluster_.machines, now);
   autoscaler_.demand().learn(job.spec, job.each, job.submitted);
   if (record.whole) book_adopted(job, 0, now);
@@ -82,7 +82,7 @@
   return job;
 }
 
-void Engine::book_adopted(Job& job, std::uint32_t number, Instant now) {
+void Controller::book_adopted(Job& job, std::uint32_t number, Instant now) {
   for (auto& [unused, run] : job.parts[number].runs) {
     cluster_.know_cache(cluster_.machines.at(run.machine));
     run.booking = cluster_.planner.book({.machine = run.machine,
@@ -93,8 +93,8 @@
   }
 }
 
-void Engine::on_job_record(const JobId& id, const wire::Value& record, Revision mark, std::int64_t wall_ms,
-                           Instant now) {
+void Controller::on_job_record(const JobId& id, const wire::Value& record, Revision mark, std::int64_t wall_ms,
+                               Instant now) {
   if (!leadership_.is_leader()) return;
   cycle_.queue().ranking().tell_time(wall_ms, now);
   if (!cluster_.jobs.on_record(id, mark)) return;
@@ -107,7 +107,7 @@
   }
 }
 
-void Engine::on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now) {
+void Controller::on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now) {
   if (!leadership_.is_leader()) return;
   Job* job = cluster_.jobs.on_reloaded(reload, mark);
   if (job == nullptr) return;
@@ -115,7 +115,7 @@
   tasks().cancel(*job, now);
 }
 
-void Engine::on_job_removed(const JobId& id, Instant now) {
+void Controller::on_job_removed(const JobId& id, Instant now) {
   if (!leadership_.is_leader()) return;
   Job* job = cluster_.jobs.on_removed(id);
   if (job == nullptr) return;
@@ -123,7 +123,7 @@
   tasks().cancel(*job, now);
 }
 
-bool Engine::on_job_list(Term read_in, const std::vector<state::Entry>& live, std::int64_t wall_ms, Instant now) {
+bool Controller::on_job_list(Term read_in, const std::vector<state::Entry>& live, std::int64_t wall_ms, Instant now) {
   // Read in an earlier lead, it lacks what was accepted since, which would be taken for withdrawn and never run.
   if (!leadership_.is_leader() || (kept(Guard::list_term) && read_in != leadership_.term())) return false;
   std::set<JobId> there;
@@ -141,12 +141,12 @@
   return true;
 }
 
-std::optional<WriteBatch> Engine::begin_write(Instant now) {
+std::optional<WriteBatch> Controller::begin_write(Instant now) {
   if (!leadership_.can_start(now)) return std::nullopt;
   return cluster_.jobs.begin_write(leadership_.term_revision(), cluster_.settings.state_txn_ops, now);
 }
 
-void Engine::end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now) {
+void Controller::end_write(const WriteBatch& batch, const state::TxnResult& result, Instant now) {
   // The answer to an earlier lead's write tells nothing of this one: that its condition on the term failed is no reason to
   // give this lead up, and the job table that it was built from is gone.
   if (!leadership_.is_leader() || (kept(Guard::write_earlier_lead) && batch.term_mark != leadership_.term_revision()))
--- a/src/control/gang_reservation.h
+++ b/src/control/gang_reservation.h
@@ -7,7 +7,7 @@
 // The cost to other work is bounded: one gang holds the reservation at a time, for a limited span, and a pause follows
 // in which freed machines go to whoever is first.
 //
-// Owned by the engine and used by the thread that plans; pure, with no clock of its own.
+// Owned by the controller and used by the thread that plans; pure, with no clock of its own.
 #pragma once
 
 #include <optional>
--- a/src/control/readiness.h
+++ b/src/control/readiness.h
@@ -29,7 +29,7 @@
 //   records-at-term  the records are known up to the term's revision, after which no older leader can write
 //   fences-reckoned  older leaders' fences and grants are counted to their ends
 //   lease-confirmed  the lease was confirmed so lately, by the clock as it is now, that it can't have ended
-// That machines are usable only by a report in this term is Engine::usable's to see, for as long as the lead lasts.
+// That machines are usable only by a report in this term is Controller::usable's to see, for as long as the lead lasts.
 [[nodiscard]] std::optional<std::string_view> not_ready(const Readiness& found, plan::Instant now);
 
 }  // namespace foxshunt::control
--- a/src/inventory/machine_inventory.h
+++ b/src/inventory/machine_inventory.h
@@ -1,5 +1,5 @@
 // The machine inventory: the machines that this leader has heard of by reports, lists, rentals and records, what is known of
-// each, and which were returned. What becomes of a machine the engine decides. Pure: the time is passed in; not thread-safe.
+// each, and which were returned. What becomes of a machine the controller decides. Pure: the time is passed in; not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -1,6 +1,6 @@
 // The job table: the jobs that this leader knows, their parts, and the runs (allocations of tasks to machines): what is
 // durable, what memory is ahead of the records, which writes are under way, and what teams use. It builds the writes; what is
-// placed, halted or taken for terminated the engine decides. Pure: the time is passed in; not thread-safe.
+// placed, halted or taken for terminated the controller decides. Pure: the time is passed in; not thread-safe.
 //
 // Nothing that may run leaves it but by prove_gone(), and nothing is started that is not `durable`.
 #pragma once
--- a/src/node/cloud.cpp
+++ b/src/node/cloud.cpp
@@ -65,9 +65,9 @@
     const std::lock_guard lock(context_.view_mutex);
     context_.types = types;
   }
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
-  context_.engine.on_types(types);
-  engine_knows_types_ = !types.empty();
+  const std::lock_guard lock(context_.controller_mutex.of(Duty::cloud));
+  context_.controller.on_types(types);
+  controller_knows_types_ = !types.empty();
 }
 
 bool CloudDuty::fetch_types() {
@@ -108,8 +108,8 @@
     }
   }
   next_list_ = net::Clock::now() + constants::kListEvery;
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
-  context_.engine.on_machine_list(machines, now());
+  const std::lock_guard lock(context_.controller_mutex.of(Duty::cloud));
+  context_.controller.on_machine_list(machines, now());
 }
 
 void CloudDuty::rent() {
@@ -117,22 +117,22 @@
   if (context_.standby.wants_hints()) return;
   std::optional<wire::RentRequest> request;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
-    request = context_.engine.next_rental(now());
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::cloud));
+    request = context_.controller.next_rental(now());
   }
   if (!request) return;
   const wire::Value body = wire::to_value(*request);
   const Answer answer = call("POST", "/machines", &body);
   const std::string* why = answer.body["error"].as_text();
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
+  const std::lock_guard lock(context_.controller_mutex.of(Duty::cloud));
   if (answer.status == 200) {
     try {
-      context_.engine.on_rented(*request, wire::machine_names_from(answer.body), now());
+      context_.controller.on_rented(*request, wire::machine_names_from(answer.body), now());
     } catch (const wire::Malformed& error) {
       spdlog::warn("cloud: rental {}: {}", request->request, error.what());
     }
   } else if ((answer.status == 503 && why != nullptr && *why == "no capacity") || answer.status == 400) {
-    context_.engine.on_rent_refused(*request, now());
+    context_.controller.on_rent_refused(*request, now());
   }
   // Otherwise the rental may have been carried out: the same request is sent again until its answer is known.
 }
@@ -140,28 +140,28 @@
 void CloudDuty::give_back() {
   std::vector<MachineId> names;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
-    names = context_.engine.next_returns(now());
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::cloud));
+    names = context_.controller.next_returns(now());
   }
   if (names.empty()) return;
   const wire::Value body = wire::machine_names(names);
   const Answer answer = call("POST", "/machines/return", &body);
   if (answer.status != 200) return;
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
-  context_.engine.on_returned(names, now());
+  const std::lock_guard lock(context_.controller_mutex.of(Duty::cloud));
+  context_.controller.on_returned(names, now());
   context_.plan_signal.raise();
 }
 
 void CloudDuty::run(const std::stop_token& stop) {
   stop_ = stop;
   while (!stop.stop_requested()) {
-    const bool known = engine_knows_types_;
+    const bool known = controller_knows_types_;
     bool leading = false;
     bool wanted = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
-      leading = context_.engine.leading();
-      wanted = leading && context_.engine.cloud_wanted();
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::cloud));
+      leading = context_.controller.leading();
+      wanted = leading && context_.controller.cloud_wanted();
     }
     if (!leading && known) {
       if (!context_.wait_to_lead(stop)) return;
@@ -215,9 +215,9 @@
     std::vector<control::DirectHalt> due;
     Term term;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::reports));
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::reports));
       due = std::exchange(context_.halts, {});
-      term = context_.engine.term();
+      term = context_.controller.term();
     }
     for (control::DirectHalt& halt : due) {
       if (senders.contains(halt.machine)) continue;
--- a/src/node/cloud.h
+++ b/src/node/cloud.h
@@ -33,7 +33,7 @@
   net::Clock::time_point next_types_;
   net::Clock::time_point next_try_;  // after trouble
   bool published_ = false;
-  bool engine_knows_types_ = false;  // users' requests may have read them for themselves only
+  bool controller_knows_types_ = false;  // users' requests may have read them for themselves only
   std::stop_token stop_;
 };
 
--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -44,14 +44,14 @@
       state_address(address_or_throw(from.state, "outside.state")),
       cloud_address(address_or_throw(from.cloud, "outside.cloud")),
       budget(from.state_rps, from.state_write_rps, 1.0 / static_cast<double>(std::max<std::size_t>(1, from.nodes))),
-      engine(from),
+      controller(from),
       shared(from),
       standby(from),
       health(now(), from.siblings.size()) {}
 
 bool Context::wait_to_lead(const std::stop_token& stop) {
-  std::unique_lock lock(engine_mutex.of(Duty::planning));
-  return led.wait(lock, stop, [this] { return engine.leading(); });
+  std::unique_lock lock(controller_mutex.of(Duty::planning));
+  return led.wait(lock, stop, [this] { return controller.leading(); });
 }
 
 void Context::heard_state() {
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -6,7 +6,7 @@
 #include <stop_token>
 
 #include "config/settings.h"
-#include "control/engine.h"
+#include "control/controller.h"
 #include "net/socket.h"
 #include "node/counters.h"
 #include "node/duty_mutex.h"
@@ -49,9 +49,9 @@
   const net::Clock::time_point began = net::Clock::now();
   Tallies tallies;
 
-  DutyMutex engine_mutex;                    // never held across I/O
-  std::condition_variable_any engine_moved;  // with engine_mutex: a write or a planning pass has ended
-  control::Engine engine;
+  DutyMutex controller_mutex;                    // never held across I/O
+  std::condition_variable_any controller_moved;  // with controller_mutex: a write or a planning pass has ended
+  control::Controller controller;
   Signal lead_signal;  // the lead may be over
   Signal plan_signal;
   Signal write_signal;
@@ -59,11 +59,11 @@
   Signal halt_signal;
   Signal keep_signal;
   Signal standby_signal;
-  std::vector<control::DirectHalt> halts;  // with engine_mutex: to be sent
-  std::condition_variable_any led;         // with engine_mutex: this node has begun to lead
-  Revision follow_from;                    // with engine_mutex: up to here the leader knows the records
+  std::vector<control::DirectHalt> halts;  // with controller_mutex: to be sent
+  std::condition_variable_any led;         // with controller_mutex: this node has begun to lead
+  Revision follow_from;                    // with controller_mutex: up to here the leader knows the records
 
-  Shared shared;  // the records, as this node knows them; its own mutex, taken after engine_mutex if both are
+  Shared shared;  // the records, as this node knows them; its own mutex, taken after controller_mutex if both are
 
   Standby standby;  // its own mutex as well
 
--- a/src/node/counters.cpp
+++ b/src/node/counters.cpp
@@ -96,7 +96,7 @@
   body.emplace_back("reports_granted", tallies.granted.load());
   constexpr std::array<const char*, kDuties> kNames{"lease", "reports",  "records", "writes",
                                                     "cloud", "planning", "counting"};
-  const auto waits = context.engine_mutex.longest_waits();
+  const auto waits = context.controller_mutex.longest_waits();
   for (std::size_t duty = 0; duty < kDuties; ++duty) {
     body.emplace_back(std::string("wait_") + kNames[duty] + "_ms", count_ms(waits[duty]));
   }
@@ -122,14 +122,14 @@
     body.emplace_back("calendar_missed", calendar.missed);
     body.emplace_back("calendar_waived", calendar.waived);
   }
-  const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
-  const control::Engine& engine = context.engine;
-  body.emplace_back("leads", engine.leading());
-  if (engine.leading()) {
+  const std::lock_guard lock(context.controller_mutex.of(Duty::counting));
+  const control::Controller& controller = context.controller;
+  body.emplace_back("leads", controller.leading());
+  if (controller.leading()) {
     const plan::Instant at = now();
-    const control::Census census = engine.census(at);
-    const control::Counters& done = engine.counters();
-    body.emplace_back("term", engine.term().number());
+    const control::Census census = controller.census(at);
+    const control::Counters& done = controller.counters();
+    body.emplace_back("term", controller.term().number());
     body.emplace_back("fence_left_ms", count_ms(census.fence_left));
     body.emplace_back("jobs", census.jobs);
     body.emplace_back("tasks_waiting", census.tasks_waiting);
@@ -153,9 +153,9 @@
 net::HttpResponse plan_answer(Context& context, const std::string& job) {
   if (!wire::is_job_id(job)) return plain_error(404, "no such job");
   {
-    const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
-    if (context.engine.leading()) {
-      const auto why = context.engine.explain(JobId(job), now());
+    const std::lock_guard lock(context.controller_mutex.of(Duty::counting));
+    if (context.controller.leading()) {
+      const auto why = context.controller.explain(JobId(job), now());
       if (!why) return plain_error(404, "no such job is known to the leader");
       return {.status = 200, .body = wire::encode(wire::Value::Map{{"id", job}, {"plan", *why}}), .retry_after_s = {}};
     }
--- a/src/node/duty_mutex.h
+++ b/src/node/duty_mutex.h
@@ -1,4 +1,4 @@
-// The engine's lock. When several duties wait for it, the most urgent one gets it first: std::mutex would give it
+// The controller's lock. When several duties wait for it, the most urgent one gets it first: std::mutex would give it
 // back to the duty that has just left it, and a pass in portions would keep reports and the lease waiting to its end.
 #pragma once
 
--- a/src/node/leadership.cpp
+++ b/src/node/leadership.cpp
@@ -80,8 +80,8 @@
 }
 
 bool LeaderDuty::gives_way() {
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-  return context_.engine.gives_way(now());
+  const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+  return context_.controller.gives_way(now());
 }
 
 // A follower that serves no users hears of the state service by this watch alone. When it was held for longer than
@@ -204,11 +204,11 @@
     return false;
   }
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-    context_.engine.lead(takeover, began);
-    context_.engine.on_dues(std::move(dues));  // its first pass ranks as the records say
-    context_.engine.confirm_lease(renewed);
-    if (hints) context_.engine.hint(*hints, now());
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+    context_.controller.lead(takeover, began);
+    context_.controller.on_dues(std::move(dues));  // its first pass ranks as the records say
+    context_.controller.confirm_lease(renewed);
+    if (hints) context_.controller.hint(*hints, now());
     context_.follow_from = picture.revision;
   }
   context_.standby.led(term, began, knew, hints);
@@ -223,26 +223,26 @@
 void LeaderDuty::hold(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-      if (!context_.engine.leading()) break;
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+      if (!context_.controller.leading()) break;
     }
     const plan::Instant sent = now();
     const Answer answer = client_.touch(lease_, call_limit());
     if (answer == Answer::ok) {
       context_.heard_state();
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-      context_.engine.confirm_lease(sent);
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+      context_.controller.confirm_lease(sent);
     } else if (answer == Answer::not_found) {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-      context_.engine.resign("its lease has ended");
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+      context_.controller.resign("its lease has ended");
       break;
     }
-    // No confirmation may be an outage, in which leases don't end: the engine's fence bounds how long.
+    // No confirmation may be an outage, in which leases don't end: the controller's fence bounds how long.
     context_.lead_signal.wait(stop, answer == Answer::ok ? constants::kLeaderRenew : constants::kStateRetryPause);
   }
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-    context_.engine.resign("this node stops leading");
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+    context_.controller.resign("this node stops leading");
   }
   (void)client_.revoke(lease_, call_limit());
   lease_ = {};
@@ -261,10 +261,10 @@
     Term term;
     bool leading = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
-      leading = context_.engine.leading();
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::records));
+      leading = context_.controller.leading();
       from = context_.follow_from;
-      term = context_.engine.term();
+      term = context_.controller.term();
     }
     if (!leading) {
       if (!context_.wait_to_lead(stop)) return;
@@ -285,18 +285,18 @@
     const plan::Instant at = now();
     const std::int64_t wall = wall_ms();
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
-      if (!context_.engine.leading() || context_.engine.term() != term) continue;
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::records));
+      if (!context_.controller.leading() || context_.controller.term() != term) continue;
       for (const state::Event& event : news.events) {
         const auto id = state::job_of_key(event.key);
         if (!id) continue;
         if (event.data) {
-          context_.engine.on_job_record(*id, *event.data, event.mark, wall, at);
+          context_.controller.on_job_record(*id, *event.data, event.mark, wall, at);
         } else {
-          context_.engine.on_job_removed(*id, at);
+          context_.controller.on_job_removed(*id, at);
         }
       }
-      context_.engine.confirm_reading(sent);
+      context_.controller.confirm_reading(sent);
       context_.follow_from = news.revision;
     }
     if (!news.events.empty()) {
@@ -316,9 +316,9 @@
   }
   const plan::Instant at = now();
   const std::int64_t wall = wall_ms();
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
-  if (!context_.engine.on_job_list(term, live.entries, wall, at)) return;
-  context_.engine.confirm_reading(sent);
+  const std::lock_guard lock(context_.controller_mutex.of(Duty::records));
+  if (!context_.controller.on_job_list(term, live.entries, wall, at)) return;
+  context_.controller.confirm_reading(sent);
   context_.follow_from = live.revision;
   context_.plan_signal.raise();
 }
@@ -332,15 +332,15 @@
   while (true) {
     std::optional<jobs::Reload> reload;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
-      reload = context_.engine.next_reload();
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::writes));
+      reload = context_.controller.next_reload();
     }
     if (!reload) return;
     const state::GetResult found = client_.get(reload->key(), call_limit());
     if (!answered(found.answer)) return;
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
-    context_.engine.on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt,
-                                now());
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::writes));
+    context_.controller.on_reloaded(*reload,
+                                    found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt, now());
   }
 }
 
@@ -349,8 +349,8 @@
     reload_jobs();
     std::optional<control::WriteBatch> batch;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
-      batch = context_.engine.begin_write(now());
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::writes));
+      batch = context_.controller.begin_write(now());
     }
     if (!batch) {
       if (context_.write_signal.wait(stop, constants::kWriteLook)) pause(stop, constants::kWritePause);
@@ -359,10 +359,10 @@
     const state::TxnResult result = client_.txn(batch->txn, call_limit());
     if (answered(result.answer)) context_.heard_state();
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
-      context_.engine.end_write(*batch, result, now());
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::writes));
+      context_.controller.end_write(*batch, result, now());
     }
-    context_.engine_moved.notify_all();
+    context_.controller_moved.notify_all();
     if (!answered(result.answer)) pause(stop, constants::kStateRetryPause);
   }
 }
@@ -374,16 +374,16 @@
     context_.plan_signal.wait(stop, constants::kHousekeepEvery);
     bool wanted = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
-      context_.engine.tick(now());
-      wanted = context_.engine.plan_wanted();
-      if (!context_.engine.leading()) context_.lead_signal.raise();
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::planning));
+      context_.controller.tick(now());
+      wanted = context_.controller.plan_wanted();
+      if (!context_.controller.leading()) context_.lead_signal.raise();
     }
     // Reports, records and the lease take their turn between portions.
     const auto began = net::Clock::now();
     for (bool ended = !wanted; !ended && !stop.stop_requested();) {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
-      ended = context_.engine.plan_some(now(), constants::kPlacesPerPortion);
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::planning));
+      ended = context_.controller.plan_some(now(), constants::kPlacesPerPortion);
     }
     bool writes = false;
     bool cloud = false;
@@ -391,13 +391,13 @@
     bool placed = false;
     control::Census census;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
-      writes = context_.engine.writes_wanted();
-      cloud = context_.engine.cloud_wanted();
-      std::ranges::move(context_.engine.due_halts(now()), std::back_inserter(context_.halts));
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::planning));
+      writes = context_.controller.writes_wanted();
+      cloud = context_.controller.cloud_wanted();
+      std::ranges::move(context_.controller.due_halts(now()), std::back_inserter(context_.halts));
       halts = !context_.halts.empty();
-      if (wanted) census = context_.engine.census(now());
-      placed = context_.engine.counters().placed > 0;
+      if (wanted) census = context_.controller.census(now());
+      placed = context_.controller.counters().placed > 0;
     }
     if (wanted) {
       context_.standby.reached(standby::Phase::planned);
@@ -418,7 +418,7 @@
       spdlog::warn("behind: a planning pass took {:.1f} s; placements are late",
                    std::chrono::duration<double>(ended_at - began).count());
     }
-    context_.engine_moved.notify_all();
+    context_.controller_moved.notify_all();
     pause(stop, constants::kPlanPause);
   }
 }
--- a/src/node/leadership.h
+++ b/src/node/leadership.h
@@ -43,7 +43,7 @@
   state::Client client_;
 };
 
-// Writes what the engine wants durable.
+// Writes what the controller wants durable.
 class WriteDuty {
  public:
   explicit WriteDuty(Context& context);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -182,11 +182,11 @@
     bool plan = false;
     bool writes = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::reports));
-      commands = context_.engine.on_report(report, now());
-      term = context_.engine.term();
-      plan = context_.engine.plan_wanted();
-      writes = context_.engine.writes_wanted();
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::reports));
+      commands = context_.controller.on_report(report, now());
+      term = context_.controller.term();
+      plan = context_.controller.plan_wanted();
+      writes = context_.controller.writes_wanted();
     }
     if (!commands) return relayed ? send_to({}) : relay_.answer(report, body);
     if (writes) context_.write_signal.raise();
@@ -194,11 +194,12 @@
     // The outcome of a task is answered when it is durable, and with it what may start in its place; by the next
     // report the machine would have been idle for a whole interval.
     if (writes || plan) {
-      std::unique_lock lock(context_.engine_mutex.of(Duty::reports));
-      if (!context_.engine.settled(report)) {
-        context_.engine_moved.wait_for(lock, constants::kReportSettle, [&] { return context_.engine.settled(report); });
-        const auto later = context_.engine.later_commands(report, now());
-        if (!later || (guards::kept(guards::Guard::answer_term) && context_.engine.term() != term))
+      std::unique_lock lock(context_.controller_mutex.of(Duty::reports));
+      if (!context_.controller.settled(report)) {
+        context_.controller_moved.wait_for(lock, constants::kReportSettle,
+                                           [&] { return context_.controller.settled(report); });
+        const auto later = context_.controller.later_commands(report, now());
+        if (!later || (guards::kept(guards::Guard::answer_term) && context_.controller.term() != term))
           return come_back("it may not act for the controllers now");
         for (const wire::Command& command : *later) {
           if (std::ranges::find(*commands, command) == commands->end()) commands->push_back(command);
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -48,8 +48,8 @@
     context_.health.on_contact(sibling.name, contact, asked);
   }
   if (word.leader.empty() || !context_.learn_lead(word.leader, word.term)) return;
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-  context_.engine.hear_of(word.term);
+  const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+  context_.controller.hear_of(word.term);
 }
 
 void PeerDuty::run(const std::stop_token& stop) {
--- a/src/node/pools.cpp
+++ b/src/node/pools.cpp
@@ -49,13 +49,13 @@
   bool plan = false;
   bool cloud = false;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
-    control::Engine& engine = context_.engine;
-    if (steer) engine.steer(std::move(*steer));
-    if (engine.leading()) {
-      seen = engine.sight_pools(now());
-      plan = engine.plan_wanted();
-      cloud = engine.cloud_wanted();
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::counting));
+    control::Controller& controller = context_.controller;
+    if (steer) controller.steer(std::move(*steer));
+    if (controller.leading()) {
+      seen = controller.sight_pools(now());
+      plan = controller.plan_wanted();
+      cloud = controller.cloud_wanted();
     }
   }
   if (plan) context_.plan_signal.raise();
--- a/src/node/pools.h
+++ b/src/node/pools.h
@@ -1,4 +1,4 @@
-// Warm pools: between the records, which every node follows, and the leader's engine; and what operators are told.
+// Warm pools: between the records, which every node follows, and the leader's controller; and what operators are told.
 #pragma once
 
 #include <functional>
@@ -33,7 +33,7 @@
   InForce in_force_;
   pools::Keeper keeper_;                          // with the mutex of `Shared`
   std::shared_ptr<const catalog::Set> declared_;  // the same
-  std::uint64_t steered_ = 0;                     // the keeper's changes() that the engine knows
+  std::uint64_t steered_ = 0;                     // the keeper's changes() that the controller knows
 };
 
 }  // namespace foxshunt::node
--- a/src/node/queue.cpp
+++ b/src/node/queue.cpp
@@ -49,8 +49,8 @@
     context.shared.told = set;
   }
   calendar::warm(*set);  // reads zone files, while nobody waits for them
-  const std::lock_guard lock(context.engine_mutex.of(Duty::records));
-  context.engine.on_catalog(*set, wall_ms(), now());
+  const std::lock_guard lock(context.controller_mutex.of(Duty::records));
+  context.controller.on_catalog(*set, wall_ms(), now());
 }
 
 }  // namespace foxshunt::node
--- a/src/node/shared.cpp
+++ b/src/node/shared.cpp
@@ -248,11 +248,11 @@
   std::map<JobId, plan::Instant> ends;
   std::map<JobId, foresight::Prospect> prospects;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
-    context_.engine.on_dues(std::move(dues));
-    if (context_.engine.planning()) return;
-    ends = context_.engine.planned_ends();
-    prospects = context_.engine.prospects(moment.at);
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::counting));
+    context_.controller.on_dues(std::move(dues));
+    if (context_.controller.planning()) return;
+    ends = context_.controller.planned_ends();
+    prospects = context_.controller.prospects(moment.at);
   }
   const std::lock_guard lock(shared.mutex);
   shared.calendar.planned(calendar::plans_of(ends, prospects, moment));
@@ -261,9 +261,9 @@
 bool KeepDuty::write_one() {
   Revision term_mark;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
-    if (!context_.engine.may_start(now())) return false;
-    term_mark = context_.engine.term_mark();
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::counting));
+    if (!context_.controller.may_start(now())) return false;
+    term_mark = context_.controller.term_mark();
   }
   Shared& shared = context_.shared;
   ledger::Keeper* keeper = nullptr;
@@ -283,8 +283,8 @@
   const state::TxnResult result = client_.txn(guarded, call_limit());
   if (result.answer == Answer::conflict &&
       std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-    context_.engine.on_term_conflict(term_mark);
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+    context_.controller.on_term_conflict(term_mark);
   }
   const std::lock_guard lock(shared.mutex);
   keeper->on_written(*txn, result);
--- a/src/node/shared.h
+++ b/src/node/shared.h
@@ -40,7 +40,7 @@
   catalog::Sweeper catalog_sweeper;
   catalog::Founder catalog_founder;
   calendar::Keeper calendar;
-  std::shared_ptr<const catalog::Set> told = catalog.in_force();  // to the engine
+  std::shared_ptr<const catalog::Set> told = catalog.in_force();  // to the controller
   classes::StepClock steps;
   std::vector<ledger::Keeper*> keepers;  // which write while this node leads; asked in this order
 
--- a/src/node/standby.cpp
+++ b/src/node/standby.cpp
@@ -125,8 +125,8 @@
   }
   std::optional<standby::Picture> picture;
   if (look) {
-    const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
-    if (context.engine.leading()) picture = context.engine.soft_state(at);
+    const std::lock_guard lock(context.controller_mutex.of(Duty::counting));
+    if (context.controller.leading()) picture = context.controller.soft_state(at);
   }
   std::optional<standby::Word> word;
   {
@@ -256,9 +256,9 @@
     const auto picture = context_.standby.take(at);
     if (!picture) continue;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
-      if (!context_.engine.leading() || picture->term >= context_.engine.term()) continue;
-      context_.engine.hint(*picture, at);
+      const std::lock_guard lock(context_.controller_mutex.of(Duty::counting));
+      if (!context_.controller.leading() || picture->term >= context_.controller.term()) continue;
+      context_.controller.hint(*picture, at);
     }
     context_.standby.hinted(*picture);
     context_.plan_signal.raise();
@@ -310,8 +310,8 @@
     body.emplace_back("records_whole", context.shared.ledger.whole());
     body.emplace_back("records_revision", context.shared.ledger.revision().number());
   }
-  const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
-  body.emplace_back("leads", context.engine.leading());
+  const std::lock_guard lock(context.controller_mutex.of(Duty::counting));
+  body.emplace_back("leads", context.controller.leading());
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
--- a/src/node/standby.h
+++ b/src/node/standby.h
@@ -55,7 +55,7 @@
  private:
   const bool on_;
   const bool alone_;
-  std::mutex mutex_;  // taken after the engine's if both are
+  std::mutex mutex_;  // taken after the controller's if both are
   standby::Teller teller_;
   standby::Listener listener_;
   standby::Phases phases_;
--- a/src/node/zones.cpp
+++ b/src/node/zones.cpp
@@ -81,9 +81,9 @@
 void AskDuty::ask(net::HttpClient& leader, Term term) {
   {
     // Asking in a term says that this node does not act in an older one.
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
-    context_.engine.hear_of(term);
-    if (context_.engine.leading()) return;
+    const std::lock_guard lock(context_.controller_mutex.of(Duty::lease));
+    context_.controller.hear_of(term);
+    if (context_.controller.leading()) return;
   }
   const zone::Ask ask = rights_.next_ask(term);
   const plan::Instant asked = now();
@@ -134,8 +134,8 @@
   }
   std::optional<zone::Grant> grant;
   {
-    const std::lock_guard lock(context.engine_mutex.of(Duty::lease));
-    grant = context.engine.on_ask(ask, now());
+    const std::lock_guard lock(context.controller_mutex.of(Duty::lease));
+    grant = context.controller.on_ask(ask, now());
   }
   if (!grant) return come_back("nothing can be granted: it does not lead in that term, or the word is stale");
   return {.status = 200, .body = wire::encode(zone::to_value(*grant)), .retry_after_s = {}};
@@ -149,11 +149,11 @@
   }
   Value::Map body{{"node", context.settings.name.text()}, {"leader", leader.text()}, {"holds", rights.told()}};
   const plan::Instant at = now();
-  const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
-  body.emplace_back("leads", context.engine.leading());
-  if (!context.engine.leading()) return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
+  const std::lock_guard lock(context.controller_mutex.of(Duty::counting));
+  body.emplace_back("leads", context.controller.leading());
+  if (!context.controller.leading()) return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
   Value::List zones;
-  for (const auto& [name, standing] : context.engine.zones().standings()) {
+  for (const auto& [name, standing] : context.controller.zones().standings()) {
     zones.push_back(Value::Map{{"zone", name},
                                {"state", context.settings.in_service(name) ? zone::name_of(standing.state)
                                                                            : std::string_view("out of service")},
@@ -165,7 +165,7 @@
                                {"leaving", standing.leaving}});
   }
   Value::List grants;
-  for (const zone::Book::Standing& standing : context.engine.grants().standings()) {
+  for (const zone::Book::Standing& standing : context.controller.grants().standings()) {
     grants.push_back(Value::Map{{"node", standing.node.text()},
                                 {"zone", standing.zone},
                                 {"heard", standing.heard.has_value()},
--- a/src/pools/desk.h
+++ b/src/pools/desk.h
@@ -1,4 +1,4 @@
-// What stands between the pools and the leader's mind: the engine asks it before it places, returns and rents, and tells
+// What stands between the pools and the leader's mind: the controller asks it before it places, returns and rents, and tells
 // it what became of that. Pure. With no pools it says yes to everything and remembers nothing.
 #pragma once
 
@@ -36,7 +36,7 @@
   std::vector<wire::RentRequest> asks;  // of records: may be sent, again and again, until they are answered
 };
 
-// ---- what the engine says ----
+// ---- what the controller says ----
 
 struct Sight {
   MachineId id;
@@ -80,7 +80,7 @@
   [[nodiscard]] bool of_interest(const Cache& cache) const;
   [[nodiscard]] const std::map<MachineId, std::size_t>& members() const { return steer_.members; }
 
-  // ---- the engine's side ----
+  // ---- the controller's side ----
   // A new lead begins: what is believed of caches is what the records say.
   void lead(Instant now);
   // Whether it has lasted for long enough that each machine there is was listed or heard.
--- a/src/pools/keeper.cpp
+++ b/src/pools/keeper.cpp
@@ -176,7 +176,7 @@
   return static_cast<std::uint32_t>(count);
 }
 
-// ---- what the engine is told, and tells ----
+// ---- what the controller is told, and tells ----
 
 Steer Keeper::steer() const {
   Steer steer;
--- a/src/pools/keeper.h
+++ b/src/pools/keeper.h
@@ -1,5 +1,5 @@
 // Keeps the records of warm pools: on every node it follows them and answers from them; on the leader it decides, from the
-// records, the sets of the catalog, the time of day and what the engine sees, what is written next. Pure.
+// records, the sets of the catalog, the time of day and what the controller sees, what is written next. Pure.
 #pragma once
 
 #include <cstdint>
@@ -52,11 +52,11 @@
   void declare(const catalog::Set& set);
   // Whether there are pools, or records of pools that are no more.
   [[nodiscard]] bool active() const;
-  // Grows with each record of pools, and each declaration, that may change what the engine is told.
+  // Grows with each record of pools, and each declaration, that may change what the controller is told.
   [[nodiscard]] std::uint64_t changes() const { return changes_; }
-  // What the engine of this node has to know, whether it leads or not.
+  // What the controller of this node has to know, whether it leads or not.
   [[nodiscard]] Steer steer() const;
-  // What the engine of the leader sees. Nothing is written for long without it.
+  // What the controller of the leader sees. Nothing is written for long without it.
   void observe(Sighting sighting, ledger::Moment now);
 
   // ledger::Keeper. It keeps `account/` as well as `pool/`.
--- a/tests/bench/benchmarks.cpp
+++ b/tests/bench/benchmarks.cpp
@@ -70,7 +70,7 @@
     fleet.pass();
     counted.end();
   }
-  state.counters["jobs"] = static_cast<double>(fleet.engine().jobs().size());
+  state.counters["jobs"] = static_cast<double>(fleet.controller().jobs().size());
 }
 BENCHMARK(plan_pass)->Args({20, 0})->Args({40, 0})->Args({20, 1})->Args({40, 1})->Iterations(100)->Unit(
     benchmark::kMicrosecond);
@@ -126,8 +126,8 @@
     state.ResumeTiming();
     counted.begin();
     const wire::Report report = wire::report_from(wire::decode(bytes));
-    const auto commands = fleet.engine().on_report(report, fleet.now());
-    benchmark::DoNotOptimize(wire::encode(wire::report_answer(fleet.engine().term(), *commands)));
+    const auto commands = fleet.controller().on_report(report, fleet.now());
+    benchmark::DoNotOptimize(wire::encode(wire::report_answer(fleet.controller().term(), *commands)));
     counted.end();
   }
 }
@@ -140,7 +140,7 @@
   Counted counted(state);
   for (auto unused : state) {
     counted.begin();
-    fleet.engine().tick(fleet.now());
+    fleet.controller().tick(fleet.now());
     counted.end();
   }
 }
@@ -188,29 +188,29 @@
 // What a leader holds, in bytes that malloc has handed out; the time says nothing.
 std::size_t held() { return mallinfo2().uordblks; }
 
-void memory_of_the_engine(benchmark::State& state) {
+void memory_of_the_controller(benchmark::State& state) {
   for (auto unused : state) {
     constexpr std::size_t kMachines = 260;
     constexpr std::size_t kJobs = 400;
     const std::size_t empty = held();
     BusyFleet fleet(kMachines, 0, 0);
     const std::size_t with_machines = held();
-    const std::size_t first = fleet.engine().jobs().size();
+    const std::size_t first = fleet.controller().jobs().size();
     std::size_t tasks = 0;
     for (std::size_t i = 0; i < kJobs; ++i) fleet.add_job(true);  // gangs of 1 to 16 tasks, none of which runs
     const std::size_t with_jobs = held();
     fleet.pass();
-    for (const auto& [unused_id, job] : fleet.engine().jobs()) tasks += job.runs_count;
+    for (const auto& [unused_id, job] : fleet.controller().jobs()) tasks += job.runs_count;
     const std::size_t with_runs = held();
     state.counters["bytes_a_machine"] = static_cast<double>(with_machines - empty) / kMachines;
     state.counters["bytes_a_job"] =
-        static_cast<double>(with_jobs - with_machines) / static_cast<double>(fleet.engine().jobs().size() - first);
+        static_cast<double>(with_jobs - with_machines) / static_cast<double>(fleet.controller().jobs().size() - first);
     state.counters["bytes_a_placed_task_and_plan"] =
         static_cast<double>(with_runs - with_jobs) / static_cast<double>(tasks);
     state.counters["placed"] = static_cast<double>(tasks);
   }
 }
-BENCHMARK(memory_of_the_engine)->Iterations(1);
+BENCHMARK(memory_of_the_controller)->Iterations(1);
 
 void memory_of_a_cached_answer(benchmark::State& state) {
   for (auto unused : state) {
--- a/tests/bench/busy_fleet.cpp
+++ b/tests/bench/busy_fleet.cpp
@@ -39,31 +39,31 @@
 
 }  // namespace
 
-BusyFleet::BusyFleet(std::size_t machines, std::size_t gangs, std::size_t arrays) : engine_(settings()) {
-  engine_.on_types({{.name = "plain",
-                     .cpus = 32,
-                     .ram_gb = 256,
-                     .cache_gb = 60,
-                     .fetch_gb_per_s = 0.5,
-                     .price = 2.8,
-                     .spot_price = 1.3,
-                     .boot_s = 20,
-                     .zones = {"a", "b", "c"}},
-                    {.name = "gpu",
-                     .cpus = 48,
-                     .gpus = 8,
-                     .ram_gb = 288,
-                     .cache_gb = 60,
-                     .fetch_gb_per_s = 0.3,
-                     .price = 29,
-                     .spot_price = 13,
-                     .boot_s = 40,
-                     .zones = {"a", "b", "c"}}});
+BusyFleet::BusyFleet(std::size_t machines, std::size_t gangs, std::size_t arrays) : controller_(settings()) {
+  controller_.on_types({{.name = "plain",
+                         .cpus = 32,
+                         .ram_gb = 256,
+                         .cache_gb = 60,
+                         .fetch_gb_per_s = 0.5,
+                         .price = 2.8,
+                         .spot_price = 1.3,
+                         .boot_s = 20,
+                         .zones = {"a", "b", "c"}},
+                        {.name = "gpu",
+                         .cpus = 48,
+                         .gpus = 8,
+                         .ram_gb = 288,
+                         .cache_gb = 60,
+                         .fetch_gb_per_s = 0.3,
+                         .price = 29,
+                         .spot_price = 13,
+                         .boot_s = 40,
+                         .zones = {"a", "b", "c"}}});
   control::Takeover takeover;
   takeover.term = Term(1);
   takeover.term_mark = Revision(1);
   takeover.others_until = now_;
-  engine_.lead(takeover, now_);
+  controller_.lead(takeover, now_);
   for (std::size_t i = 0; i < machines; ++i) machines_.emplace_back(numbered("m-", i));
   report_all();
   for (std::size_t i = 0; i < std::max(gangs, arrays); ++i) {
@@ -91,7 +91,7 @@
   spec.checkpoint_s = gang ? 45 : 0;
   spec.save_s = gang ? 5 : 0;
   ++jobs_;
-  engine_.on_job_record(spec.id, state::to_value(state::new_job(spec, 0)), Revision(++revision_), 0, now_);
+  controller_.on_job_record(spec.id, state::to_value(state::new_job(spec, 0)), Revision(++revision_), 0, now_);
 }
 
 wire::Report BusyFleet::report_of(const MachineId& machine) {
@@ -103,11 +103,11 @@
   report.zone = kZones[number / 3 % 3];
   report.session = SessionNo(1);
   report.sequence = ++sequences_[machine];
-  report.term = engine_.term();
-  const auto known = engine_.machines().find(machine);
-  if (known == engine_.machines().end()) return report;
+  report.term = controller_.term();
+  const auto known = controller_.machines().find(machine);
+  if (known == controller_.machines().end()) return report;
   for (const TaskKey& task : known->second.runs) {
-    const control::Job& job = engine_.jobs().at(task.job);
+    const control::Job& job = controller_.jobs().at(task.job);
     const auto& runs = job.parts[task.index / constants::kTasksPerPart].runs;
     const bool over = ended_.contains(task);
     report.tasks.push_back({.task = task,
@@ -120,26 +120,26 @@
 }
 
 void BusyFleet::report_all() {
-  engine_.confirm_lease(now_);
-  engine_.confirm_reading(now_);
-  for (const MachineId& machine : machines_) (void)engine_.on_report(report_of(machine), now_);
+  controller_.confirm_lease(now_);
+  controller_.confirm_reading(now_);
+  for (const MachineId& machine : machines_) (void)controller_.on_report(report_of(machine), now_);
 }
 
 void BusyFleet::write_all() {
-  while (auto batch = engine_.begin_write(now_)) {
-    engine_.end_write(*batch, {.answer = state::Answer::ok, .revision = Revision(++revision_), .failed = {}}, now_);
+  while (auto batch = controller_.begin_write(now_)) {
+    controller_.end_write(*batch, {.answer = state::Answer::ok, .revision = Revision(++revision_), .failed = {}}, now_);
   }
 }
 
 void BusyFleet::pass() {
-  engine_.confirm_lease(now_);
-  engine_.confirm_reading(now_);
-  engine_.plan_pass(now_);
+  controller_.confirm_lease(now_);
+  controller_.confirm_reading(now_);
+  controller_.plan_pass(now_);
   write_all();
 }
 
 void BusyFleet::end_one() {
-  for (const auto& [id, job] : engine_.jobs()) {
+  for (const auto& [id, job] : controller_.jobs()) {
     if (job.withdrawn || job.runs_count == 0) continue;
     std::set<MachineId> on;
     for (const control::Part& part : job.parts) {
@@ -148,7 +148,7 @@
         on.insert(run.machine);
       }
     }
-    for (const MachineId& machine : on) (void)engine_.on_report(report_of(machine), now_);
+    for (const MachineId& machine : on) (void)controller_.on_report(report_of(machine), now_);
     write_all();
     return;
   }
--- a/tests/bench/busy_fleet.h
+++ b/tests/bench/busy_fleet.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "control/engine.h"
+#include "control/controller.h"
 
 namespace foxshunt::bench {
 
@@ -20,7 +20,7 @@
   // Jobs end: the first that runs, with all its tasks.
   void end_one();
 
-  [[nodiscard]] control::Engine& engine() { return engine_; }
+  [[nodiscard]] control::Controller& controller() { return controller_; }
   [[nodiscard]] plan::Instant now() const { return now_; }
   // What the machine's worker says now.
   [[nodiscard]] wire::Report report_of(const MachineId& machine);
@@ -32,7 +32,7 @@
   void write_all();
 
   plan::Instant now_{plan::Millis(1'000'000)};
-  control::Engine engine_;
+  control::Controller controller_;
   std::vector<MachineId> machines_;
   std::map<MachineId, std::uint64_t> sequences_;
   std::set<TaskKey> ended_;
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -69,9 +69,9 @@
   }
   // ---- controllers ----
   for (const Node& node : nodes_) {
-    const control::Engine& engine = node.engine;
+    const control::Controller& controller = node.controller;
     out << "node" << node.frozen << node.refused << (node.lease.number != 0) << node.writing << node.leader_seen.text()
-        << term(node.term_seen) << engine.leading() << engine.gives_way(now_);
+        << term(node.term_seen) << controller.leading() << controller.gives_way(now_);
     if (node.lease.number != 0 && leases_.contains(node.lease.number)) out << away(leases_.at(node.lease.number));
     for (const Duty duty : node.stalled) out << "stalled" << duty;
     for (const auto& [id, status] : node.ended) out << id.text() << status.state;
@@ -91,12 +91,12 @@
       out << (ask.holds != zone::GrantNo{});
       for (const zone::Use& use : ask.uses) out << use.machine.text() << use.ago.count();
     }
-    if (!engine.leading()) continue;
-    out << term(engine.term()) << (engine.term_mark() == mark_now(state::kTermKey)) << away(node.lease_at)
-        << away(node.read_at) << away(node.others_until) << engine.plan_wanted();
+    if (!controller.leading()) continue;
+    out << term(controller.term()) << (controller.term_mark() == mark_now(state::kTermKey)) << away(node.lease_at)
+        << away(node.read_at) << away(node.others_until) << controller.plan_wanted();
     for (const state::Event& event : store_.follow(state::kLivePrefix, node.follow_from).events)
       event.data ? data(event.key, *event.data) : void(out << event.key << "gone");
-    for (const auto& [id, job] : engine.jobs()) {
+    for (const auto& [id, job] : controller.jobs()) {
       out << id.text() << (job.mark == mark_now(state::live_key(id))) << job.withdrawn << job.had_runs << job.reload
           << job.done_count << job.begun << job.errors << away(job.not_before) << job.failed_on.size()
           << (job.gather_until ? away(*job.gather_until) : "-");
@@ -109,13 +109,13 @@
         }
       }
     }
-    for (const auto& [id, machine] : engine.machines()) {
+    for (const auto& [id, machine] : controller.machines()) {
       out << id.text() << machine.state << machine.reported << machine.saw_term << machine.session
           << away(machine.last_report) << machine.expired << machine.halting << machine.strangers << machine.zone
           << machine.errors << away(machine.known);
-      if (setup_->grants) out << away(engine.grants().renewed_until(machine.zone, id));
+      if (setup_->grants) out << away(controller.grants().renewed_until(machine.zone, id));
     }
-    if (setup_->grants) out << engine.grants().older_terms_over();
+    if (setup_->grants) out << controller.grants().older_terms_over();
   }
   // ---- machines ----
   for (const Machine& machine : machines_) {
@@ -138,7 +138,7 @@
       out << condition.key << (condition.mark == mark_now(condition.key)) << (condition.mark == Revision{});
     for (const state::Change& change : message.txn.changes)
       change.data ? data(change.key, *change.data) : void(out << change.key << "gone");
-    if (message.batch) out << (message.batch->term_mark == nodes_[message.node].engine.term_mark());
+    if (message.batch) out << (message.batch->term_mark == nodes_[message.node].controller.term_mark());
     if (message.result) out << message.result->answer;
     if (message.taking) out << term(message.taking->term);
     if (message.sort == Sort::report || message.sort == Sort::answer) {
@@ -146,8 +146,8 @@
       out << report.session << term(report.term);
       for (const wire::TaskReport& task : report.tasks) out << task.task.text() << task.attempt << task.state;
       for (const Node& node : nodes_) {
-        const auto known = node.engine.machines().find(report.machine);
-        if (known != node.engine.machines().end()) out << (known->second.sequence < report.sequence);
+        const auto known = node.controller.machines().find(report.machine);
+        if (known != node.controller.machines().end()) out << (known->second.sequence < report.sequence);
       }
     }
     if (message.commands) {
--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -70,7 +70,7 @@
 // ---- beginnings ----
 
 Model::Node::Node(const Node& other)
-    : engine(other.engine.copy()),
+    : controller(other.controller.copy()),
       life(other.life),
       frozen(other.frozen),
       refused(other.refused),
@@ -142,8 +142,8 @@
 
 Model::Node Model::new_node(std::size_t node, std::uint64_t life) const {
   const config::Settings settings = settings_of(node);
-  Node made{control::Engine(settings)};
-  made.engine.on_types({type()});
+  Node made{control::Controller(settings)};
+  made.controller.on_types({type()});
   made.life = life;
   made.holder = zone::Holder(settings.name, settings.zone, life, control::grant_spans(settings));
   return made;
@@ -173,7 +173,7 @@
   if (!apply_choice(action)) return false;
   rules_.check(now_);
   for (const Node& node : nodes_) {
-    if (!fault_ && node.engine.leading()) fault_ = node.engine.disagreement();
+    if (!fault_ && node.controller.leading()) fault_ = node.controller.disagreement();
   }
   return true;
 }
@@ -314,7 +314,7 @@
       continue;
     }
     node.writing = false;
-    node.engine.end_write(*message->batch, {.answer = Answer::none}, now_);
+    node.controller.end_write(*message->batch, {.answer = Answer::none}, now_);
     if (message->fate == Fate::held) {
       message->fate = Fate::late;
       ++message;
@@ -389,11 +389,11 @@
   Node& self = nodes_[node];
   if (self.taking) return read_records(node);
   if (!served(node)) return;
-  if (self.engine.leading()) {
+  if (self.controller.leading()) {
     const Answer answer = store_.touch(self.lease, now_);
-    if (answer == Answer::not_found) return self.engine.resign("its lease has ended");
+    if (answer == Answer::not_found) return self.controller.resign("its lease has ended");
     leases_[self.lease.number] = now_ + constants::kLeaderLease;
-    self.engine.confirm_lease(now_);
+    self.controller.confirm_lease(now_);
     self.lease_at = now_;
     return;
   }
@@ -403,7 +403,7 @@
   self.leader_seen = held ? view.record.leader : NodeName{};
   self.term_seen = view.record.term;
   self.holder.hear_of(self.term_seen);
-  if ((held && view.record.leader != name_of(node)) || self.engine.gives_way(now_)) return;
+  if ((held && view.record.leader != name_of(node)) || self.controller.gives_way(now_)) return;
   take_lead(node, view);
 }
 
@@ -457,7 +457,7 @@
                          ? Instant{}
                          : taking.asked + control::fence_span(settings_of(node)) - constants::kClockRounding};
   if (control::not_ready(found, now_)) return store_.revoke(std::exchange(self.lease, {}));
-  self.engine.lead(takeover, taking.asked);
+  self.controller.lead(takeover, taking.asked);
   self.follow_from = live.revision;
   self.writing = false;
   self.lease_at = self.read_at = taking.asked;
@@ -468,27 +468,27 @@
 
 void Model::follow_turn(std::size_t node) {
   Node& self = nodes_[node];
-  if (!self.engine.leading() || !served(node)) return;
+  if (!self.controller.leading() || !served(node)) return;
   const state::FollowResult news = store_.follow(state::kLivePrefix, self.follow_from);
   for (const state::Event& event : news.events) {
     const auto id = state::job_of_key(event.key);
     if (event.data) {
-      self.engine.on_job_record(*id, *event.data, event.mark, wall_ms(), now_);
+      self.controller.on_job_record(*id, *event.data, event.mark, wall_ms(), now_);
     } else {
-      self.engine.on_job_removed(*id, now_);
+      self.controller.on_job_removed(*id, now_);
     }
   }
-  self.engine.confirm_reading(now_);
+  self.controller.confirm_reading(now_);
   self.read_at = now_;
   self.follow_from = news.revision;
 }
 
 void Model::plan_turn(std::size_t node) {
   Node& self = nodes_[node];
-  if (!self.engine.leading()) return;
-  self.engine.tick(now_);
-  if (self.engine.plan_wanted()) self.engine.plan_pass(now_);
-  if (const std::vector<MachineId> names = self.engine.next_returns(now_); !names.empty()) {
+  if (!self.controller.leading()) return;
+  self.controller.tick(now_);
+  if (self.controller.plan_wanted()) self.controller.plan_pass(now_);
+  if (const std::vector<MachineId> names = self.controller.next_returns(now_); !names.empty()) {
     std::vector<std::string> zones;
     for (Machine& machine : machines_) {
       if (!machine.worker.alive || std::ranges::find(names, machine.worker.id()) == names.end()) continue;
@@ -498,9 +498,9 @@
     if (machines_.size() < kMachinesMost) {  // its successor is up at once
       for (const std::string& zone : zones) add_machine(zone);
     }
-    self.engine.on_returned(names, now_);
+    self.controller.on_returned(names, now_);
   }
-  for (const control::DirectHalt& halt : self.engine.due_halts(now_)) {
+  for (const control::DirectHalt& halt : self.controller.due_halts(now_)) {
     const auto found = std::ranges::find(machines_, halt.machine, [](const Machine& one) { return one.worker.id(); });
     if (found == machines_.end()) continue;
     const auto machine = static_cast<std::size_t>(found - machines_.begin());
@@ -523,20 +523,21 @@
   Node& self = nodes_[node];
   if (self.writing) return;
   while (served(node)) {
-    const auto reload = self.engine.next_reload();
-    if (!reload || !self.engine.leading()) break;
+    const auto reload = self.controller.next_reload();
+    if (!reload || !self.controller.leading()) break;
     const state::GetResult found = store_.get(reload->key());
-    self.engine.on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt, now_);
+    self.controller.on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt,
+                                now_);
   }
-  const auto batch = self.engine.begin_write(now_);
+  const auto batch = self.controller.begin_write(now_);
   if (!batch) return;
-  if (!served(node)) return self.engine.end_write(*batch, {.answer = Answer::refused}, now_);
+  if (!served(node)) return self.controller.end_write(*batch, {.answer = Answer::refused}, now_);
   const auto found = fate(Sort::write, node);
-  if (!found) return self.engine.end_write(*batch, store_.txn(batch->txn), now_);
+  if (!found) return self.controller.end_write(*batch, store_.txn(batch->txn), now_);
   Message message{.sort = Sort::write, .fate = *found, .node = node, .sent = now_, .txn = batch->txn, .batch = *batch};
   if (*found == Fate::late) message.left = 2;
   if (*found == Fate::lost || *found == Fate::slow) message.result = store_.txn(batch->txn);
-  if (*found == Fate::late || *found == Fate::lost) self.engine.end_write(*batch, {.answer = Answer::none}, now_);
+  if (*found == Fate::late || *found == Fate::lost) self.controller.end_write(*batch, {.answer = Answer::none}, now_);
   if (*found == Fate::slow || *found == Fate::held) self.writing = true;
   if (*found != Fate::lost) capture(std::move(message));
 }
@@ -544,7 +545,7 @@
 void Model::ask_turn(std::size_t node) {
   Node& self = nodes_[node];
   const auto leader = node_of(self.leader_seen);
-  if (!setup_->grants || self.engine.leading() || !leader || *leader == node) return;
+  if (!setup_->grants || self.controller.leading() || !leader || *leader == node) return;
   Message message{
       .sort = Sort::ask, .node = node, .sent = now_, .left = 2, .ask = self.holder.next_ask(self.term_seen, now_)};
   if (fate(Sort::ask, node)) return capture(std::move(message));
@@ -555,9 +556,10 @@
 void Model::on_ask(const Message& message) {
   // The leader that it asked; by now that may lead no longer.
   for (std::size_t leader = 0; leader < nodes_.size(); ++leader) {
-    if (leader == message.node || nodes_[leader].frozen || parted_ || nodes_[leader].engine.term() != message.ask.term)
+    if (leader == message.node || nodes_[leader].frozen || parted_ ||
+        nodes_[leader].controller.term() != message.ask.term)
       continue;
-    const auto grant = nodes_[leader].engine.on_ask(message.ask, now_);
+    const auto grant = nodes_[leader].controller.on_ask(message.ask, now_);
     Node& asker = nodes_[message.node];
     if (!grant || asker.life != message.life) return;
     Message answer{
@@ -607,10 +609,10 @@
     return;
   }
   if (cut(number, node)) return turn_to(number, (node + 1) % nodes_.size(), Millis(1000));
-  if (self.engine.leading()) return take_report(number, report, sent, node, node);
+  if (self.controller.leading()) return take_report(number, report, sent, node, node);
   const auto leader = node_of(self.leader_seen);
   if (leader && *leader != node) {
-    if (!cut(number, *leader) && !nodes_[*leader].frozen && nodes_[*leader].engine.leading()) {
+    if (!cut(number, *leader) && !nodes_[*leader].frozen && nodes_[*leader].controller.leading()) {
       if (answer_by_grant(number, report, sent, node, false)) return;
       if (!machine.deaf) turn_to(number, *leader, Millis(0));
       return;
@@ -641,8 +643,8 @@
                   .machine = number,
                   .sent = sent,
                   .report = report,
-                  .commands = self.engine.on_report(report, now_),
-                  .term = self.engine.term()};
+                  .commands = self.controller.on_report(report, now_),
+                  .term = self.controller.term()};
   if (now_ - sent >= constants::kReportAnswerLimit) return;
   if (!message.commands) {
     // Who passed it on may have a grant.
@@ -663,12 +665,12 @@
   Node& self = nodes_[message.node];
   if (self.frozen || self.life != message.life) return;
   auto commands = message.commands;
-  if (!self.engine.settled(message.report)) {
+  if (!self.controller.settled(message.report)) {
     plan_turn(message.node);
     write_turn(message.node);
   }
-  const auto later = self.engine.later_commands(message.report, now_);
-  if (!later || (guards::kept(guards::Guard::answer_term) && self.engine.term() != message.term)) {
+  const auto later = self.controller.later_commands(message.report, now_);
+  if (!later || (guards::kept(guards::Guard::answer_term) && self.controller.term() != message.term)) {
     return deliver_answer(message.machine, {}, {}, message.report.session, message.sent);
   }
   for (const wire::Command& command : *later) {
@@ -800,7 +802,7 @@
   const bool lives = node.life == message.life;
   switch (message.sort) {
     case Sort::lead:
-      if (message.taking && lives && !node.engine.leading() && !node.taking && node.lease.number != 0)
+      if (message.taking && lives && !node.controller.leading() && !node.taking && node.lease.number != 0)
         node.taking = message.taking;
       if (to_store) (void)store_.txn(message.txn);
       return true;
@@ -808,7 +810,7 @@
       const state::TxnResult result = message.result ? *message.result : store_.txn(message.txn);
       if (!to_node || !lives) return true;
       node.writing = false;
-      node.engine.end_write(*message.batch, result, now_);
+      node.controller.end_write(*message.batch, result, now_);
       return true;
     }
     case Sort::user: (void)carry_out(message.txn, message.creates); return true;
@@ -821,8 +823,8 @@
       }
       // Nobody waits for its answer, and it comes to every controller.
       for (Node& one : nodes_) {
-        if (!one.frozen && one.engine.leading()) {
-          (void)one.engine.on_report(message.report, now_);
+        if (!one.frozen && one.controller.leading()) {
+          (void)one.controller.on_report(message.report, now_);
         } else if (!one.frozen) {
           (void)one.holder.answers(message.report.machine, message.report.zone, message.report.term, now_);
         }
--- a/tests/explorer/model.h
+++ b/tests/explorer/model.h
@@ -1,5 +1,5 @@
 // A deployment in which nothing happens by itself: each message, transaction, duty and trouble, and each step of time, is
-// an action that a search chooses. Engine, grants and records are the program's own; what src/node does between them is
+// an action that a search chooses. Controller, grants and records are the program's own; what src/node does between them is
 // mirrored here, as standins/world.cpp does it. Copies go on apart from each other. docs/design/explorer.md has the bounds.
 #pragma once
 
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "control/engine.h"
+#include "control/controller.h"
 #include "standins/history.h"
 #include "standins/rules.h"
 #include "standins/state_store.h"
@@ -104,14 +104,14 @@
 
  private:
   struct Node {
-    explicit Node(control::Engine made) : engine(std::move(made)) {}
+    explicit Node(control::Controller made) : controller(std::move(made)) {}
     Node(const Node& other);
     Node(Node&&) = default;
     Node& operator=(const Node&) = delete;
     Node& operator=(Node&&) = default;
     ~Node() = default;
 
-    control::Engine engine;
+    control::Controller controller;
     std::uint64_t life = 1;
     bool frozen = false;
     bool refused = false;
@@ -131,7 +131,7 @@
     std::optional<Instant> leader_answered;
     bool writing = false;
     std::map<JobId, wire::JobStatus> ended;  // that the front remembers
-    // As the engine was told, for the digest.
+    // As the controller was told, for the digest.
     Instant lease_at;
     Instant read_at;
     Instant others_until;
--- a/tests/scenarios/pools_test.cpp
+++ b/tests/scenarios/pools_test.cpp
@@ -1,4 +1,4 @@
-// Bursts on cold, half-warm and warm pools, random days with pools, and days without: the real Engine in several controllers.
+// Bursts on cold, half-warm and warm pools, random days with pools, and days without: the real Controller in several controllers.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
--- a/tests/scenarios/refusal_days_test.cpp
+++ b/tests/scenarios/refusal_days_test.cpp
@@ -254,7 +254,7 @@
   std::map<JobId, double> last_seen;
   for (double at = when.cancelled; at < when.back + kSettles; at += kLook) {
     world.at(at, [&, at] {
-      const control::Engine& engine = world.engine(old);
+      const control::Controller& controller = world.controller(old);
       for (const JobId& job : {kService, kArray}) {
         for (std::uint32_t index = 0; index < 3; ++index) {
           if (!world.where({job, index}).empty()) last_seen[job] = at;
@@ -262,11 +262,12 @@
       }
       if (!world.rules().cancelled_at(kService) || at >= when.back) return;
       if (!reports) {
-        reports = engine.counters().reports;
+        reports = controller.counters().reports;
         granted = world.answered_by_grant();
         outcome.confirmed = day_s(*world.rules().cancelled_at(kService)) < when.out;
       }
-      const std::uint64_t more = engine.counters().reports > *reports ? engine.counters().reports - *reports : 0;
+      const std::uint64_t more =
+          controller.counters().reports > *reports ? controller.counters().reports - *reports : 0;
       outcome.answered = std::max(outcome.answered, more + world.answered_by_grant() - granted);
     });
   }
--- a/tests/scenarios/scenario_expectations.cpp
+++ b/tests/scenarios/scenario_expectations.cpp
@@ -100,7 +100,7 @@
   EXPECT_EQ(seen.front().jobs, expected);
   ASSERT_TRUE(world().leader());
   std::vector<JobId> planned;
-  for (const classes::Rank& rank : world().engine(*world().leader()).ranking().order()) {
+  for (const classes::Rank& rank : world().controller(*world().leader()).ranking().order()) {
     if (rank.place > 0) planned.push_back(rank.job);
   }
   EXPECT_EQ(planned, expected) << "as the leader plans";
@@ -146,7 +146,7 @@
     ASSERT_TRUE(world().leader());
     std::string state = words.at(3);
     if (words.size() > 4) state += " " + words[4];
-    EXPECT_EQ(zone::name_of(world().engine(*world().leader()).zones().of(words.at(2))), state);
+    EXPECT_EQ(zone::name_of(world().controller(*world().leader()).zones().of(words.at(2))), state);
   } else if (what == "rentals") {  // of pools
     EXPECT_EQ(world().pool_rentals(), count_from(words.at(2), what));
   } else if (what == "digests") {  // equal
--- a/tests/smoke/takeover_test.cpp
+++ b/tests/smoke/takeover_test.cpp
@@ -38,8 +38,8 @@
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
   ASSERT_TRUE(context.wait_to_lead({}));
   {
-    const std::lock_guard lock(context.engine_mutex.of(node::Duty::counting));
-    EXPECT_EQ(context.engine.jobs().size(), kJobs);
+    const std::lock_guard lock(context.controller_mutex.of(node::Duty::counting));
+    EXPECT_EQ(context.controller.jobs().size(), kJobs);
   }
   const std::vector<std::string> asked = state.asked();
   const auto list = [](const std::string& what) { return what.starts_with("list "); };
@@ -75,8 +75,8 @@
   node::LeaderDuty duty(context);
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
   ASSERT_TRUE(context.wait_to_lead({}));
-  const std::lock_guard lock(context.engine_mutex.of(node::Duty::counting));
-  EXPECT_EQ(context.engine.term(), Term(2));
+  const std::lock_guard lock(context.controller_mutex.of(node::Duty::counting));
+  EXPECT_EQ(context.controller.term(), Term(2));
 }
 
 }  // namespace
--- a/tests/standins/world.cpp
+++ b/tests/standins/world.cpp
@@ -68,15 +68,15 @@
   self.zone = own.zone;
   self.holder =
       zone::Holder(own.name, own.zone, static_cast<std::uint64_t>(wall_ms()), control::grant_spans(settings_));
-  self.engine = std::make_unique<control::Engine>(own);
-  self.engine->on_types(types());
+  self.controller = std::make_unique<control::Controller>(own);
+  self.controller->on_types(types());
   self.finals = std::make_unique<user_api::FinalStates>();
   self.teller = std::make_unique<standby::Teller>(self.life * 100 + node + 1);
   self.listener = std::make_unique<standby::Listener>(own.name);
   self.asking_standby = false;
   self.hints_wanted_until.reset();
   if (set_.version != catalog::Version{}) self.pools = std::make_unique<PoolSide>(*this);
-  if (catalog_) self.engine->on_catalog(*catalog_, wall_ms(), time_of(node));
+  if (catalog_) self.controller->on_catalog(*catalog_, wall_ms(), time_of(node));
 }
 
 bool World::parted(const std::string& one, const std::string& other) const {
@@ -167,8 +167,8 @@
 std::optional<std::size_t> World::leader() const {
   std::optional<std::size_t> best;
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
-    if (!nodes_[node].alive || !nodes_[node].engine->leading()) continue;
-    if (!best || nodes_[node].engine->term() > nodes_[*best].engine->term()) best = node;
+    if (!nodes_[node].alive || !nodes_[node].controller->leading()) continue;
+    if (!best || nodes_[node].controller->term() > nodes_[*best].controller->term()) best = node;
   }
   return best;
 }
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -1,4 +1,4 @@
-// A whole deployment in virtual time: the real Engine in several controllers, with stand-ins for the state
+// A whole deployment in virtual time: the real Controller in several controllers, with stand-ins for the state
 // service, the cloud, workers and users, and for the network between them. The same seed gives the same day.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 #include "calendar/keeper.h"
 #include "classes/queue.h"
-#include "control/engine.h"
+#include "control/controller.h"
 #include "control/times.h"
 #include "control/unreached.h"
 #include "ledger/jobs.h"
@@ -188,7 +188,7 @@
   [[nodiscard]] std::size_t words_refused() const { return words_refused_; }
   [[nodiscard]] std::size_t rented() const { return rented_; }  // machines, by whoever led
   [[nodiscard]] std::size_t killed_by_lease() const;
-  [[nodiscard]] control::Engine& engine(std::size_t node) { return *nodes_.at(node).engine; }
+  [[nodiscard]] control::Controller& controller(std::size_t node) { return *nodes_.at(node).controller; }
   // Of a node that is alive.
   [[nodiscard]] const pools::Keeper* pools(std::size_t node) const;
   [[nodiscard]] bool digests_equal() const;
@@ -221,7 +221,7 @@
     Instant next_follow;
   };
   struct Node {
-    std::unique_ptr<control::Engine> engine;
+    std::unique_ptr<control::Controller> controller;
     std::unique_ptr<user_api::FinalStates> finals;
     std::uint64_t life = 0;  // grows with each restart; what an earlier life asked is not answered
     bool alive = true;
--- a/tests/standins/world_cloud.cpp
+++ b/tests/standins/world_cloud.cpp
@@ -79,7 +79,7 @@
   }
   std::erase_if(supplies_, [&type](const Supply& supply) { return supply.type.name == type; });
   rules_.on_types(types());
-  for (const Node& node : nodes_) node.engine->on_types(types());
+  for (const Node& node : nodes_) node.controller->on_types(types());
 }
 
 void World::start_up(const std::string& type, const std::string& zone, std::size_t count) {
@@ -120,41 +120,42 @@
 void World::cloud_duty(std::size_t node) {
   Node& self = nodes_[node];
   if (self.calling_cloud || cloud_out_ || cut_zones_.contains(self.zone)) return;
-  const auto answer_after = [this, node, life = self.life](std::function<void(control::Engine&, Instant)> then) {
+  const auto answer_after = [this, node, life = self.life](std::function<void(control::Controller&, Instant)> then) {
     nodes_[node].calling_cloud = true;
     after(Millis(200) + delay(), [this, node, life, then = std::move(then)] {
       Node& me = nodes_[node];
       if (!me.alive || me.life != life) return;
       me.calling_cloud = false;
-      then(*me.engine, time_of(node));
+      then(*me.controller, time_of(node));
     });
   };
-  if (const std::vector<MachineId> names = self.engine->next_returns(time_of(node)); !names.empty()) {
+  if (const std::vector<MachineId> names = self.controller->next_returns(time_of(node)); !names.empty()) {
     give_back(names);
     copy_late([this, names] { give_back(names); });
-    return answer_after([names](control::Engine& engine, Instant at) { engine.on_returned(names, at); });
+    return answer_after([names](control::Controller& controller, Instant at) { controller.on_returned(names, at); });
   }
   if (self.hints_wanted_until && now_ < *self.hints_wanted_until) return;
-  if (const auto request = self.engine->next_rental(time_of(node))) {
+  if (const auto request = self.controller->next_rental(time_of(node))) {
     const std::vector<MachineId> rented = rent(*request);
     copy_late([this, request] { (void)rent(*request); });
     reached(Moment::rental, node);
     if (rented.empty()) {
-      return answer_after([request](control::Engine& engine, Instant at) { engine.on_rent_refused(*request, at); });
+      return answer_after(
+          [request](control::Controller& controller, Instant at) { controller.on_rent_refused(*request, at); });
     }
     return answer_after(
-        [request, rented](control::Engine& engine, Instant at) { engine.on_rented(*request, rented, at); });
+        [request, rented](control::Controller& controller, Instant at) { controller.on_rented(*request, rented, at); });
   }
   if (now_ >= self.next_list) {
     self.next_list = now_ + constants::kListEvery;
     return answer_after(
-        [listed = listing()](control::Engine& engine, Instant at) { engine.on_machine_list(listed, at); });
+        [listed = listing()](control::Controller& controller, Instant at) { controller.on_machine_list(listed, at); });
   }
 }
 
 void World::halt_duty(std::size_t node) {
   Node& self = nodes_[node];
-  for (const control::DirectHalt& halt : self.engine->due_halts(time_of(node))) {
+  for (const control::DirectHalt& halt : self.controller->due_halts(time_of(node))) {
     const auto machine = machines_.find(halt.machine);
     if (machine == machines_.end() || !machine->second.worker || machine->second.gone) continue;
     const Millis way = late_command().value_or(delay() + slow_link());
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -34,11 +34,11 @@
   if (self.pools) pool_duty(node);
   if (catalog_ && !late(node, Duty::records)) ledger_duty(node);
   if (self.calendar && !late(node, Duty::writes)) calendar_duty(node);
-  if (self.engine->leading()) {
+  if (self.controller->leading()) {
     if (!late(node, Duty::planning)) {
-      self.engine->tick(time_of(node));
+      self.controller->tick(time_of(node));
       // A step may fall between two portions of a pass.
-      if (self.engine->plan_wanted()) (void)self.engine->plan_some(time_of(node), places_per_step_);
+      if (self.controller->plan_wanted()) (void)self.controller->plan_some(time_of(node), places_per_step_);
     }
     if (!late(node, Duty::records)) follow_duty(node);
     if (!late(node, Duty::writes)) write_duty(node);
@@ -66,11 +66,11 @@
   self.next_peers = now_ + constants::kPeerEvery;
   for (std::size_t other = 0; other < nodes_.size(); ++other) {
     const Node& sibling = nodes_[other];
-    if (other == node || !hears(other, node) || !sibling.engine->leading() ||
-        sibling.engine->term() <= self.engine->term())
+    if (other == node || !hears(other, node) || !sibling.controller->leading() ||
+        sibling.controller->term() <= self.controller->term())
       continue;
     self.leader_seen = NodeName("node-" + std::to_string(other));
-    self.engine->hear_of(sibling.engine->term());
+    self.controller->hear_of(sibling.controller->term());
   }
 }
 
@@ -80,8 +80,8 @@
   if (self.asking || now_ < self.next_ask) return;
   self.next_ask = now_ + constants::kAskEvery;
   const auto leader = node_of(self.leader_seen);
-  self.engine->hear_of(self.term_seen);
-  if (!leader || *leader == node || self.engine->leading()) {
+  self.controller->hear_of(self.term_seen);
+  if (!leader || *leader == node || self.controller->leading()) {
     self.leader_answered.reset();
     return;
   }
@@ -100,15 +100,15 @@
     // Held up, the word arrives when the cut is over, and nobody waits for its answer.
     return repeat(kStep, [this, leader, ask, reaches_leader] {
       if (!reaches_leader()) return false;
-      (void)nodes_[*leader].engine->on_ask(ask, time_of(*leader));
+      (void)nodes_[*leader].controller->on_ask(ask, time_of(*leader));
       return true;
     });
   }
   copy_late([this, leader, ask] {
-    if (nodes_[*leader].alive) (void)nodes_[*leader].engine->on_ask(ask, time_of(*leader));
+    if (nodes_[*leader].alive) (void)nodes_[*leader].controller->on_ask(ask, time_of(*leader));
   });
   after(kWordDelay, [this, node, leader, ask, asked = time_of(node), life = self.life, given_up] {
-    const auto grant = nodes_[*leader].engine->on_ask(ask, time_of(*leader));
+    const auto grant = nodes_[*leader].controller->on_ask(ask, time_of(*leader));
     if (grant) reached(Moment::grant, *leader);
     if (!nodes_[*leader].alive || !grant) return after(kWordDelay, given_up);
     after(kWordDelay, [this, node, leader, grant, asked, life, given_up] {
@@ -132,8 +132,8 @@
   Node& self = nodes_[node];
   if (!self.alive || (self.hints_wanted_until && now_ < *self.hints_wanted_until)) return std::nullopt;
   if (self.teller->wants_picture(time_of(node))) {
-    auto picture = self.engine->leading() ? std::optional(self.engine->soft_state(time_of(node)))
-                                          : self.listener->picture(time_of(node));
+    auto picture = self.controller->leading() ? std::optional(self.controller->soft_state(time_of(node)))
+                                              : self.listener->picture(time_of(node));
     if (picture) self.teller->show(std::move(*picture));
   }
   const auto word = self.teller->tell(ask, time_of(node));
@@ -151,20 +151,20 @@
     // Any sibling in reach, one after the other.
     of = (node + 1 + std::uniform_int_distribution<std::size_t>(0, nodes_.size())(words_luck_)) % nodes_.size();
   }
-  if (*of == node || (self.engine->leading() && !wants)) return;
+  if (*of == node || (self.controller->leading() && !wants)) return;
   self.next_standby = now_ + (wants ? kStep : constants::kStandbyEvery);
   if (!hears(*of, node)) return;
-  if (!wants && nodes_[*of].engine->leading()) self.listener->hear_of(self.term_seen);
+  if (!wants && nodes_[*of].controller->leading()) self.listener->hear_of(self.term_seen);
   const standby::Ask ask = self.listener->next_ask(NodeName("node-" + std::to_string(*of)));
   self.asking_standby = true;
   const auto hear = [this, node, life = self.life](const std::string& bytes) {
     Node& me = nodes_[node];
     if (!me.alive || me.life != life) return;
     if (me.listener->on_answer(bytes, time_of(node))) ++words_refused_;
-    if (!me.hints_wanted_until || !me.engine->leading()) return;
+    if (!me.hints_wanted_until || !me.controller->leading()) return;
     const auto hints = me.listener->picture(time_of(node));
-    if (!hints || hints->term >= me.engine->term() || now_ >= *me.hints_wanted_until) return;
-    me.engine->hint(*hints, time_of(node));
+    if (!hints || hints->term >= me.controller->term() || now_ >= *me.hints_wanted_until) return;
+    me.controller->hint(*hints, time_of(node));
     ++hints_taken_;
     me.hints_wanted_until.reset();
   };
@@ -191,7 +191,7 @@
       if (nodes_[node].life == life) nodes_[node].calling_lead = false;
     });
   };
-  if (self.engine->leading()) {
+  if (self.controller->leading()) {
     const Instant sent = time_of(node);
     struct Touched {
       Answer answer = Answer::none;
@@ -199,8 +199,8 @@
     call_state<Touched>(
         node, Duty::lease, [this, lease = self.lease](StateStore& store) { return Touched{store.touch(lease, now_)}; },
         [this, node, sent, again](const Touched& touched) {
-          if (touched.answer == Answer::ok) nodes_[node].engine->confirm_lease(sent);
-          if (touched.answer == Answer::not_found) nodes_[node].engine->resign("its lease has ended");
+          if (touched.answer == Answer::ok) nodes_[node].controller->confirm_lease(sent);
+          if (touched.answer == Answer::not_found) nodes_[node].controller->resign("its lease has ended");
           again(touched.answer == Answer::ok ? constants::kLeaderRenew : constants::kStateRetryPause);
         });
     return;
@@ -235,7 +235,7 @@
         me.leader_seen = held ? seen.view.record.leader : NodeName{};
         me.term_seen = seen.view.record.term;
         if (held && seen.view.record.leader != name) return again(kLook);
-        if (!me.engine->gives_way(time_of(node))) take_lead(node, seen.view);
+        if (!me.controller->gives_way(time_of(node))) take_lead(node, seen.view);
         again(kLook);
       },
       true, self.leader_seen.empty() ? Millis(0) : Millis(constants::kLeaderWatchHold));
@@ -334,18 +334,18 @@
   takeover.others_until =
       time_of(node) + Millis(std::max<std::int64_t>(0, read.others_until_wall_ms - takeover.wall_ms));
   self.follow_from = read.from;
-  self.engine->lead(takeover, read.began);
-  self.engine->confirm_lease(read.renewed);
+  self.controller->lead(takeover, read.began);
+  self.controller->confirm_lease(read.renewed);
   if (settings_.operators.standby) {
     if (takeover.term.number() > 1) self.hints_wanted_until = now_ + constants::kStandbyLate;
     if (const auto hints = self.listener->picture(time_of(node))) {
-      self.engine->hint(*hints, time_of(node));
+      self.controller->hint(*hints, time_of(node));
       ++hints_taken_;
       self.hints_wanted_until.reset();
     }
   }
   if (self.calendar)
-    self.engine->on_dues(calendar::dues_of(*self.calendar, {.at = time_of(node), .wall_ms = wall_ms()}));
+    self.controller->on_dues(calendar::dues_of(*self.calendar, {.at = time_of(node), .wall_ms = wall_ms()}));
   on_new_leader();
   self.calling_follow = self.calling_write = self.calling_cloud = false;
 }
--- a/tests/standins/world_records.cpp
+++ b/tests/standins/world_records.cpp
@@ -18,24 +18,24 @@
   if (self.calling_follow) return;
   self.calling_follow = true;
   const Instant sent = time_of(node);
-  const Term term = self.engine->term();
+  const Term term = self.controller->term();
   call_state<state::FollowResult>(
       node, Duty::records,
       [from = self.follow_from](StateStore& store) { return store.follow(state::kLivePrefix, from); },
       [this, node, sent, term](const state::FollowResult& news) {
         Node& me = nodes_[node];
         me.calling_follow = false;
-        if (news.answer != Answer::ok || !me.engine->leading() || me.engine->term() != term) return;
+        if (news.answer != Answer::ok || !me.controller->leading() || me.controller->term() != term) return;
         for (const state::Event& event : news.events) {
           const auto id = state::job_of_key(event.key);
           if (!id) continue;
           if (event.data) {
-            me.engine->on_job_record(*id, *event.data, event.mark, wall_ms(), time_of(node));
+            me.controller->on_job_record(*id, *event.data, event.mark, wall_ms(), time_of(node));
           } else {
-            me.engine->on_job_removed(*id, time_of(node));
+            me.controller->on_job_removed(*id, time_of(node));
           }
         }
-        me.engine->confirm_reading(sent);
+        me.controller->confirm_reading(sent);
         me.follow_from = news.revision;
       },
       true, constants::kFollowHold);
@@ -91,15 +91,15 @@
 // As src/node/shared.cpp does: the leader's plan, what jobs ended as, and a write.
 void World::calendar_duty(std::size_t node) {
   Node& self = nodes_[node];
-  if (self.calling_calendar || now_ < self.next_calendar || !self.engine->may_start(time_of(node))) return;
-  if (self.engine->planning() && now_ < self.next_calendar + constants::kKeepEvery) return;
-  if (!self.ledger->whole() || self.ledger->revision() < self.engine->term_mark()) return;
+  if (self.calling_calendar || now_ < self.next_calendar || !self.controller->may_start(time_of(node))) return;
+  if (self.controller->planning() && now_ < self.next_calendar + constants::kKeepEvery) return;
+  if (!self.ledger->whole() || self.ledger->revision() < self.controller->term_mark()) return;
   self.next_calendar = now_ + constants::kKeepEvery;
   const calendar::Both moment{.at = time_of(node), .wall_ms = wall_ms()};
-  self.engine->on_dues(calendar::dues_of(*self.calendar, moment));
-  if (!self.engine->planning()) {
+  self.controller->on_dues(calendar::dues_of(*self.calendar, moment));
+  if (!self.controller->planning()) {
     self.calendar->planned(
-        calendar::plans_of(self.engine->planned_ends(), self.engine->prospects(time_of(node)), moment));
+        calendar::plans_of(self.controller->planned_ends(), self.controller->prospects(time_of(node)), moment));
   }
   if (const auto key = self.calendar->next_read()) {
     call_state<state::GetResult>(
@@ -118,7 +118,7 @@
   }
   self.calling_calendar = true;
   state::Txn guarded = *txn;
-  guarded.conditions.push_back({.key = state::kTermKey, .mark = self.engine->term_mark()});
+  guarded.conditions.push_back({.key = state::kTermKey, .mark = self.controller->term_mark()});
   call_state<state::TxnResult>(
       node, Duty::writes,
       [this, guarded](StateStore& store) {
@@ -180,7 +180,7 @@
 void World::declare(const catalog::Set& set) {
   catalog_ = std::make_shared<const catalog::Set>(set);
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
-    nodes_[node].engine->on_catalog(set, wall_ms(), time_of(node));
+    nodes_[node].controller->on_catalog(set, wall_ms(), time_of(node));
   }
 }
 
@@ -202,7 +202,7 @@
 void World::write_duty(std::size_t node) {
   Node& self = nodes_[node];
   if (self.calling_write) return;
-  if (const auto reload = self.engine->next_reload()) {
+  if (const auto reload = self.controller->next_reload()) {
     self.calling_write = true;
     call_state<state::GetResult>(
         node, Duty::writes, [reload](StateStore& store) { return store.get(reload->key()); },
@@ -210,12 +210,12 @@
           Node& me = nodes_[node];
           me.calling_write = false;
           if (found.answer != Answer::ok && found.answer != Answer::not_found) return;
-          me.engine->on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt,
-                                 time_of(node));
+          me.controller->on_reloaded(
+              *reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt, time_of(node));
         });
     return;
   }
-  const auto batch = self.engine->begin_write(time_of(node));
+  const auto batch = self.controller->begin_write(time_of(node));
   if (!batch) return;
   if (batch->txn.changes.size() > settings_.state_txn_ops) throw std::logic_error("transaction over its limit");
   for (const state::Change& change : batch->txn.changes) {
@@ -232,7 +232,7 @@
       },
       [this, node, batch](const state::TxnResult& result) {
         nodes_[node].calling_write = false;
-        nodes_[node].engine->end_write(*batch, result, time_of(node));
+        nodes_[node].controller->end_write(*batch, result, time_of(node));
       });
 }
 
@@ -296,8 +296,8 @@
   if (now_ >= side.next_look && side.read) {
     side.next_look = now_ + constants::kPoolLook;
     const ledger::Moment moment{.wall_ms = wall_ms(), .steady = time_of(node)};
-    self.engine->steer(side.keeper.steer());
-    if (self.engine->leading()) side.keeper.observe(self.engine->sight_pools(time_of(node)), moment);
+    self.controller->steer(side.keeper.steer());
+    if (self.controller->leading()) side.keeper.observe(self.controller->sight_pools(time_of(node)), moment);
   }
   if (!late(node, Duty::writes)) pool_write(node);
 }
@@ -305,8 +305,8 @@
 void World::pool_write(std::size_t node) {
   Node& self = nodes_[node];
   PoolSide& side = *self.pools;
-  if (side.writing || !self.engine->may_start(time_of(node)) || !side.ledger.whole() ||
-      side.ledger.revision() < self.engine->term_mark()) {
+  if (side.writing || !self.controller->may_start(time_of(node)) || !side.ledger.whole() ||
+      side.ledger.revision() < self.controller->term_mark()) {
     return;
   }
   const auto txn =
@@ -320,7 +320,7 @@
   }
   side.writing = true;
   state::Txn guarded = *txn;
-  guarded.conditions.push_back({.key = state::kTermKey, .mark = self.engine->term_mark()});
+  guarded.conditions.push_back({.key = state::kTermKey, .mark = self.controller->term_mark()});
   call_state<state::TxnResult>(
       node, Duty::writes, [guarded](StateStore& store) { return store.txn(guarded); },
       [this, node, txn](const state::TxnResult& result) {
--- a/tests/standins/world_troubles.cpp
+++ b/tests/standins/world_troubles.cpp
@@ -235,14 +235,14 @@
   Node& self = nodes_[node];
   if (!self.alive || self.cut_from_workers || parted(self.zone, report.zone)) return;
   ++struck_["late_reports"];
-  if (self.engine->leading()) {
-    (void)self.engine->on_report(report, time_of(node));
+  if (self.controller->leading()) {
+    (void)self.controller->on_report(report, time_of(node));
     return;
   }
   const auto leader = node_of(self.leader_seen);
   if (leader && *leader != node && hears(*leader, node) &&
       self.unreached.passes(report.machine, report.term, self.term_seen, time_of(node))) {
-    (void)nodes_[*leader].engine->on_report(report, time_of(*leader));
+    (void)nodes_[*leader].controller->on_report(report, time_of(*leader));
     return;
   }
   (void)self.holder.answers(report.machine, report.zone, report.term, time_of(node));
--- a/tests/standins/world_users.cpp
+++ b/tests/standins/world_users.cpp
@@ -75,7 +75,7 @@
 user_api::Known World::known(std::size_t node) {
   return {.settings = settings_,
           .finals = *nodes_[node].finals,
-          .types = nodes_[node].engine->types(),
+          .types = nodes_[node].controller->types(),
           .wall_ms = wall_ms()};
 }
 
@@ -279,8 +279,8 @@
   rules_.check_answers(now_);
   rules_.check_waiting(machines_for_rules(), now_);
   for (const Node& node : nodes_) {
-    if (!node.alive || !node.engine->leading()) continue;
-    if (const auto fault = node.engine->disagreement())
+    if (!node.alive || !node.controller->leading()) continue;
+    if (const auto fault = node.controller->disagreement())
       throw std::logic_error("the job table is inconsistent: " + *fault);
   }
   after(kPollEvery, [this] { poll_users(); });
--- a/tests/standins/world_workers.cpp
+++ b/tests/standins/world_workers.cpp
@@ -82,13 +82,13 @@
   }
   const Node& self = nodes_[node];
   const auto leader = node_of(self.leader_seen);
-  if (!self.engine->leading() && late(node, Duty::reports)) {
+  if (!self.controller->leading() && late(node, Duty::reports)) {
     after(kStep, [this, id, report, sent, node] { deliver_report(id, report, sent, node); });
     return;
   }
-  if (!self.engine->leading() && (!leader || *leader == node)) {
+  if (!self.controller->leading() && (!leader || *leader == node)) {
     if (answer_by_grant(id, report, sent, node, true)) return;
-  } else if (!self.engine->leading()) {
+  } else if (!self.controller->leading()) {
     if (!nodes_[node].unreached.passes(id, report.term, self.term_seen, time_of(node))) {
       if (!answer_by_grant(id, report, sent, node, false)) take_report(id, report, sent, node, node);
       return;
@@ -142,9 +142,9 @@
     after(kStep, [this, id, report, sent, node, via] { take_report(id, report, sent, node, via); });
     return;
   }
-  const auto commands = nodes_[node].engine->on_report(report, time_of(node));
+  const auto commands = nodes_[node].controller->on_report(report, time_of(node));
   copy_late([this, node, report] {
-    if (nodes_[node].alive) (void)nodes_[node].engine->on_report(report, time_of(node));
+    if (nodes_[node].alive) (void)nodes_[node].controller->on_report(report, time_of(node));
   });
   if (now_ - sent > constants::kReportAnswerLimit) return;  // the worker has given it up
   answer_report(id, report, commands, sent, now_, node, nodes_[node].life, via);
@@ -162,15 +162,15 @@
                           std::optional<std::vector<wire::Command>> commands, Instant sent, Instant came,
                           std::size_t node, std::uint64_t life, std::size_t via) {
   if (!nodes_[node].alive || nodes_[node].life != life) return;
-  control::Engine& engine = *nodes_[node].engine;
-  if (commands && !engine.settled(report) && now_ - came < constants::kReportSettle) {
+  control::Controller& controller = *nodes_[node].controller;
+  if (commands && !controller.settled(report) && now_ - came < constants::kReportSettle) {
     after(Millis(20), [this, id, report, commands, sent, came, node, life, via] {
       answer_report(id, report, commands, sent, came, node, life, via);
     });
     return;
   }
   if (commands && now_ > came) {
-    if (const auto later = engine.later_commands(report, time_of(node))) {
+    if (const auto later = controller.later_commands(report, time_of(node))) {
       for (const wire::Command& command : *later) {
         if (std::ranges::find(*commands, command) == commands->end()) commands->push_back(command);
       }
@@ -178,7 +178,7 @@
       commands.reset();
     }
   }
-  const Term term = engine.term();
+  const Term term = controller.term();
   if (apart(node, via)) return;  // the way back to who passed the report on is cut
   after(delay() + slow_link(), [this, id, commands, term, session = report.session, sent, node = via] {
     Rented& target = machines_.at(id);
--- a/tests/unit/concurrent_faults_test.cpp
+++ b/tests/unit/concurrent_faults_test.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "control/engine.h"
+#include "control/controller.h"
 #include "config/constants.h"
 #include "standins/state_store.h"
 
@@ -46,8 +46,8 @@
 
 class ConcurrentFaults : public testing::Test {
  protected:
-  ConcurrentFaults() : engine_(settings()) {
-    engine_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
+  ConcurrentFaults() : controller_(settings()) {
+    controller_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
   void lead(Term term, Revision mark, std::vector<state::Entry> live = {}, std::vector<state::Entry> linger = {}) {
@@ -57,13 +57,13 @@
     takeover.others_until = now_ + Millis(20'000);
     takeover.live = std::move(live);
     takeover.linger = std::move(linger);
-    engine_.lead(takeover, now_);
+    controller_.lead(takeover, now_);
     know_all();
   }
 
   void know_all() {
-    engine_.confirm_lease(now_);
-    engine_.confirm_reading(now_);
+    controller_.confirm_lease(now_);
+    controller_.confirm_reading(now_);
   }
 
   static wire::TaskReport task(std::uint32_t index, TaskState state, EndReason reason = EndReason::none) {
@@ -82,7 +82,7 @@
     made.sequence = sequence;
     made.term = seen;
     made.tasks = std::move(tasks);
-    return engine_.on_report(made, now_);
+    return controller_.on_report(made, now_);
   }
 
   // A record that places the job's tasks, by index, with its first attempt.
@@ -99,7 +99,7 @@
   }
 
   Instant now_{Millis(1'000'000)};
-  Engine engine_;
+  Controller controller_;
 };
 
 // The machine lost its session while its gang gathered, and got the lost task again, with the same attempt number, in its
@@ -108,11 +108,11 @@
   const wire::JobSpec spec = job_of(2, wire::JobKind::gang);
   lead(Term(7), Revision(1), {placed(state::live_key(kJob), spec, {{kFirst, 2}, {kSecond, 1}})});
   ASSERT_TRUE(report(kFirst, 1, 40, Term(6), {task(0, TaskState::ended, EndReason::no_room)}));
-  EXPECT_EQ(engine_.jobs().at(kJob).runs_count, 2U) << "the task is taken for gone while it runs";
+  EXPECT_EQ(controller_.jobs().at(kJob).runs_count, 2U) << "the task is taken for gone while it runs";
   ASSERT_TRUE(report(kFirst, 2, 3, Term(7), {task(0, TaskState::running)}));
   ASSERT_TRUE(report(kSecond, 1, 50, Term(7), {task(1, TaskState::running)}));
-  EXPECT_EQ(engine_.jobs().at(kJob).runs_count, 2U);
-  for (const auto& [unused, run] : engine_.jobs().at(kJob).parts[0].runs) EXPECT_FALSE(run.halting);
+  EXPECT_EQ(controller_.jobs().at(kJob).runs_count, 2U);
+  for (const auto& [unused, run] : controller_.jobs().at(kJob).parts[0].runs) EXPECT_FALSE(run.halting);
 }
 
 // A new leader reads live/ and then linger/. A job that is called off between the two is found in both; it is one job, whose
@@ -121,22 +121,22 @@
   const wire::JobSpec spec = job_of(2);
   lead(Term(7), Revision(1), {placed(state::live_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})},
        {placed(state::linger_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})});
-  EXPECT_EQ(engine_.disagreement(), std::nullopt);
-  ASSERT_TRUE(engine_.jobs().contains(kJob));
-  EXPECT_TRUE(engine_.jobs().at(kJob).withdrawn);
-  engine_.on_job_removed(kJob, now_);  // by the watch, which begins at what was read first
+  EXPECT_EQ(controller_.disagreement(), std::nullopt);
+  ASSERT_TRUE(controller_.jobs().contains(kJob));
+  EXPECT_TRUE(controller_.jobs().at(kJob).withdrawn);
+  controller_.on_job_removed(kJob, now_);  // by the watch, which begins at what was read first
   wire::JobSpec next = job_of(4);
   next.id = JobId("j-000002");
-  engine_.on_job_record(next.id, state::to_value(state::new_job(next, 0)), Revision(20), 0, now_);
+  controller_.on_job_record(next.id, state::to_value(state::new_job(next, 0)), Revision(20), 0, now_);
   for (const char* name : {"m-000001", "m-000002", "m-000003"}) (void)report(MachineId(name), 1, 10, Term(7), {});
-  EXPECT_FALSE(engine_.jobs().at(kJob).runs_count > 0) << "what is proved gone counts still";
-  engine_.plan_pass(now_);
-  EXPECT_EQ(engine_.jobs().at(next.id).runs_count, 4U) << "of 8 CPUs each, for a limit of 32";
-  const auto write = engine_.begin_write(now_);
+  EXPECT_FALSE(controller_.jobs().at(kJob).runs_count > 0) << "what is proved gone counts still";
+  controller_.plan_pass(now_);
+  EXPECT_EQ(controller_.jobs().at(next.id).runs_count, 4U) << "of 8 CPUs each, for a limit of 32";
+  const auto write = controller_.begin_write(now_);
   ASSERT_TRUE(write);
-  engine_.end_write(*write, {.answer = state::Answer::ok, .revision = Revision(30), .failed = {}}, now_);
-  EXPECT_FALSE(engine_.jobs().contains(kJob)) << "it is never forgotten";
-  EXPECT_EQ(engine_.disagreement(), std::nullopt);
+  controller_.end_write(*write, {.answer = state::Answer::ok, .revision = Revision(30), .failed = {}}, now_);
+  EXPECT_FALSE(controller_.jobs().contains(kJob)) << "it is never forgotten";
+  EXPECT_EQ(controller_.disagreement(), std::nullopt);
 }
 
 // The watch was too far behind, and the whole list was asked for; its answer was held up until the node leads once more. A
@@ -147,13 +147,13 @@
   over.id = JobId("j-000009");
   const std::vector<state::Entry> before{placed(state::live_key(over.id), over, {{kFirst, 1}})};
   lead(Term(9), Revision(50), {placed(state::live_key(kJob), job_of(1), {{kSecond, 1}})});
-  EXPECT_FALSE(engine_.on_job_list(Term(7), before, 0, now_));
-  EXPECT_FALSE(engine_.jobs().at(kJob).withdrawn) << "an accepted job would never run";
-  EXPECT_FALSE(engine_.jobs().contains(over.id)) << "it is over";
+  EXPECT_FALSE(controller_.on_job_list(Term(7), before, 0, now_));
+  EXPECT_FALSE(controller_.jobs().at(kJob).withdrawn) << "an accepted job would never run";
+  EXPECT_FALSE(controller_.jobs().contains(over.id)) << "it is over";
   // What this lead reads counts.
-  EXPECT_TRUE(engine_.on_job_list(Term(9), before, 0, now_));
-  EXPECT_TRUE(engine_.jobs().at(kJob).withdrawn);
-  EXPECT_TRUE(engine_.jobs().contains(over.id));
+  EXPECT_TRUE(controller_.on_job_list(Term(9), before, 0, now_));
+  EXPECT_TRUE(controller_.jobs().at(kJob).withdrawn);
+  EXPECT_TRUE(controller_.jobs().contains(over.id));
 }
 
 // Tasks that are to be spread over zones lose their leader and a machine that nobody has heard of since: until it is known
@@ -163,19 +163,19 @@
   spec.spread = true;
   lead(Term(7), Revision(1), {placed(state::live_key(kJob), spec, {{kSecond, 1}})});
   (void)report(kFirst, 1, 10, Term(7), {});
-  engine_.plan_pass(now_);
-  EXPECT_EQ(engine_.jobs().at(kJob).runs_count, 1U);
+  controller_.plan_pass(now_);
+  EXPECT_EQ(controller_.jobs().at(kJob).runs_count, 1U);
   (void)report(kSecond, 1, 10, Term(7), {task(0, TaskState::running)});  // in zone a as well
-  engine_.plan_pass(now_);
-  EXPECT_EQ(engine_.jobs().at(kJob).runs_count, 1U);
+  controller_.plan_pass(now_);
+  EXPECT_EQ(controller_.jobs().at(kJob).runs_count, 1U);
 }
 
 // Leaders, users and a state service that carries a transaction out when the test says so.
 class ConcurrentFaultsAtTheStore : public ConcurrentFaults {
  protected:
-  ConcurrentFaultsAtTheStore() : next_(settings()) { next_.on_types(engine_.types()); }
+  ConcurrentFaultsAtTheStore() : next_(settings()) { next_.on_types(controller_.types()); }
 
-  void take_lead(Engine& engine, const NodeName& node) {
+  void take_lead(Controller& controller, const NodeName& node) {
     const state::LeadView view = state::lead_view(store_.get(state::kHolderKey), store_.get(state::kTermKey));
     const state::LeaseId lease = store_.grant(Millis(4000), now_);
     const state::TxnResult taken = store_.txn(state::take_lead_txn(view, node, lease, 0));
@@ -186,36 +186,37 @@
     takeover.others_until = now_;
     takeover.live = store_.list(state::kLivePrefix).entries;
     takeover.linger = store_.list(state::kLingerPrefix).entries;
-    engine.lead(takeover, now_);
-    engine.confirm_lease(now_);
-    engine.confirm_reading(now_);
+    controller.lead(takeover, now_);
+    controller.confirm_lease(now_);
+    controller.confirm_reading(now_);
   }
 
   state::TxnResult submit(const wire::JobSpec& spec) { return store_.txn(state::accept_txn(state::new_job(spec, 0))); }
 
-  // The job is accepted, the first engine leads, its only machine reports, and a pass places what fits.
+  // The job is accepted, the first controller leads, its only machine reports, and a pass places what fits.
   void accept_and_plan(const wire::JobSpec& spec) {
     ASSERT_EQ(submit(spec).answer, state::Answer::ok);
-    take_lead(engine_, NodeName("node-0"));
-    (void)report_to(engine_);
-    engine_.plan_pass(now_);
+    take_lead(controller_, NodeName("node-0"));
+    (void)report_to(controller_);
+    controller_.plan_pass(now_);
   }
 
   // What the leader's watch tells.
-  void follow(Engine& engine) {
+  void follow(Controller& controller) {
     const state::FollowResult news = store_.follow(state::kLivePrefix, seen_);
     for (const state::Event& event : news.events) {
       const JobId id = *state::job_of_key(event.key);
       if (event.data) {
-        engine.on_job_record(id, *event.data, event.mark, 0, now_);
+        controller.on_job_record(id, *event.data, event.mark, 0, now_);
       } else {
-        engine.on_job_removed(id, now_);
+        controller.on_job_removed(id, now_);
       }
     }
     seen_ = news.revision;
   }
 
-  std::optional<std::vector<wire::Command>> report_to(Engine& engine, std::vector<wire::TaskReport> tasks = {}) {
+  std::optional<std::vector<wire::Command>> report_to(Controller& controller,
+                                                      std::vector<wire::TaskReport> tasks = {}) {
     wire::Report made;
     made.machine = kFirst;
     made.address = "127.0.0.1:1";
@@ -223,23 +224,23 @@
     made.zone = "a";
     made.session = SessionNo(1);
     made.sequence = ++sequence_;
-    made.term = engine.term();
+    made.term = controller.term();
     made.tasks = std::move(tasks);
-    return engine.on_report(made, now_);
+    return controller.on_report(made, now_);
   }
 
-  // The write that the engine wants next; what becomes of it is the test's.
-  WriteBatch written(Engine& engine) {
-    const auto batch = engine.begin_write(now_);
+  // The write that the controller wants next; what becomes of it is the test's.
+  WriteBatch written(Controller& controller) {
+    const auto batch = controller.begin_write(now_);
     EXPECT_TRUE(batch);
     return batch.value_or(WriteBatch{});
   }
-  void carry_out(Engine& engine) {
-    const WriteBatch batch = written(engine);
-    engine.end_write(batch, store_.txn(batch.txn), now_);
+  void carry_out(Controller& controller) {
+    const WriteBatch batch = written(controller);
+    controller.end_write(batch, store_.txn(batch.txn), now_);
   }
-  void lose_answer(Engine& engine, const WriteBatch& batch) {
-    engine.end_write(batch, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
+  void lose_answer(Controller& controller, const WriteBatch& batch) {
+    controller.end_write(batch, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
   }
   static bool starts(const std::optional<std::vector<wire::Command>>& commands) {
     return commands && std::ranges::any_of(
@@ -248,7 +249,7 @@
   [[nodiscard]] bool is_live() const { return store_.get(state::live_key(kJob)).answer == state::Answer::ok; }
 
   standins::StateStore store_;
-  Engine next_;
+  Controller next_;
   Revision seen_;
   std::uint64_t sequence_ = 0;
 };
@@ -257,9 +258,9 @@
 // taken the lead and read the records, which know of none.
 TEST_F(ConcurrentFaultsAtTheStore, APlacementThatLagsIsRefusedOnceTheNextLeads) {
   accept_and_plan(job_of(1));
-  const WriteBatch late = written(engine_);
-  lose_answer(engine_, late);
-  EXPECT_FALSE(starts(report_to(engine_))) << "it may never be written";
+  const WriteBatch late = written(controller_);
+  lose_answer(controller_, late);
+  EXPECT_FALSE(starts(report_to(controller_))) << "it may never be written";
   store_.expire(now_ + Millis(9000));
   take_lead(next_, NodeName("node-1"));
   EXPECT_EQ(store_.txn(late.txn).answer, state::Answer::conflict);
@@ -272,12 +273,12 @@
 // A transaction without an answer is carried out after newer ones of the same controller: the job has run and is over.
 TEST_F(ConcurrentFaultsAtTheStore, APlacementThatLagsBringsNothingBackThatIsOver) {
   accept_and_plan(job_of(1));
-  const WriteBatch late = written(engine_);
-  lose_answer(engine_, late);
-  carry_out(engine_);
-  ASSERT_TRUE(starts(report_to(engine_)));
-  (void)report_to(engine_, {task(0, TaskState::ended, EndReason::done)});
-  carry_out(engine_);
+  const WriteBatch late = written(controller_);
+  lose_answer(controller_, late);
+  carry_out(controller_);
+  ASSERT_TRUE(starts(report_to(controller_)));
+  (void)report_to(controller_, {task(0, TaskState::ended, EndReason::done)});
+  carry_out(controller_);
   ASSERT_FALSE(is_live());
   EXPECT_EQ(store_.txn(late.txn).answer, state::Answer::conflict);
   EXPECT_FALSE(is_live()) << "it would run again, and its user would hear that it waits";
@@ -289,16 +290,16 @@
   wire::JobSpec spec = job_of(constants::kTasksPerPart + 2);
   spec.cpus = 0.1;
   accept_and_plan(spec);
-  carry_out(engine_);
-  ASSERT_TRUE(starts(report_to(engine_)));
+  carry_out(controller_);
+  ASSERT_TRUE(starts(report_to(controller_)));
   const wire::TaskReport first = task(0, TaskState::ended, EndReason::done);
   wire::TaskReport second = task(1, TaskState::ended, EndReason::done);
   second.attempt = AttemptNo(2);
-  (void)report_to(engine_, {first});
-  const WriteBatch late = written(engine_);
-  lose_answer(engine_, late);
-  (void)report_to(engine_, {first, second});
-  carry_out(engine_);
+  (void)report_to(controller_, {first});
+  const WriteBatch late = written(controller_);
+  lose_answer(controller_, late);
+  (void)report_to(controller_, {first, second});
+  carry_out(controller_);
   const auto done = [&] {
     const state::GetResult found = store_.get(state::part_key(kJob, 0));
     return state::part_from(found.entry.data, constants::kTasksPerPart).done;
@@ -311,29 +312,29 @@
 // Only the answer is lost, and others read what was written: the next write meets it, reads it again, and goes on from there.
 TEST_F(ConcurrentFaultsAtTheStore, AWriteWhoseAnswerIsLostIsReadAgain) {
   accept_and_plan(job_of(1));
-  const WriteBatch first = written(engine_);
+  const WriteBatch first = written(controller_);
   ASSERT_EQ(store_.txn(first.txn).answer, state::Answer::ok);
-  lose_answer(engine_, first);
-  carry_out(engine_);
-  EXPECT_FALSE(starts(report_to(engine_))) << "what is there has not been looked at";
-  const auto reload = engine_.next_reload();
+  lose_answer(controller_, first);
+  carry_out(controller_);
+  EXPECT_FALSE(starts(report_to(controller_))) << "what is there has not been looked at";
+  const auto reload = controller_.next_reload();
   ASSERT_TRUE(reload);
-  engine_.on_reloaded(*reload, store_.get(reload->key()).entry.mark, now_);
-  carry_out(engine_);
-  EXPECT_TRUE(starts(report_to(engine_)));
+  controller_.on_reloaded(*reload, store_.get(reload->key()).entry.mark, now_);
+  carry_out(controller_);
+  EXPECT_TRUE(starts(report_to(controller_)));
 }
 
 // A user's cancellation is carried out late, when the job that it read as waiting runs: it would leave no word of the task.
 // The repeated one does, and the next leader knows of it.
 TEST_F(ConcurrentFaultsAtTheStore, ACancellationThatLagsMissesNoPlacement) {
   ASSERT_EQ(submit(job_of(1)).answer, state::Answer::ok);
-  take_lead(engine_, NodeName("node-0"));
+  take_lead(controller_, NodeName("node-0"));
   const state::GetResult waiting = store_.get(state::live_key(kJob));
   const state::Txn late = state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark);
-  (void)report_to(engine_);
-  engine_.plan_pass(now_);
-  carry_out(engine_);
-  ASSERT_TRUE(starts(report_to(engine_)));
+  (void)report_to(controller_);
+  controller_.plan_pass(now_);
+  carry_out(controller_);
+  ASSERT_TRUE(starts(report_to(controller_)));
   EXPECT_EQ(store_.txn(late).answer, state::Answer::conflict);
   const state::GetResult runs = store_.get(state::live_key(kJob));
   ASSERT_EQ(runs.answer, state::Answer::ok);
@@ -351,21 +352,21 @@
 // A cancellation is confirmed while a placement is on its way: the placement fails, and is never started.
 TEST_F(ConcurrentFaultsAtTheStore, APlacementMeetsAConfirmedCancellation) {
   ASSERT_EQ(submit(job_of(1)).answer, state::Answer::ok);
-  take_lead(engine_, NodeName("node-0"));
+  take_lead(controller_, NodeName("node-0"));
   seen_ = store_.revision();
-  (void)report_to(engine_);
-  engine_.plan_pass(now_);
-  const WriteBatch batch = written(engine_);
+  (void)report_to(controller_);
+  controller_.plan_pass(now_);
+  const WriteBatch batch = written(controller_);
   const state::GetResult waiting = store_.get(state::live_key(kJob));
   ASSERT_EQ(store_.txn(state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark)).answer,
             state::Answer::ok);
-  engine_.end_write(batch, store_.txn(batch.txn), now_);
-  EXPECT_FALSE(starts(report_to(engine_)));
+  controller_.end_write(batch, store_.txn(batch.txn), now_);
+  EXPECT_FALSE(starts(report_to(controller_)));
   EXPECT_FALSE(is_live()) << "called off for its user, it would run";
-  follow(engine_);
-  if (const auto reload = engine_.next_reload()) engine_.on_reloaded(*reload, std::nullopt, now_);
-  EXPECT_FALSE(starts(report_to(engine_)));
-  EXPECT_EQ(engine_.jobs().contains(kJob) ? engine_.jobs().at(kJob).runs_count : 0, 0U);
+  follow(controller_);
+  if (const auto reload = controller_.next_reload()) controller_.on_reloaded(*reload, std::nullopt, now_);
+  EXPECT_FALSE(starts(report_to(controller_)));
+  EXPECT_EQ(controller_.jobs().contains(kJob) ? controller_.jobs().at(kJob).runs_count : 0, 0U);
 }
 
 // A cancellation that has read the job as running is carried out just after its last task's end was written, or just before:
@@ -376,15 +377,15 @@
     store_ = {};
     sequence_ = 0;
     ASSERT_EQ(submit(job_of(1)).answer, state::Answer::ok);
-    take_lead(engine_, NodeName("node-0"));
-    (void)report_to(engine_);
-    engine_.plan_pass(now_);
-    carry_out(engine_);
-    ASSERT_TRUE(starts(report_to(engine_)));
+    take_lead(controller_, NodeName("node-0"));
+    (void)report_to(controller_);
+    controller_.plan_pass(now_);
+    carry_out(controller_);
+    ASSERT_TRUE(starts(report_to(controller_)));
     const state::GetResult runs = store_.get(state::live_key(kJob));
     const state::Txn cancellation = state::withdraw_txn(state::job_from(runs.entry.data), runs.entry.mark);
-    (void)report_to(engine_, {task(0, TaskState::ended, EndReason::done)});
-    const WriteBatch end = written(engine_);
+    (void)report_to(controller_, {task(0, TaskState::ended, EndReason::done)});
+    const WriteBatch end = written(controller_);
     EXPECT_EQ(store_.txn(end_first ? end.txn : cancellation).answer, state::Answer::ok);
     EXPECT_EQ(store_.txn(end_first ? cancellation : end.txn).answer, state::Answer::conflict);
     const state::GetResult over = store_.get(state::over_key(kJob));
--- a/tests/unit/engine_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -1,5 +1,5 @@
 // What a leader may and may not conclude, each check by itself: a day seldom misses one of them alone.
-#include "control/engine.h"
+#include "control/controller.h"
 
 #include <gtest/gtest.h>
 
@@ -48,8 +48,8 @@
 
 class Leading : public testing::Test {
  protected:
-  Leading() : engine_(settings()) {
-    engine_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
+  Leading() : controller_(settings()) {
+    controller_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
   void lead(std::vector<state::Entry> live = {}, std::vector<state::Entry> linger = {}) {
@@ -59,7 +59,7 @@
     takeover.others_until = now_ + Millis(20'000);
     takeover.live = std::move(live);
     takeover.linger = std::move(linger);
-    engine_.lead(takeover, now_);
+    controller_.lead(takeover, now_);
   }
 
   // A record that places the job's first task.
@@ -73,8 +73,8 @@
   std::optional<std::vector<wire::Command>> report(const MachineId& machine, std::uint64_t sequence, Term seen,
                                                    std::vector<wire::TaskReport> tasks = {}, bool confirmed = true) {
     if (confirmed) {
-      engine_.confirm_lease(now_);
-      engine_.confirm_reading(now_);
+      controller_.confirm_lease(now_);
+      controller_.confirm_reading(now_);
     }
     wire::Report made;
     made.machine = machine;
@@ -86,17 +86,17 @@
     made.term = seen;
     made.tasks = std::move(tasks);
     last_ = made;
-    return engine_.on_report(made, now_);
+    return controller_.on_report(made, now_);
   }
 
   void submit(const wire::JobSpec& spec) {
-    engine_.on_job_record(spec.id, state::to_value(state::new_job(spec, 0)), Revision(++revision_), 0, now_);
+    controller_.on_job_record(spec.id, state::to_value(state::new_job(spec, 0)), Revision(++revision_), 0, now_);
   }
 
   bool write(state::Answer answer = state::Answer::ok) {
-    const auto batch = engine_.begin_write(now_);
+    const auto batch = controller_.begin_write(now_);
     if (!batch) return false;
-    engine_.end_write(*batch, {.answer = answer, .revision = Revision(++revision_), .failed = {}}, now_);
+    controller_.end_write(*batch, {.answer = answer, .revision = Revision(++revision_), .failed = {}}, now_);
     return true;
   }
 
@@ -109,13 +109,13 @@
            std::ranges::any_of(*commands, [&](const wire::Command& command) { return command.kind == kind; });
   }
   [[nodiscard]] std::uint32_t placed() const {
-    return engine_.jobs().contains(kJob) ? engine_.jobs().at(kJob).runs_count : 0;
+    return controller_.jobs().contains(kJob) ? controller_.jobs().at(kJob).runs_count : 0;
   }
 
   Instant now_{Millis(1'000'000)};
   std::uint64_t revision_ = 10;
   wire::Report last_;
-  Engine engine_;
+  Controller controller_;
 };
 
 // A node that lost the lead and has it again meets the answer to a write of its earlier lead.
@@ -123,39 +123,39 @@
   lead();
   report(kFirst, 1, Term(7));
   submit(job_of(1));
-  engine_.plan_pass(now_);
-  const auto late = engine_.begin_write(now_);
+  controller_.plan_pass(now_);
+  const auto late = controller_.begin_write(now_);
   ASSERT_TRUE(late);
   Takeover again;
   again.term = Term(9);
   again.term_mark = Revision(50);
-  engine_.lead(again, now_);
-  engine_.end_write(*late, {.answer = state::Answer::conflict, .revision = {}, .failed = {state::kTermKey}}, now_);
-  EXPECT_TRUE(engine_.leading());
+  controller_.lead(again, now_);
+  controller_.end_write(*late, {.answer = state::Answer::conflict, .revision = {}, .failed = {state::kTermKey}}, now_);
+  EXPECT_TRUE(controller_.leading());
   // It is built anew from this lead's job table, and written once.
   submit(job_of(1));
   report(kFirst, 2, Term(9));
-  engine_.plan_pass(now_);
-  const auto write = engine_.begin_write(now_);
+  controller_.plan_pass(now_);
+  const auto write = controller_.begin_write(now_);
   ASSERT_TRUE(write);
-  engine_.end_write(*late, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
-  EXPECT_FALSE(engine_.begin_write(now_));
+  controller_.end_write(*late, {.answer = state::Answer::none, .revision = {}, .failed = {}}, now_);
+  EXPECT_FALSE(controller_.begin_write(now_));
 }
 
 // All tasks of a gang start or none: while the placement of some of them is not durable, those that are wait.
 TEST_F(Leading, StartsAGangOnceAllItsPartsAreDurable) {
   config::Settings one_change = settings();
   one_change.state_txn_ops = 1;
-  const std::vector<wire::MachineType> types = engine_.types();
-  engine_ = Engine(one_change);
-  engine_.on_types(types);
+  const std::vector<wire::MachineType> types = controller_.types();
+  controller_ = Controller(one_change);
+  controller_.on_types(types);
   lead();
   (void)report(kFirst, 1, Term(7));
   wire::JobSpec gang = job_of(constants::kTasksPerPart + 2);
   gang.kind = wire::JobKind::gang;
   gang.cpus = 0.1;
   submit(gang);
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   ASSERT_EQ(placed(), gang.tasks);
   ASSERT_TRUE(write());
   EXPECT_FALSE(has(report(kFirst, 2, Term(7)), CommandKind::run)) << "its second part is not written yet";
@@ -165,21 +165,21 @@
   EXPECT_EQ(std::ranges::count(*answer, CommandKind::run, &wire::Command::kind), gang.tasks);
 }
 
-// The records of catalog, pools and calendar are written beside the engine, conditioned on the same term: an answer that comes
+// The records of catalog, pools and calendar are written beside the controller, conditioned on the same term: an answer that comes
 // when the same process leads again is of the lead that has ended.
 TEST_F(Leading, ATermConflictEndsOnlyTheLeadThatWrote) {
   Takeover first;
   first.term = Term(7);
   first.term_mark = Revision(40);
-  engine_.lead(first, now_);
+  controller_.lead(first, now_);
   Takeover again;
   again.term = Term(9);
   again.term_mark = Revision(50);
-  engine_.lead(again, now_);
-  engine_.on_term_conflict(Revision(40));
-  EXPECT_TRUE(engine_.leading());
-  engine_.on_term_conflict(Revision(50));
-  EXPECT_FALSE(engine_.leading());
+  controller_.lead(again, now_);
+  controller_.on_term_conflict(Revision(40));
+  EXPECT_TRUE(controller_.leading());
+  controller_.on_term_conflict(Revision(50));
+  EXPECT_FALSE(controller_.leading());
 }
 
 // What an ended lead wanted stopped may be sent when the same process leads again, which may want it to run: it goes with the
@@ -187,10 +187,10 @@
 TEST_F(Leading, ADirectHaltNamesTheTermThatWantedIt) {
   lead({placed_on(kSecond, job_of(1))});
   (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
-  engine_.on_job_removed(kJob, now_);
-  (void)engine_.due_halts(now_);  // the answer to the next report tells it first
+  controller_.on_job_removed(kJob, now_);
+  (void)controller_.due_halts(now_);  // the answer to the next report tells it first
   now_ += Millis(2000);
-  const auto halts = engine_.due_halts(now_);
+  const auto halts = controller_.due_halts(now_);
   ASSERT_EQ(halts.size(), 1U);
   EXPECT_EQ(halts[0].term, Term(7));
   EXPECT_EQ(halts[0].machine, kSecond);
@@ -198,11 +198,11 @@
   again.term = Term(9);
   again.term_mark = Revision(50);
   again.linger = {placed_on(kSecond, job_of(1))};
-  engine_.lead(again, now_);
+  controller_.lead(again, now_);
   (void)report(kSecond, 2, Term(9), {task(0, TaskState::running)});
-  (void)engine_.due_halts(now_);
+  (void)controller_.due_halts(now_);
   now_ += Millis(2000);
-  const auto later = engine_.due_halts(now_);
+  const auto later = controller_.due_halts(now_);
   ASSERT_EQ(later.size(), 1U);
   EXPECT_EQ(later[0].term, Term(9));
 }
@@ -212,7 +212,7 @@
   lead();
   EXPECT_TRUE(report(kFirst, 1, Term(7)));
   EXPECT_FALSE(report(kFirst, 2, Term(8)));
-  EXPECT_FALSE(engine_.leading());
+  EXPECT_FALSE(controller_.leading());
   EXPECT_FALSE(report(kSecond, 1, Term(0)));
 }
 
@@ -223,12 +223,12 @@
   zone::Ask ask{.node = NodeName("node-1"), .life = 1, .term = Term(7), .holds = {}, .uses = {}};
   const auto left_out = [&] {
     ++ask.sequence;
-    const auto grant = engine_.on_ask(ask, now_);
+    const auto grant = controller_.on_ask(ask, now_);
     return grant ? std::ranges::find(grant->except, kSecond) != grant->except.end() : true;
   };
   (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
   EXPECT_FALSE(left_out());
-  engine_.on_job_removed(kJob, now_);
+  controller_.on_job_removed(kJob, now_);
   EXPECT_TRUE(left_out()) << "a task of a withdrawn job";
   (void)report(kSecond, 2, Term(7), {task(0, TaskState::ended, EndReason::stopped)});
   EXPECT_FALSE(left_out());
@@ -237,14 +237,14 @@
   (void)report(kSecond, 4, Term(7));
   EXPECT_FALSE(left_out());
   now_ += Millis(4000);
-  engine_.confirm_lease(now_);
-  engine_.confirm_reading(now_);
+  controller_.confirm_lease(now_);
+  controller_.confirm_reading(now_);
   EXPECT_TRUE(left_out()) << "silent";
   ask.uses = {{.machine = kSecond, .ago = Millis(500)}};
   EXPECT_FALSE(left_out()) << "the sibling answers it";
   ask.uses.clear();
   ask.term = Term(6);
-  EXPECT_FALSE(engine_.on_ask(
+  EXPECT_FALSE(controller_.on_ask(
       {.node = NodeName("node-1"), .life = 1, .sequence = 99, .term = Term(6), .holds = {}, .uses = {}}, now_));
 }
 
@@ -255,28 +255,28 @@
   lead();
   submit(job_of(2));
   (void)report(kFirst, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   ASSERT_EQ(placed(), 2U);
-  const auto batch = engine_.begin_write(now_);
+  const auto batch = controller_.begin_write(now_);
   ASSERT_TRUE(batch);
   const Instant before = now_;
   for (int second = 1; second <= 20; ++second) {
     now_ = before + Millis(1000 * second);
-    if (second == 1) engine_.on_job_removed(kJob, now_);
-    if (second == 3) engine_.end_write(*batch, {.answer = state::Answer::none}, now_);
-    engine_.confirm_lease(now_);
-    engine_.confirm_reading(now_);
+    if (second == 1) controller_.on_job_removed(kJob, now_);
+    if (second == 3) controller_.end_write(*batch, {.answer = state::Answer::none}, now_);
+    controller_.confirm_lease(now_);
+    controller_.confirm_reading(now_);
   }
-  EXPECT_TRUE(engine_.may_answer(before + fence_span(settings()) - Millis(1)));
-  EXPECT_FALSE(engine_.may_answer(before + fence_span(settings())));
-  EXPECT_FALSE(engine_.may_start(now_));
+  EXPECT_TRUE(controller_.may_answer(before + fence_span(settings()) - Millis(1)));
+  EXPECT_FALSE(controller_.may_answer(before + fence_span(settings())));
+  EXPECT_FALSE(controller_.may_start(now_));
   // Read again, it is known; what comes after counts.
-  const auto reload = engine_.next_reload();
+  const auto reload = controller_.next_reload();
   ASSERT_TRUE(reload);
-  engine_.on_reloaded(*reload, std::nullopt, now_);
-  engine_.confirm_reading(now_);
-  EXPECT_TRUE(engine_.may_start(now_));
-  EXPECT_TRUE(engine_.jobs().empty() || engine_.jobs().at(kJob).withdrawn);
+  controller_.on_reloaded(*reload, std::nullopt, now_);
+  controller_.confirm_reading(now_);
+  EXPECT_TRUE(controller_.may_start(now_));
+  EXPECT_TRUE(controller_.jobs().empty() || controller_.jobs().at(kJob).withdrawn);
 }
 
 // A write that failed on the job's record may have met a cancellation: until the record was read again nobody else may
@@ -287,19 +287,19 @@
   zone::Ask ask{.node = NodeName("node-1"), .life = 1, .term = Term(7), .holds = {}, .uses = {}};
   const auto left_out = [&] {
     ++ask.sequence;
-    const auto grant = engine_.on_ask(ask, now_);
+    const auto grant = controller_.on_ask(ask, now_);
     return grant && std::ranges::find(grant->except, kSecond) != grant->except.end();
   };
-  engine_.plan_pass(now_);
-  const auto batch = engine_.begin_write(now_);
+  controller_.plan_pass(now_);
+  const auto batch = controller_.begin_write(now_);
   ASSERT_TRUE(batch);
   EXPECT_FALSE(left_out());
-  engine_.end_write(*batch, {.answer = state::Answer::conflict, .revision = {}, .failed = {state::live_key(kJob)}},
-                    now_);
+  controller_.end_write(*batch, {.answer = state::Answer::conflict, .revision = {}, .failed = {state::live_key(kJob)}},
+                        now_);
   EXPECT_TRUE(left_out());
-  const auto reload = engine_.next_reload();
+  const auto reload = controller_.next_reload();
   ASSERT_TRUE(reload);
-  engine_.on_reloaded(*reload, Revision(3), now_);
+  controller_.on_reloaded(*reload, Revision(3), now_);
   EXPECT_FALSE(left_out());
 }
 
@@ -320,7 +320,7 @@
   lead();
   submit(job_of(1));
   (void)report(kFirst, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   ASSERT_TRUE(write());
   ASSERT_TRUE(has(report(kFirst, 3, Term(7)), CommandKind::run));
   (void)report(kFirst, 5, Term(7), {task(0, TaskState::running)});
@@ -330,7 +330,7 @@
   EXPECT_EQ(placed(), 1U);
   // Nor does one of an earlier session, whatever its number.
   EXPECT_FALSE(has(report(kFirst, 5, Term(7), {task(0, TaskState::ended, EndReason::done)}), CommandKind::clear));
-  EXPECT_EQ(engine_.jobs().at(kJob).done_count, 0U);
+  EXPECT_EQ(controller_.jobs().at(kJob).done_count, 0U);
 }
 
 // Invariant 5: until the worker has seen our term, an older leader's start command may yet reach it.
@@ -351,7 +351,7 @@
   lead();
   submit(job_of(2));
   (void)report(kFirst, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   ASSERT_TRUE(write());
   (void)report(kFirst, 2, Term(7));
   const std::vector<wire::TaskReport> tasks{task(0, TaskState::ended, EndReason::done),
@@ -361,7 +361,7 @@
   EXPECT_FALSE(has(report(kFirst, 4, Term(7), tasks), CommandKind::clear));
   ASSERT_TRUE(write());
   EXPECT_TRUE(has(report(kFirst, 5, Term(7), tasks), CommandKind::clear));
-  EXPECT_EQ(engine_.jobs().at(kJob).done_count, 1U);
+  EXPECT_EQ(controller_.jobs().at(kJob).done_count, 1U);
 }
 
 // Invariant 6: a start command waits for a placement that is known to be written.
@@ -369,11 +369,11 @@
   lead();
   submit(job_of(1));
   (void)report(kFirst, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   EXPECT_FALSE(has(report(kFirst, 2, Term(7)), CommandKind::run));
-  EXPECT_FALSE(has(engine_.later_commands(last_, now_), CommandKind::run));
+  EXPECT_FALSE(has(controller_.later_commands(last_, now_), CommandKind::run));
   ASSERT_TRUE(write(state::Answer::none));
-  EXPECT_FALSE(has(engine_.later_commands(last_, now_), CommandKind::run));
+  EXPECT_FALSE(has(controller_.later_commands(last_, now_), CommandKind::run));
   EXPECT_FALSE(has(report(kFirst, 3, Term(7)), CommandKind::run));
   ASSERT_TRUE(write());
   EXPECT_TRUE(has(report(kFirst, 4, Term(7)), CommandKind::run));
@@ -384,16 +384,16 @@
   lead();
   submit(job_of(2));
   (void)report(kFirst, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   ASSERT_TRUE(write());
   (void)report(kFirst, 2, Term(7));
   (void)report(kFirst, 3, Term(7),
                {task(0, TaskState::ended, EndReason::error), task(1, TaskState::running, EndReason::none, 2)});
-  EXPECT_EQ(engine_.machines().at(kFirst).state, MachineState::up);
+  EXPECT_EQ(controller_.machines().at(kFirst).state, MachineState::up);
   (void)report(kFirst, 4, Term(7), {task(1, TaskState::ended, EndReason::error, 2)});
-  EXPECT_EQ(engine_.machines().at(kFirst).state, MachineState::draining);
-  engine_.tick(now_);
-  EXPECT_EQ(engine_.machines().at(kFirst).state, MachineState::returning);
+  EXPECT_EQ(controller_.machines().at(kFirst).state, MachineState::draining);
+  controller_.tick(now_);
+  EXPECT_EQ(controller_.machines().at(kFirst).state, MachineState::returning);
 }
 
 // Invariant 7: where a machine that nobody has heard of stands is not known, so that no other task of a job that
@@ -403,12 +403,12 @@
   spec.one_zone = true;
   lead({placed_on(kSecond, spec)});
   (void)report(kFirst, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 1U);
   (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   ASSERT_EQ(placed(), 2U);
-  EXPECT_EQ(engine_.machines().at(kSecond).runs.size(), 2U);
+  EXPECT_EQ(controller_.machines().at(kSecond).runs.size(), 2U);
 }
 
 // Invariant 7: what is placed counts against the limit until proof, also when its machine is silent.
@@ -417,7 +417,7 @@
   lead({placed_on(kSecond, spec)});
   for (const char* name : {"m-000001", "m-000003", "m-000004", "m-000005", "m-000006"})
     (void)report(MachineId(name), 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 16U);  // of 4 CPUs each, for a limit of 64
 }
 
@@ -428,14 +428,14 @@
   submit(job_of(1));
   ASSERT_TRUE(report(kFirst, 1, Term(7)));
   now_ += Millis(4'100);  // nothing confirmed: the lease may have ended
-  EXPECT_TRUE(engine_.may_answer(now_));
-  EXPECT_FALSE(engine_.may_start(now_));
+  EXPECT_TRUE(controller_.may_answer(now_));
+  EXPECT_FALSE(controller_.may_start(now_));
   EXPECT_TRUE(report(kFirst, 2, Term(7), {}, false));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 0U);
-  EXPECT_FALSE(engine_.begin_write(now_));
+  EXPECT_FALSE(controller_.begin_write(now_));
   now_ += Millis(24'000);  // 40 s for a cancellation, less a worker's lease of 10 s and a margin of 2 s
-  EXPECT_FALSE(engine_.may_answer(now_));
+  EXPECT_FALSE(controller_.may_answer(now_));
 }
 
 // An answer renews the worker's lease: one that has waited for writes to settle needs the right to answer again. The node may
@@ -443,15 +443,15 @@
 TEST_F(Leading, AnAnswerThatWaitedNeedsTheRightOnceMore) {
   lead();
   ASSERT_TRUE(report(kFirst, 1, Term(7)));
-  EXPECT_TRUE(engine_.later_commands(last_, now_));
+  EXPECT_TRUE(controller_.later_commands(last_, now_));
   now_ += Millis(28'100);  // as above
-  EXPECT_FALSE(engine_.later_commands(last_, now_)) << "it stood still";
-  engine_.confirm_lease(now_);
-  EXPECT_FALSE(engine_.later_commands(last_, now_)) << "the lease alone tells nothing of cancellations";
-  engine_.confirm_reading(now_);
-  EXPECT_TRUE(engine_.later_commands(last_, now_));
-  engine_.hear_of(Term(8));
-  EXPECT_FALSE(engine_.later_commands(last_, now_)) << "another one leads";
+  EXPECT_FALSE(controller_.later_commands(last_, now_)) << "it stood still";
+  controller_.confirm_lease(now_);
+  EXPECT_FALSE(controller_.later_commands(last_, now_)) << "the lease alone tells nothing of cancellations";
+  controller_.confirm_reading(now_);
+  EXPECT_TRUE(controller_.later_commands(last_, now_));
+  controller_.hear_of(Term(8));
+  EXPECT_FALSE(controller_.later_commands(last_, now_)) << "another one leads";
 }
 
 // Invariant 7: a team's limit counts what is placed, whatever the plan says. A pass in portions may outlive the booking
@@ -461,7 +461,7 @@
   submit(job_of(16));  // of 4 CPUs each: all that the team may have
   const std::vector<MachineId> machines{kFirst, kSecond, MachineId("m-000003"), MachineId("m-000004")};
   for (const MachineId& machine : machines) (void)report(machine, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   ASSERT_EQ(placed(), 16U);
   now_ += Millis(59'000);  // of the 60 s for which they are booked
   (void)report(MachineId("m-000005"), 1, Term(7));
@@ -471,51 +471,51 @@
   wire::JobSpec last = job_of(1);
   last.id = JobId("j-000003");
   submit(last);
-  ASSERT_FALSE(engine_.plan_some(now_, 1));
+  ASSERT_FALSE(controller_.plan_some(now_, 1));
   now_ += Millis(2'000);
   (void)report(MachineId("m-000005"), 2, Term(7));
-  ASSERT_TRUE(engine_.plan_some(now_, 1));
-  EXPECT_EQ(engine_.jobs().at(next.id).runs_count, 0U);
-  EXPECT_EQ(engine_.jobs().at(last.id).runs_count, 0U);
+  ASSERT_TRUE(controller_.plan_some(now_, 1));
+  EXPECT_EQ(controller_.jobs().at(next.id).runs_count, 0U);
+  EXPECT_EQ(controller_.jobs().at(last.id).runs_count, 0U);
 }
 
 // What operators are told.
 TEST_F(Leading, ExplainsWhyAJobWaits) {
-  EXPECT_FALSE(engine_.explain(kJob, now_)) << "it does not lead";
+  EXPECT_FALSE(controller_.explain(kJob, now_)) << "it does not lead";
   lead();
-  EXPECT_FALSE(engine_.explain(kJob, now_)) << "it knows no such job";
+  EXPECT_FALSE(controller_.explain(kJob, now_)) << "it knows no such job";
   submit(job_of(20));  // of 4 CPUs each; the team may have 64
-  EXPECT_EQ(engine_.explain(kJob, now_),
+  EXPECT_EQ(controller_.explain(kJob, now_),
             "20 of 20 tasks wait; no machine that is up or boots has room for it; the settings forbid renting");
   (void)report(kFirst, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 4U);
   EXPECT_EQ(
-      engine_.explain(kJob, now_),
+      controller_.explain(kJob, now_),
       "16 of 20 tasks wait; the first is booked to start in 60 s, 16 of them later than a machine rented now would "
       "let them; the settings forbid renting");
   now_ += Millis(60'000);
-  EXPECT_EQ(engine_.explain(kJob, now_),
+  EXPECT_EQ(controller_.explain(kJob, now_),
             "16 of 20 tasks wait; nothing is started while the state service does not answer");
 }
 
 TEST_F(Leading, CountsWhatIsNotWrittenYetAndSinceWhen) {
   lead();
-  EXPECT_EQ(engine_.census(now_).unwritten, 0U);
+  EXPECT_EQ(controller_.census(now_).unwritten, 0U);
   submit(job_of(2));
   (void)report(kFirst, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   now_ += Millis(700);
-  control::Census census = engine_.census(now_);
+  control::Census census = controller_.census(now_);
   EXPECT_EQ(census.tasks_placed, 2U);
   EXPECT_EQ(census.machines_up, 1U);
   EXPECT_EQ(census.unwritten, 1U);
   EXPECT_EQ(census.unwritten_oldest, Millis(700));
   ASSERT_TRUE(write(state::Answer::none));  // it may be written, or not
   now_ += Millis(300);
-  EXPECT_EQ(engine_.census(now_).unwritten_oldest, Millis(1000));
+  EXPECT_EQ(controller_.census(now_).unwritten_oldest, Millis(1000));
   ASSERT_TRUE(write());
-  census = engine_.census(now_);
+  census = controller_.census(now_);
   EXPECT_EQ(census.unwritten, 0U);
   EXPECT_EQ(census.unwritten_oldest, Millis(0));
   EXPECT_GT(census.fence_left, Millis(0));
@@ -546,22 +546,22 @@
 TEST_F(Leading, AHintedMachineIsCountedOnButNotUsed) {
   lead();
   submit(job_of(1));
-  engine_.plan_pass(now_);
-  ASSERT_EQ(engine_.jobs().at(kJob).late_tasks, 1U);
-  engine_.hint(hints(now_), now_);
-  engine_.confirm_lease(now_);
-  engine_.confirm_reading(now_);
-  engine_.plan_pass(now_);
-  EXPECT_EQ(engine_.jobs().at(kJob).late_tasks, 0U);
-  EXPECT_TRUE(engine_.jobs().at(kJob).planned_start);
+  controller_.plan_pass(now_);
+  ASSERT_EQ(controller_.jobs().at(kJob).late_tasks, 1U);
+  controller_.hint(hints(now_), now_);
+  controller_.confirm_lease(now_);
+  controller_.confirm_reading(now_);
+  controller_.plan_pass(now_);
+  EXPECT_EQ(controller_.jobs().at(kJob).late_tasks, 0U);
+  EXPECT_TRUE(controller_.jobs().at(kJob).planned_start);
   EXPECT_EQ(placed(), 0U);
   now_ += Millis(3000);  // it was to report by now
-  engine_.confirm_lease(now_);
-  engine_.confirm_reading(now_);
-  engine_.plan_pass(now_);
+  controller_.confirm_lease(now_);
+  controller_.confirm_reading(now_);
+  controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 0U);
   (void)report(kSecond, 1, Term(7));
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 1U);
 }
 
@@ -569,30 +569,30 @@
   lead();
   standby::Picture own = hints(now_);
   own.term = Term(7);
-  engine_.hint(own, now_);
-  EXPECT_TRUE(engine_.machines().empty());
+  controller_.hint(own, now_);
+  EXPECT_TRUE(controller_.machines().empty());
   standby::Picture old = hints(now_);
   old.taken -= constants::kStandbyOldest + Millis(1);
-  engine_.hint(old, now_);
-  EXPECT_TRUE(engine_.machines().empty());
-  engine_.resign("it ends");
-  engine_.hint(hints(now_), now_);
-  EXPECT_TRUE(engine_.machines().empty());
+  controller_.hint(old, now_);
+  EXPECT_TRUE(controller_.machines().empty());
+  controller_.resign("it ends");
+  controller_.hint(hints(now_), now_);
+  EXPECT_TRUE(controller_.machines().empty());
 }
 
 // A machine that was returned since is forgotten; the list would have told it.
 TEST_F(Leading, AHintedMachineThatIsNeverSeenIsForgotten) {
   lead();
-  engine_.hint(hints(now_), now_);
-  ASSERT_EQ(engine_.machines().size(), 1U);
+  controller_.hint(hints(now_), now_);
+  ASSERT_EQ(controller_.machines().size(), 1U);
   for (int step = 0; step < 60; ++step) {
     now_ += Millis(1000);
-    engine_.confirm_lease(now_);
-    engine_.confirm_reading(now_);
-    engine_.tick(now_);
-    EXPECT_TRUE(engine_.next_returns(now_).empty());
+    controller_.confirm_lease(now_);
+    controller_.confirm_reading(now_);
+    controller_.tick(now_);
+    EXPECT_TRUE(controller_.next_returns(now_).empty());
   }
-  EXPECT_TRUE(engine_.machines().empty());
+  EXPECT_TRUE(controller_.machines().empty());
 }
 
 // Neither a lease nor the zone that grants are reckoned for is taken from a sibling's word: whatever is hinted, a task counts
@@ -604,22 +604,22 @@
     standby::Machine machine{.address = "127.0.0.1:1", .type = "plain", .zone = zone, .up = true};
     standby::Picture told = hints(now_);
     told.facts[0].what = standby::Shared(machine);
-    engine_.hint(told, now_);
-    ASSERT_EQ(engine_.machines().at(kSecond).zone, zone);
+    controller_.hint(told, now_);
+    ASSERT_EQ(controller_.machines().at(kSecond).zone, zone);
   }
-  engine_.confirm_lease(now_);
-  engine_.confirm_reading(now_);
+  controller_.confirm_lease(now_);
+  controller_.confirm_reading(now_);
   // Asked for before the machine counts as silent, as it would be left out of the grant otherwise.
-  const auto grant = engine_.on_ask(
+  const auto grant = controller_.on_ask(
       {.node = NodeName("node-1"), .life = 1, .sequence = 1, .term = Term(7), .holds = {}, .uses = {}}, now_);
   ASSERT_TRUE(grant);
   ASSERT_TRUE(grant->except.empty());
   const Instant end = now_ + grant_spans(settings()).bound + lease_span(settings());
   ASSERT_GT(end, now_ + Millis(20'000) + lease_span(settings())) << "older leaders' reckoning ends before, by lead()";
   for (const Instant last = end + Millis(2000); now_ < last; now_ += Millis(1000)) {
-    engine_.confirm_lease(now_);
-    engine_.confirm_reading(now_);
-    engine_.tick(now_);
+    controller_.confirm_lease(now_);
+    controller_.confirm_reading(now_);
+    controller_.tick(now_);
     ASSERT_EQ(placed(), now_ <= end ? 1U : 0U) << (end - now_).count() << " ms before the lease's end";
   }
 }
@@ -631,27 +631,27 @@
   wire::JobSpec spec = job_of(2);
   spec.one_zone = true;
   lead({placed_on(kSecond, spec)});
-  engine_.hint(hints(now_), now_);  // in zone b, they say
+  controller_.hint(hints(now_), now_);  // in zone b, they say
   wire::Report made;
   (void)report(MachineId("m-000003"), 1, Term(7));  // in zone b
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 1U);
   (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
-  engine_.plan_pass(now_);
+  controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 2U);
 }
 
 // What has run for 50 of 60 s leaves its place in 10; and it counts as running once a report says so.
 TEST_F(Leading, AHintedStartTellsWhenTheTaskEnds) {
   lead({placed_on(kSecond, job_of(1))});
-  engine_.hint(hints(now_), now_);
-  const auto run = [&]() -> const control::Run& { return engine_.jobs().at(kJob).parts[0].runs.at(0); };
+  controller_.hint(hints(now_), now_);
+  const auto run = [&]() -> const control::Run& { return controller_.jobs().at(kJob).parts[0].runs.at(0); };
   EXPECT_FALSE(run().running_since);
-  EXPECT_EQ(engine_.planned_ends().at(kJob), now_ + Millis(10'000));
+  EXPECT_EQ(controller_.planned_ends().at(kJob), now_ + Millis(10'000));
   (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
   ASSERT_TRUE(run().running_since);
   EXPECT_EQ(*run().running_since, now_ - Millis(50'000));
-  EXPECT_EQ(engine_.planned_ends().at(kJob), now_ + Millis(10'000));
+  EXPECT_EQ(controller_.planned_ends().at(kJob), now_ + Millis(10'000));
 }
 
 // A hint of an attempt that is not the record's says nothing.
@@ -659,15 +659,15 @@
   lead({placed_on(kSecond, job_of(1))});
   standby::Picture other = hints(now_);
   std::get<standby::Task>(other.facts[1].what).attempt = AttemptNo(9);
-  engine_.hint(other, now_);
-  EXPECT_EQ(engine_.planned_ends().at(kJob), now_ + Millis(60'000));
+  controller_.hint(other, now_);
+  EXPECT_EQ(controller_.planned_ends().at(kJob), now_ + Millis(60'000));
 }
 
 // A takeover within a takeover: what was hinted is told on as it was.
 TEST_F(Leading, HintsAreToldOnUntilTheyAreSeen) {
   lead({placed_on(kFirst, job_of(1))});
-  engine_.hint(hints(now_), now_);
-  const standby::Picture told = engine_.soft_state(now_);
+  controller_.hint(hints(now_), now_);
+  const standby::Picture told = controller_.soft_state(now_);
   ASSERT_EQ(told.count(standby::Kind::machine), 1U);
   const auto& machine = *std::get<standby::Shared<standby::Machine>>(told.facts[0].what);
   EXPECT_TRUE(machine.up);
@@ -686,8 +686,8 @@
                .zone = "a", .spot = false, .not_before = now_ + Millis(30'000), .pause = Millis(40'000), .most = 3}));
   add_fact(told, standby::Kind::sample, "work",
            standby::Shared(standby::Sample{.cpus = 4, .estimate_s = 60, .largest = 40}));
-  engine_.hint(told, now_);
-  const standby::Picture again = engine_.soft_state(now_);
+  controller_.hint(told, now_);
+  const standby::Picture again = controller_.soft_state(now_);
   ASSERT_EQ(again.count(standby::Kind::refusal), 1U);
   ASSERT_EQ(again.count(standby::Kind::sample), 1U);
   for (const standby::Fact& fact : again.facts) {
--- a/tests/unit/duty_mutex_test.cpp
+++ b/tests/unit/duty_mutex_test.cpp
@@ -1,4 +1,4 @@
-// The order in which duties get the engine.
+// The order in which duties get the controller.
 #include "node/duty_mutex.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   EXPECT_EQ(order, (std::vector{Duty::lease, Duty::reports, Duty::records, Duty::planning}));
 }
 
-// A pass gives the engine back between its portions: whoever waits gets it there, not only at the end of the pass.
+// A pass gives the controller back between its portions: whoever waits gets it there, not only at the end of the pass.
 TEST(DutyMutex, WhoGivesItBackDoesNotGetItBeforeAMoreUrgentOne) {
   DutyMutex mutex;
   bool reported = false;
--- a/tests/unit/machine_inventory_test.cpp
+++ b/tests/unit/machine_inventory_test.cpp
@@ -26,7 +26,7 @@
     made.term = seen;
     return made;
   }
-  // As the engine does: nothing is taken from a report that is no news.
+  // As the controller does: nothing is taken from a report that is no news.
   bool hear(const wire::Report& made) {
     if (!machines_.news(made)) return false;
     machines_.hear(machines_.know(made.machine, now_).machine, made, kTerm, now_);
--- a/tests/unit/pools_test.cpp
+++ b/tests/unit/pools_test.cpp
@@ -133,7 +133,7 @@
     return {.wall_ms = kBegin + (now + node.skew).count(), .steady = Instant(now)};
   }
 
-  // The leader's cloud duty: one request, as the engine would send it.
+  // The leader's cloud duty: one request, as the controller would send it.
   void cloud(Node& node, bool answer_lost) {
     const auto ask = node.desk.next_ask();
     if (!ask) return;
@@ -945,7 +945,7 @@
   }
 }
 
-// Machines that hold images are told in bounded records, each seldom written; a new leader's engine begins with them.
+// Machines that hold images are told in bounded records, each seldom written; a new leader's controller begins with them.
 TEST_F(Pools, HoldsAreRecordsThatANewLeaderStartsFrom) {
   Days days({pool_of("dawn", 1)});
   for (int at = 0; at < 1260; ++at) {
@@ -1039,7 +1039,7 @@
   }
 }
 
-// ---- what the engine is told ----
+// ---- what the controller is told ----
 
 class PoolsDesk : public Pools {
  protected:
--- a/tests/unit/work_test.cpp
+++ b/tests/unit/work_test.cpp
@@ -22,7 +22,7 @@
 TEST_F(Work, APassLooksAtEachMachineOnceAJob) {
   BusyFleet fleet(kMachines, kQueue, kQueue);
   fleet.pass();
-  const control::Counters& done = fleet.engine().counters();
+  const control::Counters& done = fleet.controller().counters();
   EXPECT_EQ(done.passes, 1U);
   EXPECT_EQ(done.jobs_planned, 2 * kQueue);
   EXPECT_LE(done.places_seen, done.jobs_planned * kMachines);
@@ -35,7 +35,7 @@
   fleet.report_all();
   fleet.advance(plan::Millis(200));
   const std::uint64_t before = allocations();
-  fleet.engine().plan_pass(fleet.now());
+  fleet.controller().plan_pass(fleet.now());
   // It was 49 407 when each job's slots were sought machine by machine through a callback, 5 706 since.
   EXPECT_LT(allocations() - before, 8000U);
 }
@@ -46,15 +46,15 @@
   std::uint64_t seen = 0;
   std::size_t portions = 0;
   for (bool ended = false; !ended; ++portions) {
-    ended = fleet.engine().plan_some(fleet.now(), kMost);
-    EXPECT_TRUE(ended || fleet.engine().plan_wanted());
-    const std::uint64_t now_seen = fleet.engine().counters().places_seen;
+    ended = fleet.controller().plan_some(fleet.now(), kMost);
+    EXPECT_TRUE(ended || fleet.controller().plan_wanted());
+    const std::uint64_t now_seen = fleet.controller().counters().places_seen;
     EXPECT_LT(now_seen - seen, kMost + kMachines);  // the last job began before the bound
     seen = now_seen;
   }
   EXPECT_GT(portions, 5U);
-  EXPECT_EQ(fleet.engine().counters().passes, 1U);
-  EXPECT_FALSE(fleet.engine().plan_wanted());
+  EXPECT_EQ(fleet.controller().counters().passes, 1U);
+  EXPECT_FALSE(fleet.controller().plan_wanted());
 }
 
 TEST_F(Work, PortionsDecideAsAWholePassDoes) {
@@ -62,12 +62,12 @@
   BusyFleet apart(kMachines, kQueue, kQueue);
   for (int round = 0; round < 5; ++round) {
     whole.pass();
-    for (bool ended = false; !ended;) ended = apart.engine().plan_some(apart.now(), 1);
+    for (bool ended = false; !ended;) ended = apart.controller().plan_some(apart.now(), 1);
     apart.pass();  // nothing has happened: the same once more, and what it placed becomes durable
     whole.pass();
-    ASSERT_EQ(whole.engine().jobs().size(), apart.engine().jobs().size());
-    for (const auto& [id, job] : whole.engine().jobs()) {
-      const control::Job& other = apart.engine().jobs().at(id);
+    ASSERT_EQ(whole.controller().jobs().size(), apart.controller().jobs().size());
+    for (const auto& [id, job] : whole.controller().jobs()) {
+      const control::Job& other = apart.controller().jobs().at(id);
       EXPECT_EQ(job.planned_start, other.planned_start) << id.text();
       EXPECT_EQ(job.late_tasks, other.late_tasks) << id.text();
       ASSERT_EQ(job.parts.size(), other.parts.size());
@@ -89,14 +89,14 @@
 // What a write made durable changes no booking: the outcome that it wrote was planned for when it was reported.
 TEST_F(Work, AWriteIsNoReasonToPlan) {
   BusyFleet fleet(kMachines, 4, 4);
-  fleet.engine().confirm_lease(fleet.now());
-  fleet.engine().confirm_reading(fleet.now());
-  fleet.engine().plan_pass(fleet.now());
-  const auto batch = fleet.engine().begin_write(fleet.now());
+  fleet.controller().confirm_lease(fleet.now());
+  fleet.controller().confirm_reading(fleet.now());
+  fleet.controller().plan_pass(fleet.now());
+  const auto batch = fleet.controller().begin_write(fleet.now());
   ASSERT_TRUE(batch);
-  fleet.engine().end_write(*batch, {.answer = state::Answer::ok, .revision = Revision(100'000), .failed = {}},
-                           fleet.now());
-  EXPECT_FALSE(fleet.engine().plan_wanted());
+  fleet.controller().end_write(*batch, {.answer = state::Answer::ok, .revision = Revision(100'000), .failed = {}},
+                               fleet.now());
+  EXPECT_FALSE(fleet.controller().plan_wanted());
 }
 
 TEST_F(Work, AReportThatTellsNothingNewLeavesNothingToDo) {
@@ -104,18 +104,18 @@
   fleet.pass();
   fleet.report_all();
   fleet.pass();
-  const MachineId busy = std::ranges::max_element(fleet.engine().machines(), {}, [](const auto& entry) {
+  const MachineId busy = std::ranges::max_element(fleet.controller().machines(), {}, [](const auto& entry) {
                            return entry.second.runs.size();
                          })->first;
   const wire::Report report = fleet.report_of(busy);
   ASSERT_GT(report.tasks.size(), 1U);
   const std::uint64_t before = allocations();
-  const auto commands = fleet.engine().on_report(report, fleet.now());
+  const auto commands = fleet.controller().on_report(report, fleet.now());
   EXPECT_LE(allocations() - before, 2 * report.tasks.size());  // a set of the tasks that it names, and their ids
   ASSERT_TRUE(commands);
   EXPECT_TRUE(commands->empty());
-  EXPECT_FALSE(fleet.engine().plan_wanted());
-  EXPECT_FALSE(fleet.engine().writes_wanted());
+  EXPECT_FALSE(fleet.controller().plan_wanted());
+  EXPECT_FALSE(fleet.controller().writes_wanted());
 }
 
 }  // namespace
