--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -16,6 +16,19 @@
 using guards::Guard;
 using guards::kept;
 
+namespace {
+
+void set_team_quotas(ClusterState& cluster) {
+  const auto limit = [](double most) {
+    return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
+  };
+  for (const config::Team& team : cluster.settings.teams) {
+    cluster.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
+  }
+}
+
+}  // namespace
+
 Controller::Controller(config::Settings settings)
     : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
 
@@ -42,23 +55,8 @@
   leadership_.begin(takeover.term, takeover.term_mark, now);
   cluster_.older_leaders_until = kept(Guard::others_counted) ? takeover.others_until : now;
   cluster_.delegations = zone::Book(cluster_.settings.siblings, grant_spans(cluster_.settings));
-  set_team_quotas();
-  restore_jobs(takeover, now);
-  std::size_t allocated = 0;
-  for (const auto& [unused, job] : cluster_.jobs) allocated += job.runs_count;
-  resume_jobs(now);
-  cluster_.plan_wanted = true;
-  spdlog::info("leading in term {}: {} jobs, {} placed tasks", leadership_.term().number(), cluster_.jobs.size(),
-               allocated);
-}
-
-void Controller::set_team_quotas() {
-  const auto limit = [](double most) {
-    return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
-  };
-  for (const config::Team& team : cluster_.settings.teams) {
-    cluster_.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
-  }
+  set_team_quotas(cluster_);
+  job_intake().restore(takeover, now);
 }
 
 void Controller::resign(const std::string& why) { leadership_.step_down(why); }
@@ -123,4 +121,43 @@
   SoftState(cluster_, leadership_, autoscaler_.demand(), autoscaler_.capacity()).apply(picture, now);
 }
 
+// ---- planning ----
+
+bool Controller::plan_some(Instant now, std::size_t places_most) {
+  if (!leadership_.is_leader()) {
+    cycle_.abandon();
+    return true;
+  }
+  TaskLifecycle lifecycle = tasks();
+  return cycle_.plan_some({cluster_, gangs_, autoscaler_, deadlines_, lifecycle, cluster_.counters}, now, places_most);
+}
+
+void Controller::plan_pass(Instant now) {
+  bool ended = false;
+  while (!ended) ended = plan_some(now, SIZE_MAX);
+}
+
+void Controller::on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now) {
+  cycle_.queue().ranking().on_catalog(set);
+  cycle_.queue().ranking().tell_time(wall_ms, now);
+  cluster_.plan_wanted = true;
+}
+
+void Controller::on_dues(foresight::Dues dues) {
+  if (deadlines_.on_dues(std::move(dues))) {
+    cluster_.plan_wanted = true;  // it ranks them
+    cycle_.outdate();             // what was planned before tells nothing of them
+  }
+  cycle_.queue().ranking().on_slack(deadlines_.slack());
+}
+
+std::map<JobId, foresight::Prospect> Controller::prospects(Instant now) const {
+  // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
+  if (!leadership_.is_leader() || cycle_.under_way() ||
+      cycle_.planned_at() < leadership_.since() + detour_span(cluster_.settings))
+    return {};
+  return deadlines_.prospects({cluster_, autoscaler_.demand(), autoscaler_.capacity(), cycle_.queue().ranking()},
+                              cycle_.planned_at(), now);
+}
+
 }  // namespace foxshunt::control
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -1,54 +1,40 @@
-// The leader's mind: jobs, tasks, machines, leases, placements and the size of the fleet. Pure: it is told
-// events and the time, and says what to do; threads and sockets are src/node's.
+// The controller: takes events, calls the modules of this package in order, and hands out the actions that they decide on.
+//
+// Owns the cluster state and the modules that have state of their own (leadership, autoscaler, gang coordinator, scheduling cycle,
+// deadline planner); the others are made for the length of a call. Is told events and the time. Never does I/O, holds no lock and
+// starts no thread: `node` does, and calls it under a mutex. Not thread-safe.
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <map>
 #include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
-#include "classes/ranking.h"
+#include "catalog/model.h"
 #include "config/settings.h"
+#include "control/autoscaler.h"
 #include "control/cluster_state.h"
 #include "control/counters.h"
-#include "control/autoscaler.h"
 #include "control/deadline_planner.h"
+#include "control/failover.h"
 #include "control/gang_coordinator.h"
-#include "control/placement_rules.h"
-#include "control/scheduling_cycle.h"
-#include "control/job_requirements.h"
+#include "control/job_intake.h"
 #include "control/leadership.h"
+#include "control/scheduling_cycle.h"
 #include "control/task_lifecycle.h"
 #include "control/zone_coordinator.h"
 #include "foresight/foresight.h"
-#include "aging/aging.h"
-#include "plan/planner.h"
+#include "jobs/job_table.h"
 #include "pools/desk.h"
-#include "preempt/preempt.h"
-#include "inventory/machine_inventory.h"
 #include "standby/picture.h"
 #include "state/client.h"
-#include "state/records.h"
 #include "wire/messages.h"
-#include "jobs/job_table.h"
 #include "zone/grants.h"
 #include "zone/view.h"
 
 namespace foxshunt::control {
 
-struct Takeover {
-  Term term;
-  Revision term_mark;
-  Instant others_until;  // until then older leaders may still renew workers' leases
-  std::vector<state::Entry> live;
-  std::vector<state::Entry> linger;
-  std::vector<state::Entry> parts;
-  std::int64_t wall_ms = 0;  // now, by the time of day
-};
-
 // What there is now.
 struct Census {
   std::uint64_t jobs = 0;
@@ -108,8 +94,6 @@
   [[nodiscard]] std::map<JobId, foresight::Prospect> prospects(Instant now) const;
   // When the plan says that other jobs end; those without a booking are left out.
   [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadlines_.planned_ends(cluster_); }
-  // The order of the latest pass; empty without classes.
-  [[nodiscard]] const classes::Ranking& ranking() const { return cycle_.queue().ranking(); }
 
   // ---- workers ----
   // The commands to answer with; nothing when this controller may not act for the controllers.
@@ -177,26 +161,8 @@
  private:
   // Modules that store no state are made for the length of a call.
   [[nodiscard]] TaskLifecycle tasks() { return {cluster_, leadership_}; }
+  [[nodiscard]] JobIntake job_intake() { return {cluster_, leadership_, autoscaler_.demand()}; }
   [[nodiscard]] ZoneCoordinator zone_coordinator() { return {cluster_, leadership_}; }
-  // records
-  void set_team_quotas();
-  // Takes in what earlier leaders have recorded.
-  void restore_jobs(const Takeover& takeover, Instant now);
-  Job* restore_job(const state::Entry& entry, std::int64_t wall_ms, Instant now);
-  void restore_part(const state::Entry& entry, Instant now);
-  // Goes on with gangs and cancellations that an earlier leader has left half done.
-  void resume_jobs(Instant now);
-  Job& add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now);
-  // What a record places there is believed to run for its estimate from now on.
-  void book_adopted(Job& job, std::uint32_t part, Instant now);
-  // machines
-  // No agent reaches this node, and no other controller passes heartbeats on: the agents' leases end soon, whoever leads, and
-  // another node may hear them. Only while the state service answers, without which nobody could take the lead.
-  [[nodiscard]] bool is_unreachable(Instant now) const;
-  // Wants a pass for what waits for the end of a pause, its own or the cloud's, and is not woken by any event.
-  void request_overdue_pass(Instant now);
-  void review_machines(Instant now);
-  [[nodiscard]] bool may_return_idle(const Machine& machine, Instant now) const;
 
   ClusterState cluster_;
   Leadership leadership_;
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -1,16 +1,25 @@
-// Machines: known, up, drained, returned, lost; and what the cloud says of them.
+// Machines, as the cloud tells of them and as time passes.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
 #include "config/constants.h"
-#include "config/guards.h"
 #include "control/controller.h"
 #include "control/machine_housekeeper.h"
-#include "control/times.h"
 
 namespace foxshunt::control {
 
+namespace {
+
+// Whether no agent reaches this node, and no other controller passes heartbeats on: the agents' leases end soon, whoever leads,
+// and another node may hear them. Only while the state service answers, without which nobody could take the lead.
+bool is_unreachable(const ClusterState& cluster, const Leadership& leadership, Instant now) {
+  return cluster.machines.unheard(now) >= constants::kUnheardLeast && cluster.settings.nodes > 1 &&
+         leadership.can_start(now);
+}
+
+}  // namespace
+
 void Controller::on_types(const std::vector<wire::MachineType>& types) {
   cluster_.types = types;
   for (auto& [unused, machine] : cluster_.machines) {
@@ -69,53 +78,16 @@
   }
 }
 
-bool Controller::is_unreachable(Instant now) const {
-  return cluster_.machines.unheard(now) >= constants::kUnheardLeast && cluster_.settings.nodes > 1 &&
-         leadership_.can_start(now);
-}
-
 void Controller::tick(Instant now) {
   if (!leadership_.is_leader()) return;
-  if (is_unreachable(now)) return leadership_.yield("no worker reaches it", now);
+  if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no worker reaches it", now);
   cluster_.planner.forget_before(now);
-  request_overdue_pass(now);
+  cycle_.request_overdue_pass(cluster_, now);
   cluster_.delegations.forget_before(now);
   ZoneCoordinator zones = zone_coordinator();
   zones.move_services_out();
   if (cluster_.settings.operators.zone_watch) zones.observe_zones(now);
-  review_machines(now);
-}
-
-void Controller::request_overdue_pass(Instant now) {
-  if (now - cycle_.planned_at() < constants::kReplanEvery) return;
-  const bool any_pending = std::ranges::any_of(
-      cluster_.jobs, [](const auto& entry) { return !entry.second.withdrawn && entry.second.pending() > 0; });
-  if (any_pending) cluster_.plan_wanted = true;
-}
-
-void Controller::review_machines(Instant now) {
-  MachineHousekeeper housekeeper(cluster_, leadership_);
-  std::vector<MachineId> vanished;
-  for (auto& [id, machine] : cluster_.machines) {
-    const MachineHousekeeper::Verdict verdict = housekeeper.review(machine, now);
-    if (verdict == MachineHousekeeper::Verdict::vanished) vanished.push_back(id);
-    if (verdict != MachineHousekeeper::Verdict::stays) continue;
-    if (!housekeeper.is_idle(machine, now)) {
-      machine.idle_since.reset();
-    } else if (!machine.idle_since) {
-      machine.idle_since = now;
-    } else if (may_return_idle(machine, now)) {
-      machine.state = MachineState::returning;
-      machine.why = "it is idle";
-    }
-  }
-  for (const MachineId& id : vanished) cluster_.forget_machine(id);
-}
-
-bool Controller::may_return_idle(const Machine& machine, Instant now) const {
-  const bool kept = autoscaler_.is_spare(machine.id) || cluster_.pools.keeps(machine.id);
-  return cluster_.settings.operators.may_return && !kept && leadership_.can_start(now) &&
-         now - *machine.idle_since > autoscaler_.pricing(cluster_).idle_most(machine);
+  MachineHousekeeper(cluster_, leadership_, autoscaler_).review_machines(now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -3,12 +3,23 @@
 #include <spdlog/spdlog.h>
 
 #include <set>
+#include <vector>
 
 #include "config/constants.h"
 #include "control/times.h"
 
 namespace foxshunt::control {
 
+void MachineHousekeeper::review_machines(Instant now) {
+  std::vector<MachineId> vanished;
+  for (auto& [id, machine] : cluster_.machines) {
+    const Verdict verdict = review(machine, now);
+    if (verdict == Verdict::vanished) vanished.push_back(id);
+    if (verdict == Verdict::stays) review_idle(machine, now);
+  }
+  for (const MachineId& id : vanished) cluster_.forget_machine(id);
+}
+
 MachineHousekeeper::Verdict MachineHousekeeper::review(Machine& machine, Instant now) {
   expire_lease(machine, now);
   give_up_unheard_tasks(machine, now);
@@ -80,6 +91,23 @@
   return cluster_.settings.operators.zone_watch && cluster_.zones.keeps(machine.zone, now);
 }
 
+void MachineHousekeeper::review_idle(Machine& machine, Instant now) {
+  if (!is_idle(machine, now)) {
+    machine.idle_since.reset();
+  } else if (!machine.idle_since) {
+    machine.idle_since = now;
+  } else if (may_return(machine, now - *machine.idle_since, now)) {
+    machine.state = MachineState::returning;
+    machine.why = "it is idle";
+  }
+}
+
+bool MachineHousekeeper::may_return(const Machine& machine, Millis idle, Instant now) const {
+  const bool kept = autoscaler_.is_spare(machine.id) || cluster_.pools.keeps(machine.id);
+  return cluster_.settings.operators.may_return && !kept && leadership_.can_start(now) &&
+         idle > autoscaler_.pricing(cluster_).idle_most(machine);
+}
+
 bool MachineHousekeeper::is_idle(const Machine& machine, Instant now) const {
   // One that a waiting task is booked on is not idle.
   if (!machine.runs.empty() || has_bookings(machine) || machine.state != MachineState::up) return false;
--- a/src/control/machine_housekeeper.h
+++ b/src/control/machine_housekeeper.h
@@ -1,12 +1,13 @@
 // Housekeeping of machines as time passes: agent leases that have ended, boots that are lost, drained machines that are empty, and
-// machines that no longer exist.
+// machines that no longer exist or are idle.
 //
-// Owns no state of its own. Is given the cluster state, which it changes, and leadership. Marks machines to be returned, and never
-// returns or forgets one itself. Made for the moment of a call and not kept; pure; not thread-safe.
+// Owns no state of its own. Is given the cluster state, which it changes, leadership, and the autoscaler, which it asks what is kept
+// idle. Marks machines to be returned, and never returns one itself. Made for the moment of a call and not kept; pure; not thread-safe.
 #pragma once
 
 #include <cstdint>
 
+#include "control/autoscaler.h"
 #include "control/cluster_state.h"
 #include "control/leadership.h"
 #include "control/task_lifecycle.h"
@@ -15,19 +16,23 @@
 
 class MachineHousekeeper {
  public:
-  MachineHousekeeper(ClusterState& cluster, const Leadership& leadership)
-      : cluster_(cluster), tasks_(cluster, leadership) {}
+  MachineHousekeeper(ClusterState& cluster, const Leadership& leadership, const Autoscaler& autoscaler)
+      : cluster_(cluster), leadership_(leadership), autoscaler_(autoscaler), tasks_(cluster, leadership) {}
 
+  void review_machines(Instant now);
+
+ private:
   enum class Verdict : std::uint8_t {
     stays,
     returning,  // it is marked to be returned
     vanished,   // it no longer exists and is to be forgotten
   };
   [[nodiscard]] Verdict review(Machine& machine, Instant now);
+  // Marks a machine that has been idle for long enough to be returned.
+  void review_idle(Machine& machine, Instant now);
   // Whether it is up and has nothing to do, now and by the plan.
   [[nodiscard]] bool is_idle(const Machine& machine, Instant now) const;
-
- private:
+  [[nodiscard]] bool may_return(const Machine& machine, Millis idle, Instant now) const;
   void expire_lease(Machine& machine, Instant now);
   // Tasks that a record places on a machine that no leader has heard of.
   void give_up_unheard_tasks(Machine& machine, Instant now);
@@ -37,6 +42,8 @@
   [[nodiscard]] bool is_zone_awaited(const Machine& machine, Instant now) const;
 
   ClusterState& cluster_;
+  const Leadership& leadership_;
+  const Autoscaler& autoscaler_;
   TaskLifecycle tasks_;
 };
 
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -76,6 +76,13 @@
   }
 }
 
+void SchedulingCycle::request_overdue_pass(ClusterState& cluster, Instant now) const {
+  if (now - planned_ < constants::kReplanEvery) return;
+  const bool any_pending = std::ranges::any_of(
+      cluster.jobs, [](const auto& entry) { return !entry.second.withdrawn && entry.second.pending() > 0; });
+  if (any_pending) cluster.plan_wanted = true;
+}
+
 bool SchedulingCycle::plan_some(const PassContext& context, Instant now, std::size_t places_most) {
   if (!pass_) begin_pass(context, now);
   ClusterState& cluster = context.cluster;
--- a/src/control/scheduling_cycle.h
+++ b/src/control/scheduling_cycle.h
@@ -41,6 +41,8 @@
   // What was planned so far tells nothing any more.
   void outdate() { planned_ = Instant(); }
   void abandon() { pass_.reset(); }
+  // Wants a pass for what waits for the end of a pause, its own or the cloud's, and is not woken by any event.
+  void request_overdue_pass(ClusterState& cluster, Instant now) const;
 
   // Plans what is pending and places what may start now, a portion of it. At least one job is planned, and no more once this
   // many places were looked at. True when the pass has ended.
