--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -124,13 +124,13 @@
 void Autoscaler::size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue,
                             const DeadlinePlanner& deadlines, Instant now) {
   reserve_.clear();
-  const Supply::Held have = cluster.machines.held();
+  const CloudCapacityTracker::Held have = cluster.machines.held();
   const TaskPricing prices = pricing(cluster);
   const CloudOffers offers(cluster, prices, supply_, have, now);
   MachineShares shares;
   add_late_work(offers, cluster, queue, deadlines, shares, now);
   add_reserves(offers, cluster, shares, now);
-  Supply::Wanted wanted;
+  CloudCapacityTracker::Wanted wanted;
   for (const auto& [key, share] : shares) wanted[key] = static_cast<std::uint64_t>(std::ceil(share));
   supply_.want(std::move(wanted));
 }
@@ -176,7 +176,7 @@
 }
 
 void Autoscaler::note_refusal(const ClusterState& cluster, const wire::RentRequest& request, Instant now) {
-  const Supply::Kind kind{request.type, request.zone, request.spot};
+  const CloudCapacityTracker::Kind kind{request.type, request.zone, request.spot};
   const std::size_t held_now = cluster.machines.held()[kind];
   const Millis pause = supply_.refused(kind, held_now, now);
   spdlog::info("no more {} in {}{} to rent, {} are held; asked again after {:.0f} s", request.type, request.zone,
--- a/src/control/autoscaler.h
+++ b/src/control/autoscaler.h
@@ -18,8 +18,8 @@
 #include "control/cloud_offers.h"
 #include "control/cluster_state.h"
 #include "control/deadline_planner.h"
-#include "control/demand.h"
-#include "control/supply.h"
+#include "control/demand_estimator.h"
+#include "control/cloud_capacity_tracker.h"
 #include "control/task_pricing.h"
 #include "wire/messages.h"
 
@@ -30,10 +30,10 @@
   // The one that a successor of this lead, on the same node, begins with: it knows what the cloud has refused.
   [[nodiscard]] Autoscaler successor() const;
 
-  [[nodiscard]] Demand& demand() { return demand_; }
-  [[nodiscard]] const Demand& demand() const { return demand_; }
-  [[nodiscard]] Supply& capacity() { return supply_; }
-  [[nodiscard]] const Supply& capacity() const { return supply_; }
+  [[nodiscard]] DemandEstimator& demand() { return demand_; }
+  [[nodiscard]] const DemandEstimator& demand() const { return demand_; }
+  [[nodiscard]] CloudCapacityTracker& capacity() { return supply_; }
+  [[nodiscard]] const CloudCapacityTracker& capacity() const { return supply_; }
   [[nodiscard]] TaskPricing pricing(const ClusterState& cluster) const { return {cluster, demand_}; }
   // Whether the machine is idle, but kept for what may come.
   [[nodiscard]] bool is_spare(const MachineId& machine) const { return reserve_.contains(machine); }
@@ -57,7 +57,7 @@
   [[nodiscard]] bool cloud_wanted(const ClusterState& cluster) const;
 
  private:
-  using MachineShares = std::map<Supply::Kind, double>;  // machines, of which a task may be a part
+  using MachineShares = std::map<CloudCapacityTracker::Kind, double>;  // machines, of which a task may be a part
 
   [[nodiscard]] std::optional<CloudOffers::Offer> offer_for_late(const CloudOffers& offers, const ClusterState& cluster,
                                                                  const Job& job, const DeadlinePlanner& deadlines,
@@ -71,8 +71,8 @@
   void add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares, Instant now);
   void note_refusal(const ClusterState& cluster, const wire::RentRequest& request, Instant now);
 
-  Demand demand_;
-  Supply supply_;
+  DemandEstimator demand_;
+  CloudCapacityTracker supply_;
   std::set<MachineId> reserve_;  // idle, but kept for what may come
 };
 
--- a/src/control/supply.cpp
+++ b/src/control/cloud_capacity_tracker.cpp
@@ -1,4 +1,4 @@
-#include "control/supply.h"
+#include "control/cloud_capacity_tracker.h"
 
 #include <algorithm>
 
@@ -6,19 +6,19 @@
 
 namespace foxshunt::control {
 
-Supply Supply::refusals() const {
-  Supply kept;
+CloudCapacityTracker CloudCapacityTracker::refusals() const {
+  CloudCapacityTracker kept;
   kept.refused_ = refused_;
   return kept;
 }
 
-bool Supply::counted_on(const Kind& kind, const Held& have) const {
+bool CloudCapacityTracker::counted_on(const Kind& kind, const Held& have) const {
   const auto known = refused_.find(kind);
   const auto held = have.find(kind);
   return known == refused_.end() || (held != have.end() && held->second < known->second.most);
 }
 
-bool Supply::on_offer(const Kind& kind, const Held& have, plan::Instant now) const {
+bool CloudCapacityTracker::on_offer(const Kind& kind, const Held& have, plan::Instant now) const {
   const auto known = refused_.find(kind);
   if (known == refused_.end()) return true;
   const auto held_now = have.find(kind);
@@ -26,14 +26,14 @@
   return now >= known->second.not_before || (held_now == have.end() ? 0 : held_now->second) < known->second.most;
 }
 
-void Supply::want(Wanted wanted) {
+void CloudCapacityTracker::want(Wanted wanted) {
   wanted_ = std::move(wanted);
   if (!under_way_) return;
   std::uint64_t& count = wanted_[{under_way_->type, under_way_->zone, under_way_->spot}];
   count -= std::min(count, under_way_->count);
 }
 
-const std::optional<wire::RentRequest>& Supply::next(Term term, const Held& have, plan::Instant now) {
+const std::optional<wire::RentRequest>& CloudCapacityTracker::next(Term term, const Held& have, plan::Instant now) {
   if (under_way_) return under_way_;
   for (auto at = wanted_.begin(); at != wanted_.end(); at = wanted_.erase(at)) {
     const auto& [kind, count] = *at;
@@ -52,13 +52,13 @@
   return under_way_;
 }
 
-bool Supply::answered(const wire::RentRequest& request) {
+bool CloudCapacityTracker::answered(const wire::RentRequest& request) {
   if (!under_way_ || under_way_->request != request.request) return false;
   under_way_.reset();
   return true;
 }
 
-plan::Millis Supply::refused(const Kind& kind, std::size_t held_now, plan::Instant now) {
+plan::Millis CloudCapacityTracker::refused(const Kind& kind, std::size_t held_now, plan::Instant now) {
   Refusal& refusal = refused_[kind];
   refusal.pause = std::clamp(refusal.pause * 2, constants::kCapacityPause, constants::kCapacityPauseMost);
   refusal.not_before = now + refusal.pause;
--- a/src/control/supply.h
+++ b/src/control/cloud_capacity_tracker.h
@@ -12,7 +12,7 @@
 
 namespace foxshunt::control {
 
-class Supply {
+class CloudCapacityTracker {
  public:
   using Kind = inventory::Kind;
   using Held = std::map<Kind, std::size_t>;      // machines of each kind that there are
@@ -29,7 +29,7 @@
   void hint(const Kind& kind, const Refusal& refusal) { refused_[kind] = refusal; }
 
   // What a successor of this lead, on the same node, goes on with: what the cloud has refused.
-  [[nodiscard]] Supply refusals() const;
+  [[nodiscard]] CloudCapacityTracker refusals() const;
 
   // Whether the cloud may have more of them now, as far as its refusals tell.
   [[nodiscard]] bool on_offer(const Kind& kind, const Held& have, plan::Instant now) const;
--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -12,7 +12,7 @@
                                                         bool spot, const wire::JobSpec& spec,
                                                         std::int64_t tasks) const {
   if (!is_machine_allowed(spec, kind.name, zone, spot) || !cluster_.counted_on(zone)) return std::nullopt;
-  Supply::Kind key{kind.name, zone, spot};
+  CloudCapacityTracker::Kind key{kind.name, zone, spot};
   if (!capacity_.on_offer(key, have_, now_)) return std::nullopt;
   // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
   const std::int64_t fit = task_amounts(spec).count_in(capacity_of(kind));
--- a/src/control/cloud_offers.h
+++ b/src/control/cloud_offers.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "control/cluster_state.h"
-#include "control/supply.h"
+#include "control/cloud_capacity_tracker.h"
 #include "control/task_pricing.h"
 #include "wire/messages.h"
 
@@ -18,15 +18,15 @@
 class CloudOffers {
  public:
   struct Offer {
-    Supply::Kind key;
+    CloudCapacityTracker::Kind key;
     double price = 0;       // an hour, for each of the tasks that would run on it
     double full_price = 0;  // the same if it were full
     std::int64_t fit = 0;   // tasks at once
   };
 
   // `have`: the machines that there are.
-  CloudOffers(const ClusterState& cluster, const TaskPricing& pricing, const Supply& capacity, const Supply::Held& have,
-              Instant now)
+  CloudOffers(const ClusterState& cluster, const TaskPricing& pricing, const CloudCapacityTracker& capacity,
+              const CloudCapacityTracker::Held& have, Instant now)
       : cluster_(cluster), pricing_(pricing), capacity_(capacity), have_(have), now_(now) {}
 
   // The cheapest for so many tasks. Nothing if none is on offer, or the cheapest costs more than `ratio_most` times the least
@@ -40,8 +40,8 @@
 
   const ClusterState& cluster_;
   const TaskPricing& pricing_;
-  const Supply& capacity_;
-  const Supply::Held& have_;
+  const CloudCapacityTracker& capacity_;
+  const CloudCapacityTracker::Held& have_;
   Instant now_;
 };
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -108,7 +108,7 @@
 }
 
 standby::Picture Controller::soft_state(Instant now) const {
-  const Demand& demand = autoscaler_.demand();
+  const DemandEstimator& demand = autoscaler_.demand();
   const TaskPricing pricing = autoscaler_.pricing(cluster_);
   std::set<std::string> urgent_classes;
   for (const auto& [name, of_class] : demand.classes()) {
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -61,7 +61,7 @@
 }
 
 std::optional<foresight::Kind> rentable_kind(const PlanView& view, const Job& job, const wire::MachineType& kind,
-                                             double price_most, const Supply::Held& have) {
+                                             double price_most, const CloudCapacityTracker::Held& have) {
   const std::int64_t fit = job.each.count_in(TaskPricing(view.cluster, view.demand).offered(job.spec, kind));
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
@@ -81,7 +81,7 @@
   return any ? std::optional(std::move(found)) : std::nullopt;
 }
 
-foresight::Work work_of(const PlanView& view, const Job& job, Instant by, const Supply::Held& have) {
+foresight::Work work_of(const PlanView& view, const Job& job, Instant by, const CloudCapacityTracker::Held& have) {
   foresight::Work work{.by = by, .run = run_time(job)};
   work.waiting = job.pending();
   work.together = is_gang(job);
@@ -102,7 +102,8 @@
 }
 
 std::optional<foresight::Prospect> prospect_of(const PlanView& view, const Job& job, Instant by,
-                                               const Supply::Held& have, Instant planned_at, Instant now) {
+                                               const CloudCapacityTracker::Held& have, Instant planned_at,
+                                               Instant now) {
   // A pass books some of a very large array only; the rest is not late for that.
   if (job.withdrawn || is_service(job) || job.pending() > constants::kTasksPlannedPerPass) return std::nullopt;
   const auto end = planned_end(view.cluster, job);
@@ -141,7 +142,7 @@
                                                                 Instant now) const {
   std::map<JobId, foresight::Prospect> prospects;
   if (dues_.empty() || view.cluster.types.empty()) return prospects;
-  const Supply::Held have = view.cluster.machines.held();
+  const CloudCapacityTracker::Held have = view.cluster.machines.held();
   for (const auto& [id, due] : dues_) {
     const auto entry = view.cluster.jobs.find(id);
     if (entry == view.cluster.jobs.end()) continue;
--- a/src/control/deadline_planner.h
+++ b/src/control/deadline_planner.h
@@ -12,8 +12,8 @@
 
 #include "classes/ranking.h"
 #include "control/cluster_state.h"
-#include "control/demand.h"
-#include "control/supply.h"
+#include "control/demand_estimator.h"
+#include "control/cloud_capacity_tracker.h"
 #include "foresight/foresight.h"
 #include "plan/planner.h"
 
@@ -22,8 +22,8 @@
 // What a deadline is judged by; for the length of a call.
 struct PlanView {
   const ClusterState& cluster;
-  const Demand& demand;
-  const Supply& capacity;
+  const DemandEstimator& demand;
+  const CloudCapacityTracker& capacity;
   const classes::Ranking& ranking;
 };
 
--- a/src/control/demand.cpp
+++ b/src/control/demand_estimator.cpp
@@ -1,4 +1,4 @@
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 
 #include <algorithm>
 #include <chrono>
@@ -11,7 +11,7 @@
 
 using plan::Amounts;
 
-void Demand::learn(const wire::JobSpec& spec, const Amounts& each, plan::Instant submitted) {
+void DemandEstimator::learn(const wire::JobSpec& spec, const Amounts& each, plan::Instant submitted) {
   ClassDemand& demand = classes_[spec.job_class];
   demand.sample = spec;
   demand.arrivals.emplace_back(submitted, spec.tasks);
@@ -24,7 +24,7 @@
   }
 }
 
-void Demand::learn_gpus(plan::Items wanted, plan::Items there, plan::Instant now) {
+void DemandEstimator::learn_gpus(plan::Items wanted, plan::Items there, plan::Instant now) {
   while (!gpu_demand_.empty() && gpu_demand_.back().second <= wanted) gpu_demand_.pop_back();
   gpu_demand_.emplace_back(now, wanted);
   while (gpu_demand_.front().first < now - constants::kGpuDemandWindow) gpu_demand_.pop_front();
@@ -32,8 +32,8 @@
 }
 
 // PAPER 5.4, "expensive resources": X cores are kept free for jobs requesting GPUs.
-Amounts Demand::offered(const wire::JobSpec& spec, const wire::MachineType& kind,
-                        const std::vector<wire::MachineType>& types) const {
+Amounts DemandEstimator::offered(const wire::JobSpec& spec, const wire::MachineType& kind,
+                                 const std::vector<wire::MachineType>& types) const {
   Amounts all = capacity_of(kind);
   if (spec.gpus > 0 || kind.gpus <= 0) return all;
   const bool elsewhere = std::ranges::any_of(types, [&](const wire::MachineType& other) {
@@ -49,7 +49,7 @@
   return all;
 }
 
-std::int64_t Demand::expected(const std::string& job_class, double cover_s, plan::Instant now) {
+std::int64_t DemandEstimator::expected(const std::string& job_class, double cover_s, plan::Instant now) {
   const auto known = classes_.find(job_class);
   if (known == classes_.end()) return 0;
   auto& arrivals = known->second.arrivals;
@@ -67,17 +67,17 @@
 
 // ---- hints ----
 
-void Demand::hint_largest(const std::string& job_class, std::uint32_t tasks, plan::Instant now) {
+void DemandEstimator::hint_largest(const std::string& job_class, std::uint32_t tasks, plan::Instant now) {
   sizes_.learn(job_class, tasks, now);
 }
 
-void Demand::hint_sample(const wire::JobSpec& sample) {
+void DemandEstimator::hint_sample(const wire::JobSpec& sample) {
   if (classes_.size() < constants::kClassesMost && !classes_.contains(sample.job_class)) {
     classes_[sample.job_class].sample = sample;
   }
 }
 
-void Demand::hint_arrivals(const std::string& job_class, Arrivals before, plan::Instant taken) {
+void DemandEstimator::hint_arrivals(const std::string& job_class, Arrivals before, plan::Instant taken) {
   const auto known = classes_.find(job_class);
   if (known == classes_.end()) return;
   for (const auto& arrival : known->second.arrivals) {
@@ -86,7 +86,7 @@
   known->second.arrivals = std::move(before);
 }
 
-void Demand::hint_gpus(const GpuPeaks& peaks, plan::Items cpus_beside, plan::Items ram_beside) {
+void DemandEstimator::hint_gpus(const GpuPeaks& peaks, plan::Items cpus_beside, plan::Items ram_beside) {
   GpuPeaks all;
   for (const GpuPeaks* some : {&peaks, static_cast<const GpuPeaks*>(&gpu_demand_)}) {
     for (const auto& [when, items] : *some) {
--- a/src/control/demand.h
+++ b/src/control/demand_estimator.h
@@ -19,7 +19,7 @@
   std::deque<std::pair<plan::Instant, std::uint32_t>> arrivals;  // when, and how many tasks
 };
 
-class Demand {
+class DemandEstimator {
  public:
   // `each`: what one of its tasks takes.
   void learn(const wire::JobSpec& spec, const plan::Amounts& each, plan::Instant submitted);
--- a/src/control/explanation.h
+++ b/src/control/explanation.h
@@ -9,14 +9,15 @@
 
 #include "classes/ranking.h"
 #include "control/cluster_state.h"
-#include "control/supply.h"
+#include "control/cloud_capacity_tracker.h"
 
 namespace foxshunt::control {
 
 class Explanation {
  public:
   // `can_start`: whether the controller may start anything now.
-  Explanation(const ClusterState& cluster, const classes::Ranking& ranking, const Supply& capacity, bool can_start)
+  Explanation(const ClusterState& cluster, const classes::Ranking& ranking, const CloudCapacityTracker& capacity,
+              bool can_start)
       : cluster_(cluster), ranking_(ranking), capacity_(capacity), can_start_(can_start) {}
 
   // Nothing if no such job is known.
@@ -32,7 +33,7 @@
 
   const ClusterState& cluster_;
   const classes::Ranking& ranking_;
-  const Supply& capacity_;
+  const CloudCapacityTracker& capacity_;
   bool can_start_;
 };
 
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -53,8 +53,8 @@
 }
 
 // Gangs that have waited long enough for a backfill reservation and that their team's limit does not hold back.
-std::vector<GangReservation::Candidate> reservation_candidates(const ClusterState& cluster, const Demand& demand,
-                                                               Instant now) {
+std::vector<GangReservation::Candidate> reservation_candidates(const ClusterState& cluster,
+                                                               const DemandEstimator& demand, Instant now) {
   std::vector<GangReservation::Candidate> candidates;
   for (const auto& [id, job] : cluster.jobs) {
     const bool waits_whole = job.runs_count == 0 && job.pending() > 0 && !job.withdrawn && job.not_before <= now;
@@ -142,7 +142,7 @@
 
 // ---- backfill reservation ----
 
-void GangCoordinator::choose_holder(const ClusterState& cluster, const Demand& demand, Instant now) {
+void GangCoordinator::choose_holder(const ClusterState& cluster, const DemandEstimator& demand, Instant now) {
   reservation_.choose(reservation_candidates(cluster, demand, now), now);
 }
 
--- a/src/control/gang_coordinator.h
+++ b/src/control/gang_coordinator.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "control/cluster_state.h"
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 #include "control/gang_reservation.h"
 #include "plan/planner.h"
 
@@ -40,7 +40,7 @@
 
   // ---- backfill reservation ----
   // Begins a planning pass.
-  void choose_holder(const ClusterState& cluster, const Demand& demand, Instant now);
+  void choose_holder(const ClusterState& cluster, const DemandEstimator& demand, Instant now);
   [[nodiscard]] bool holds_reservation(const JobId& job) const { return reservation_.held_by(job); }
   // Plans the gang that holds the reservation: in the zone and on the machines that are kept for it.
   [[nodiscard]] std::vector<plan::Placing> plan_reserved(const plan::Planner& planner, plan::Request request) const;
--- a/src/control/machine_filter.h
+++ b/src/control/machine_filter.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "control/cluster_state.h"
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 #include "control/task_pricing.h"
 #include "plan/planner.h"
 
@@ -16,7 +16,7 @@
 
 class MachineFilter {
  public:
-  MachineFilter(const ClusterState& cluster, const Demand& demand)
+  MachineFilter(const ClusterState& cluster, const DemandEstimator& demand)
       : cluster_(cluster), demand_(demand), pricing_(cluster, demand) {}
 
   // Where the job may run at all, and what each machine has to do before it does.
@@ -34,7 +34,7 @@
                              Instant now) const;
 
   const ClusterState& cluster_;
-  const Demand& demand_;
+  const DemandEstimator& demand_;
   TaskPricing pricing_;
 };
 
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -34,14 +34,14 @@
   return work + missed;
 }
 
-aging::WaitingJob waiting_job(const ClusterState& cluster, const Demand& demand, const Job& job, Instant now) {
+aging::WaitingJob waiting_job(const ClusterState& cluster, const DemandEstimator& demand, const Job& job, Instant now) {
   return {.submitted = job.submitted,
           .lag = lag(cluster, job, now),
           .largest = demand.largest(job.spec.job_class, job.spec.tasks)};
 }
 
 // When the job counts as submitted, in the planning order.
-Instant effective_submission(const ClusterState& cluster, const GangCoordinator& gangs, const Demand& demand,
+Instant effective_submission(const ClusterState& cluster, const GangCoordinator& gangs, const DemandEstimator& demand,
                              const Job& job, Instant now) {
   if (gangs.holds_reservation(job.spec.id)) return job.submitted - constants::kLargestHeadStart;
   return aging::effective_submission(waiting_job(cluster, demand, job, now), now);
@@ -76,8 +76,8 @@
 }  // namespace
 
 // What fits a team's guarantee goes before what is borrowed; then by priority.
-std::vector<Job*> SchedulingQueue::order(ClusterState& cluster, const GangCoordinator& gangs, const Demand& demand,
-                                         Instant now) {
+std::vector<Job*> SchedulingQueue::order(ClusterState& cluster, const GangCoordinator& gangs,
+                                         const DemandEstimator& demand, Instant now) {
   std::map<std::string, std::vector<Job*>> by_team;
   for (auto& [unused, job] : cluster.jobs) {
     if (!job.withdrawn) by_team[job.spec.team].push_back(&job);
--- a/src/control/scheduling_queue.h
+++ b/src/control/scheduling_queue.h
@@ -10,7 +10,7 @@
 
 #include "classes/ranking.h"
 #include "control/cluster_state.h"
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 #include "control/gang_coordinator.h"
 #include "preempt/preempt.h"
 
@@ -22,8 +22,8 @@
   [[nodiscard]] const classes::Ranking& ranking() const { return ranking_; }
 
   // The jobs that wait, first the one that is planned first. Begins a new ranking.
-  [[nodiscard]] std::vector<Job*> order(ClusterState& cluster, const GangCoordinator& gangs, const Demand& demand,
-                                        Instant now);
+  [[nodiscard]] std::vector<Job*> order(ClusterState& cluster, const GangCoordinator& gangs,
+                                        const DemandEstimator& demand, Instant now);
   // Whether the room that running work would make is not the asking job's: the work would be ranked before it when it
   // waits again, or what is ranked before it would take the room without being entitled to.
   [[nodiscard]] bool kept_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const;
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -36,8 +36,8 @@
 }
 
 // Jobs of a class as they came, as far as sums tell.
-Demand::Arrivals spread(const std::vector<standby::Arrivals>& sums, Instant now) {
-  Demand::Arrivals jobs;
+DemandEstimator::Arrivals spread(const std::vector<standby::Arrivals>& sums, Instant now) {
+  DemandEstimator::Arrivals jobs;
   for (const standby::Arrivals& sum : sums) {
     if (sum.from > now || sum.from < now - constants::kDemandWindow - constants::kStandbyArrivals) continue;
     if (jobs.size() + sum.jobs > constants::kStandbyArrivalsMost) break;
@@ -113,7 +113,7 @@
   }
 }
 
-void add_refusals(std::vector<Fact>& facts, const ClusterState& cluster, const Supply& capacity) {
+void add_refusals(std::vector<Fact>& facts, const ClusterState& cluster, const CloudCapacityTracker& capacity) {
   for (const auto& [key, supply] : capacity.refused()) {
     const auto& [type_name, zone, spot] = key;
     const auto place = std::ranges::find(cluster.settings.zones, zone) - cluster.settings.zones.begin();
@@ -124,7 +124,7 @@
 }
 
 // Sums of the arrivals of late, by the number of their span of time.
-std::map<std::uint32_t, standby::Arrivals> sums_of(const Demand::Arrivals& arrivals, Instant now) {
+std::map<std::uint32_t, standby::Arrivals> sums_of(const DemandEstimator::Arrivals& arrivals, Instant now) {
   std::map<std::uint32_t, standby::Arrivals> sums;
   for (const auto& [when, count] : arrivals) {
     if (when < now - constants::kDemandWindow) continue;
@@ -161,7 +161,7 @@
   }
 }
 
-void add_gpu_demand(std::vector<Fact>& facts, const Demand& demand) {
+void add_gpu_demand(std::vector<Fact>& facts, const DemandEstimator& demand) {
   standby::GpuDemand gpus{.peaks = {},
                           .cpus_beside = count_of(demand.beside_gpu().of[0]),
                           .ram_beside = count_of(demand.beside_gpu().of[2])};
@@ -273,7 +273,7 @@
 }
 
 void SoftState::apply_gpu_demand(const standby::GpuDemand& told, Instant now) {
-  Demand::GpuPeaks peaks;
+  DemandEstimator::GpuPeaks peaks;
   for (const auto& [when, items] : told.peaks) {
     if (when <= now && when >= now - constants::kGpuDemandWindow) peaks.emplace_back(when, items_of(items));
   }
--- a/src/control/soft_state.h
+++ b/src/control/soft_state.h
@@ -12,16 +12,16 @@
 #include <vector>
 
 #include "control/cluster_state.h"
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 #include "control/leadership.h"
-#include "control/supply.h"
+#include "control/cloud_capacity_tracker.h"
 #include "standby/picture.h"
 
 namespace foxshunt::control {
 
 class SoftState {
  public:
-  SoftState(ClusterState& cluster, const Leadership& leadership, Demand& demand, Supply& supply)
+  SoftState(ClusterState& cluster, const Leadership& leadership, DemandEstimator& demand, CloudCapacityTracker& supply)
       : cluster_(cluster), leadership_(leadership), demand_(demand), supply_(supply) {}
 
   // Takes a leader's snapshot, unless it is too old or of a leader that knew no more than this one.
@@ -39,15 +39,15 @@
 
   ClusterState& cluster_;
   const Leadership& leadership_;
-  Demand& demand_;
-  Supply& supply_;
+  DemandEstimator& demand_;
+  CloudCapacityTracker& supply_;
 };
 
 // What a snapshot is taken of.
 struct SoftStateSources {
   const ClusterState& cluster;
-  const Demand& demand;
-  const Supply& supply;
+  const DemandEstimator& demand;
+  const CloudCapacityTracker& supply;
   const std::set<std::string>& urgent_classes;  // whose arrivals the autoscaler keeps spare capacity for
 };
 
--- a/src/control/task_pricing.h
+++ b/src/control/task_pricing.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "control/cluster_state.h"
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 #include "wire/messages.h"
 
 namespace foxshunt::control {
@@ -18,7 +18,7 @@
 
 class TaskPricing {
  public:
-  TaskPricing(const ClusterState& cluster, const Demand& demand) : cluster_(cluster), demand_(demand) {}
+  TaskPricing(const ClusterState& cluster, const DemandEstimator& demand) : cluster_(cluster), demand_(demand) {}
 
   // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
   [[nodiscard]] Amounts offered(const wire::JobSpec& spec, const wire::MachineType& kind) const;
@@ -38,7 +38,7 @@
   [[nodiscard]] bool serves_urgent(const Machine& machine) const;
 
   const ClusterState& cluster_;
-  const Demand& demand_;
+  const DemandEstimator& demand_;
 };
 
 }  // namespace foxshunt::control
--- a/tests/unit/supply_test.cpp
+++ b/tests/unit/demand_and_capacity_test.cpp
@@ -1,10 +1,10 @@
 // What the cloud may have, and what the work that comes may want of it.
-#include "control/supply.h"
+#include "control/cloud_capacity_tracker.h"
 
 #include <gtest/gtest.h>
 
 #include "config/constants.h"
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 
 namespace foxshunt::control {
 namespace {
@@ -12,14 +12,14 @@
 using plan::Instant;
 using plan::Millis;
 
-const Supply::Kind kPlain{"plain", "a", false};
-const Supply::Kind kBig{"big", "b", true};
+const CloudCapacityTracker::Kind kPlain{"plain", "a", false};
+const CloudCapacityTracker::Kind kBig{"big", "b", true};
 constexpr Term kTerm{7};
 
 class Supplies : public testing::Test {
  protected:
   Instant now_{Millis(1'000'000)};
-  Supply supply_;
+  CloudCapacityTracker supply_;
 };
 
 TEST_F(Supplies, TheSameRequestUntilItIsAnswered) {
@@ -75,7 +75,7 @@
   supply_.want({{kPlain, 3}, {kBig, 1}});
   (void)supply_.next(kTerm, {}, now_);
   supply_.refused(kPlain, 0, now_);
-  Supply kept = supply_.refusals();
+  CloudCapacityTracker kept = supply_.refusals();
   EXPECT_FALSE(kept.wanted());
   EXPECT_FALSE(kept.on_offer(kPlain, {}, now_));
   kept.want({{kPlain, 3}});
@@ -98,7 +98,7 @@
   }
 
   Instant now_{Millis(10'000'000)};
-  Demand demand_;
+  DemandEstimator demand_;
 };
 
 TEST_F(Demands, ExpectsWhatCameOfLate) {
