--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -14,7 +14,7 @@
 
 Autoscaler Autoscaler::successor() const {
   Autoscaler next;
-  next.supply_ = supply_.refusals();
+  next.capacity_ = capacity_.refusals();
   return next;
 }
 
@@ -34,8 +34,8 @@
 
 // How many more tasks of the class could start on machines that are up or booting. The cheapest of these that
 // make up the reserve are kept.
-std::int64_t Autoscaler::spare_for(const ClusterState& cluster, const wire::JobSpec& spec, std::int64_t reserve,
-                                   Instant now) {
+std::int64_t Autoscaler::spare_capacity(const ClusterState& cluster, const wire::JobSpec& spec, std::int64_t reserve,
+                                        Instant now) {
   struct Spare {
     double price;
     MachineId machine;
@@ -60,14 +60,14 @@
   std::ranges::sort(found, {}, [](const Spare& spare) { return std::tie(spare.price, spare.machine); });
   std::int64_t total = 0;
   for (const Spare& spare : found) {
-    if (total < reserve) reserve_.insert(spare.machine);
+    if (total < reserve) spare_machines_.insert(spare.machine);
     total += spare.fit;
   }
   return total;
 }
 
-std::int64_t Autoscaler::reserve_for(const ClusterState& cluster, const std::string& job_class,
-                                     const wire::JobSpec& sample, Instant now) {
+std::int64_t Autoscaler::wanted_spare_capacity(const ClusterState& cluster, const std::string& job_class,
+                                               const wire::JobSpec& sample, Instant now) {
   const Amounts each = task_amounts(sample);
   double boot_s = 0;
   for (const wire::MachineType& kind : cluster.types) {
@@ -82,12 +82,13 @@
                                                              std::uint32_t late, Instant now) const {
   if (job.overdue_tasks > 0) {
     // A kind that boots later than the work has to begin is no use, however cheap.
-    auto in_time = offers.cheapest(job.spec, late, constants::kLatePriceMost, deadlines.time_to_rent(job, now));
+    auto in_time =
+        offers.cheapest(job.spec, late, constants::kLatePriceMost, deadlines.max_startup_for_deadline(job, now));
     if (in_time || job.late_tasks == 0) return in_time;
   }
   // As long as a deadline leaves time for another boot, what is dear can wait for what is cheap to become free.
   const bool patient =
-      deadlines.rental_delay(job, now) > pricing(cluster).boot_awaited(job.spec) * constants::kBootSlack;
+      deadlines.scale_out_delay(job, now) > pricing(cluster).longest_boot(job.spec) * constants::kBootSlack;
   return offers.cheapest(job.spec, late, patient ? constants::kPatientPriceMost : constants::kLatePriceMost);
 }
 
@@ -106,10 +107,10 @@
 void Autoscaler::add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares,
                               Instant now) {
   for (const auto& [name, demand] : demand_.classes()) {
-    if (!pricing(cluster).urgent_class(name, demand.sample)) continue;
-    const std::int64_t reserve = reserve_for(cluster, name, demand.sample, now);
+    if (!pricing(cluster).is_urgent_class(name, demand.sample)) continue;
+    const std::int64_t reserve = wanted_spare_capacity(cluster, name, demand.sample, now);
     if (reserve == 0) continue;
-    const std::int64_t missing = reserve - spare_for(cluster, demand.sample, reserve, now);
+    const std::int64_t missing = reserve - spare_capacity(cluster, demand.sample, reserve, now);
     if (missing <= 0) continue;
     const auto offer = offers.cheapest(demand.sample, missing, constants::kReservePriceMost);
     if (offer) shares[offer->key] += static_cast<double>(missing) / static_cast<double>(offer->fit);
@@ -117,35 +118,35 @@
 }
 
 void Autoscaler::want_nothing() {
-  reserve_.clear();
-  supply_.want({});
+  spare_machines_.clear();
+  capacity_.want({});
 }
 
 void Autoscaler::size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue,
                             const DeadlinePlanner& deadlines, Instant now) {
-  reserve_.clear();
+  spare_machines_.clear();
   const CloudCapacityTracker::Held have = cluster.machines.held();
   const TaskPricing prices = pricing(cluster);
-  const CloudOffers offers(cluster, prices, supply_, have, now);
+  const CloudOffers offers(cluster, prices, capacity_, have, now);
   MachineShares shares;
   add_late_work(offers, cluster, queue, deadlines, shares, now);
   add_reserves(offers, cluster, shares, now);
   CloudCapacityTracker::Wanted wanted;
   for (const auto& [key, share] : shares) wanted[key] = static_cast<std::uint64_t>(std::ceil(share));
-  supply_.want(std::move(wanted));
+  capacity_.want(std::move(wanted));
 }
 
 std::optional<wire::RentRequest> Autoscaler::next_rental(const ClusterState& cluster, Term term, Instant now) {
   if (!cluster.settings.operators.may_rent) return std::nullopt;
-  if (const auto& request = supply_.next(term, cluster.machines.held(), now)) return request;
+  if (const auto& request = capacity_.next(term, cluster.machines.held(), now)) return request;
   // Pools come after live work.
-  supply_.ask(cluster.pools.next_ask());
-  return supply_.next(term, {}, now);
+  capacity_.ask(cluster.pools.next_ask());
+  return capacity_.next(term, {}, now);
 }
 
 void Autoscaler::on_rented(ClusterState& cluster, const wire::RentRequest& request,
                            const std::vector<MachineId>& rented, Instant now) {
-  if (!supply_.answered(request)) return;
+  if (!capacity_.answered(request)) return;
   cluster.pools.answered(request, rented);
   const wire::MachineType* kind = cluster.type(request.type);
   for (const MachineId& id : rented) {
@@ -161,7 +162,7 @@
   if (rented.size() < request.count) {
     note_refusal(cluster, request, now);
   } else {
-    supply_.given({request.type, request.zone, request.spot});
+    capacity_.given({request.type, request.zone, request.spot});
   }
   spdlog::info("rented {} of {} {} in {}{}", rented.size(), request.count, request.type, request.zone,
                request.spot ? ", spot" : "");
@@ -169,7 +170,7 @@
 }
 
 void Autoscaler::on_rent_refused(ClusterState& cluster, const wire::RentRequest& request, Instant now) {
-  if (!supply_.answered(request)) return;
+  if (!capacity_.answered(request)) return;
   cluster.pools.answered(request, {});
   note_refusal(cluster, request, now);
   cluster.plan_wanted = true;
@@ -178,13 +179,13 @@
 void Autoscaler::note_refusal(const ClusterState& cluster, const wire::RentRequest& request, Instant now) {
   const CloudCapacityTracker::Kind kind{request.type, request.zone, request.spot};
   const std::size_t held_now = cluster.machines.held()[kind];
-  const Millis pause = supply_.refused(kind, held_now, now);
+  const Millis pause = capacity_.refused(kind, held_now, now);
   spdlog::info("no more {} in {}{} to rent, {} are held; asked again after {:.0f} s", request.type, request.zone,
                request.spot ? ", spot" : "", held_now, to_seconds(pause));
 }
 
 bool Autoscaler::cloud_wanted(const ClusterState& cluster) const {
-  return supply_.wanted() || cluster.pools.next_ask() || std::ranges::any_of(cluster.machines, [](const auto& entry) {
+  return capacity_.wanted() || cluster.pools.next_ask() || std::ranges::any_of(cluster.machines, [](const auto& entry) {
            return entry.second.state == MachineState::returning;
          });
 }
--- a/src/control/autoscaler.h
+++ b/src/control/autoscaler.h
@@ -32,11 +32,11 @@
 
   [[nodiscard]] DemandEstimator& demand() { return demand_; }
   [[nodiscard]] const DemandEstimator& demand() const { return demand_; }
-  [[nodiscard]] CloudCapacityTracker& capacity() { return supply_; }
-  [[nodiscard]] const CloudCapacityTracker& capacity() const { return supply_; }
+  [[nodiscard]] CloudCapacityTracker& capacity() { return capacity_; }
+  [[nodiscard]] const CloudCapacityTracker& capacity() const { return capacity_; }
   [[nodiscard]] TaskPricing pricing(const ClusterState& cluster) const { return {cluster, demand_}; }
   // Whether the machine is idle, but kept for what may come.
-  [[nodiscard]] bool is_spare(const MachineId& machine) const { return reserve_.contains(machine); }
+  [[nodiscard]] bool is_spare(const MachineId& machine) const { return spare_machines_.contains(machine); }
 
   // GPUs that are wanted now, and those that there are.
   void learn_gpu_demand(const ClusterState& cluster, Instant now);
@@ -62,18 +62,18 @@
   [[nodiscard]] std::optional<CloudOffers::Offer> offer_for_late(const CloudOffers& offers, const ClusterState& cluster,
                                                                  const Job& job, const DeadlinePlanner& deadlines,
                                                                  std::uint32_t late, Instant now) const;
-  [[nodiscard]] std::int64_t spare_for(const ClusterState& cluster, const wire::JobSpec& spec, std::int64_t reserve,
-                                       Instant now);
-  [[nodiscard]] std::int64_t reserve_for(const ClusterState& cluster, const std::string& job_class,
-                                         const wire::JobSpec& sample, Instant now);
+  [[nodiscard]] std::int64_t spare_capacity(const ClusterState& cluster, const wire::JobSpec& spec,
+                                            std::int64_t reserve, Instant now);
+  [[nodiscard]] std::int64_t wanted_spare_capacity(const ClusterState& cluster, const std::string& job_class,
+                                                   const wire::JobSpec& sample, Instant now);
   void add_late_work(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
                      const DeadlinePlanner& deadlines, MachineShares& shares, Instant now);
   void add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares, Instant now);
   void note_refusal(const ClusterState& cluster, const wire::RentRequest& request, Instant now);
 
   DemandEstimator demand_;
-  CloudCapacityTracker supply_;
-  std::set<MachineId> reserve_;  // idle, but kept for what may come
+  CloudCapacityTracker capacity_;
+  std::set<MachineId> spare_machines_;  // idle, but kept for what may come
 };
 
 }  // namespace foxshunt::control
--- a/src/control/cloud_capacity_tracker.cpp
+++ b/src/control/cloud_capacity_tracker.cpp
@@ -18,7 +18,7 @@
   return known == refused_.end() || (held != have.end() && held->second < known->second.most);
 }
 
-bool CloudCapacityTracker::on_offer(const Kind& kind, const Held& have, plan::Instant now) const {
+bool CloudCapacityTracker::is_available(const Kind& kind, const Held& have, plan::Instant now) const {
   const auto known = refused_.find(kind);
   if (known == refused_.end()) return true;
   const auto held_now = have.find(kind);
@@ -38,7 +38,7 @@
   for (auto at = wanted_.begin(); at != wanted_.end(); at = wanted_.erase(at)) {
     const auto& [kind, count] = *at;
     // The fleet was sized before the latest refusals.
-    if (count == 0 || !on_offer(kind, have, now)) continue;
+    if (count == 0 || !is_available(kind, have, now)) continue;
     const auto& [type, zone, spot] = kind;
     // A request's name is never used again: terms only grow.
     under_way_ = wire::RentRequest{.request = "fox-" + std::to_string(term.number()) + "-" + std::to_string(++rentals_),
--- a/src/control/cloud_capacity_tracker.h
+++ b/src/control/cloud_capacity_tracker.h
@@ -32,7 +32,7 @@
   [[nodiscard]] CloudCapacityTracker refusals() const;
 
   // Whether the cloud may have more of them now, as far as its refusals tell.
-  [[nodiscard]] bool on_offer(const Kind& kind, const Held& have, plan::Instant now) const;
+  [[nodiscard]] bool is_available(const Kind& kind, const Held& have, plan::Instant now) const;
 
   // Whether they may be counted on: a pause after a refusal that is over is no word that there is one now.
   [[nodiscard]] bool counted_on(const Kind& kind, const Held& have) const;
--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -13,7 +13,7 @@
                                                         std::int64_t tasks) const {
   if (!is_machine_allowed(spec, kind.name, zone, spot) || !cluster_.counted_on(zone)) return std::nullopt;
   CloudCapacityTracker::Kind key{kind.name, zone, spot};
-  if (!capacity_.on_offer(key, have_, now_)) return std::nullopt;
+  if (!capacity_.is_available(key, have_, now_)) return std::nullopt;
   // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
   const std::int64_t fit = task_amounts(spec).count_in(capacity_of(kind));
   const double hourly = hourly_price(kind, spot);
@@ -24,12 +24,12 @@
 }
 
 std::optional<CloudOffers::Offer> CloudOffers::cheapest(const wire::JobSpec& spec, std::int64_t tasks,
-                                                        double ratio_most, Millis ready_most) const {
+                                                        double max_price_ratio, Millis max_startup) const {
   const Amounts each = task_amounts(spec);
   std::optional<Offer> best;
   for (const wire::MachineType& kind : cluster_.types) {
     if (each.count_in(capacity_of(kind)) <= 0) continue;
-    if (from_seconds(kind.boot_s) + constants::kCloudCallLimit + cluster_.fetch_time(spec, kind.name) > ready_most)
+    if (from_seconds(kind.boot_s) + constants::kCloudCallLimit + cluster_.fetch_time(spec, kind.name) > max_startup)
       continue;
     for (const std::string& zone : kind.zones) {
       for (const bool spot : {true, false}) {
@@ -38,7 +38,7 @@
       }
     }
   }
-  if (best && best->full_price > pricing_.least_price(spec) * ratio_most) return std::nullopt;
+  if (best && best->full_price > pricing_.lowest_price(spec) * max_price_ratio) return std::nullopt;
   return best;
 }
 
--- a/src/control/cloud_offers.h
+++ b/src/control/cloud_offers.h
@@ -31,8 +31,8 @@
 
   // The cheapest for so many tasks. Nothing if none is on offer, or the cheapest costs more than `ratio_most` times the least
   // price of a task. `ready_most`: how long it may take until a task runs there.
-  [[nodiscard]] std::optional<Offer> cheapest(const wire::JobSpec& spec, std::int64_t tasks, double ratio_most,
-                                              Millis ready_most = Millis::max()) const;
+  [[nodiscard]] std::optional<Offer> cheapest(const wire::JobSpec& spec, std::int64_t tasks, double max_price_ratio,
+                                              Millis max_startup = Millis::max()) const;
 
  private:
   [[nodiscard]] std::optional<Offer> offer_of(const wire::MachineType& kind, const std::string& zone, bool spot,
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -112,7 +112,7 @@
   const TaskPricing pricing = autoscaler_.pricing(cluster_);
   std::set<std::string> urgent_classes;
   for (const auto& [name, of_class] : demand.classes()) {
-    if (pricing.urgent_class(name, of_class.sample)) urgent_classes.insert(name);
+    if (pricing.is_urgent_class(name, of_class.sample)) urgent_classes.insert(name);
   }
   return soft_state_snapshot(
       {.cluster = cluster_, .demand = demand, .supply = autoscaler_.capacity(), .urgent_classes = urgent_classes},
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -115,7 +115,7 @@
 bool Controller::may_return_idle(const Machine& machine, Instant now) const {
   const bool kept = autoscaler_.is_spare(machine.id) || cluster_.pools.keeps(machine.id);
   return cluster_.settings.operators.may_return && !kept && leadership_.can_start(now) &&
-         now - *machine.idle_since > autoscaler_.pricing(cluster_).idle_most(machine);
+         now - *machine.idle_since > autoscaler_.pricing(cluster_).max_idle(machine);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller_records.cpp
+++ b/src/control/controller_records.cpp
@@ -62,7 +62,7 @@
     // That a gang lost a task and waits for another, or that the rest is to be stopped, only the earlier leader knew: unless
     // another task joins them, those that wait would keep their places until they give up by themselves.
     const bool incomplete_gang = job.spec.kind == wire::JobKind::gang && job.runs_count > 0 && job.pending() > 0;
-    if (incomplete_gang) GangCoordinator::gather(cluster_, job, now);
+    if (incomplete_gang) GangCoordinator::hold_start_barrier(cluster_, job, now);
     if (job.withdrawn) cancelled.push_back(id);
   }
   for (const JobId& id : cancelled) {
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::uint64_t tasks_of(const plan::Booking& booking, const Job& job) {
+std::uint64_t task_count(const plan::Booking& booking, const Job& job) {
   return static_cast<std::uint64_t>(booking.amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
 }
 
@@ -38,7 +38,7 @@
     const plan::Booking* found = cluster.planner.booking(booking);
     if (found == nullptr) continue;
     end = std::max(end, found->stop + beyond);
-    booked += tasks_of(*found, job);
+    booked += task_count(*found, job);
   }
   for (const Part& part : job.parts) {
     for (const auto& [unused, run] : part.runs) {
@@ -55,7 +55,7 @@
   for (const plan::BookingId booking : job.booked) {
     const plan::Booking* found = planner.booking(booking);
     if (found == nullptr || found->stop + run_time_beyond_booking(job) > by) continue;
-    timely += tasks_of(*found, job);
+    timely += task_count(*found, job);
   }
   return timely;
 }
@@ -94,14 +94,14 @@
   if (const classes::Rank* rank = view.ranking.find(job.spec.id); rank != nullptr && view.ranking.on()) {
     work.capped = rank->capped;
   }
-  const double price_most = TaskPricing(view.cluster, view.demand).least_price(job.spec) * constants::kLatePriceMost;
+  const double price_most = TaskPricing(view.cluster, view.demand).lowest_price(job.spec) * constants::kLatePriceMost;
   for (const wire::MachineType& kind : view.cluster.types) {
     if (auto rentable = rentable_kind(view, job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
   }
   return work;
 }
 
-std::optional<foresight::Prospect> prospect_of(const PlanView& view, const Job& job, Instant by,
+std::optional<foresight::Prospect> forecast_of(const PlanView& view, const Job& job, Instant by,
                                                const CloudCapacityTracker::Held& have, Instant planned_at,
                                                Instant now) {
   // A pass books some of a very large array only; the rest is not late for that.
@@ -146,7 +146,7 @@
   for (const auto& [id, due] : dues_) {
     const auto entry = view.cluster.jobs.find(id);
     if (entry == view.cluster.jobs.end()) continue;
-    if (auto prospect = prospect_of(view, entry->second, due.by, have, planned_at, now)) {
+    if (auto prospect = forecast_of(view, entry->second, due.by, have, planned_at, now)) {
       prospects.emplace_hint(prospects.end(), id, std::move(*prospect));
     }
   }
@@ -170,13 +170,13 @@
   return timely_room(job, places, by, late, now) >= late ? 0 : late;
 }
 
-Millis DeadlinePlanner::time_to_rent(const Job& job, Instant now) const {
+Millis DeadlinePlanner::max_startup_for_deadline(const Job& job, Instant now) const {
   const auto due = dues_.find(job.spec.id);
   if (due == dues_.end()) return Millis::max();
   return due->second.by - now - run_time(job);
 }
 
-Millis DeadlinePlanner::rental_delay(const Job& job, Instant now) const {
+Millis DeadlinePlanner::scale_out_delay(const Job& job, Instant now) const {
   if (job.spec.deadline_s) {
     Instant by = job.submitted + from_seconds(*job.spec.deadline_s);
     if (const auto due = dues_.find(job.spec.id); due != dues_.end()) by = std::min(by, due->second.by);
--- a/src/control/deadline_planner.h
+++ b/src/control/deadline_planner.h
@@ -43,9 +43,9 @@
   [[nodiscard]] std::uint32_t overdue(const PlanView& view, const Job& job, const std::vector<plan::Placing>& placings,
                                       const std::vector<plan::Place>& places, Instant now) const;
   // How long a machine may take until it runs tasks of the job, for its calendar deadline.
-  [[nodiscard]] Millis time_to_rent(const Job& job, Instant now) const;
+  [[nodiscard]] Millis max_startup_for_deadline(const Job& job, Instant now) const;
   // How long the job's tasks may wait from now on before machines are rented for them.
-  [[nodiscard]] Millis rental_delay(const Job& job, Instant now) const;
+  [[nodiscard]] Millis scale_out_delay(const Job& job, Instant now) const;
 
  private:
   foresight::Dues dues_;
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-Millis gather_span(const config::Settings& settings) {
+Millis barrier_timeout(const config::Settings& settings) {
   return from_seconds(std::min(settings.gang_wait_s / 4, to_seconds(constants::kGangGather)));
 }
 
@@ -71,7 +71,7 @@
 
 // ---- start barrier ----
 
-bool GangCoordinator::gathers(const Job& job) {
+bool GangCoordinator::waits_at_barrier(const Job& job) {
   return job.spec.kind == wire::JobKind::gang && job.runs_count > 0 &&
          std::ranges::all_of(job.parts, [](const Part& part) {
            return std::ranges::all_of(part.runs, [](const auto& entry) {
@@ -84,9 +84,9 @@
          });
 }
 
-void GangCoordinator::gather(ClusterState& cluster, Job& job, Instant now) {
+void GangCoordinator::hold_start_barrier(ClusterState& cluster, Job& job, Instant now) {
   if (!job.gather_until) {
-    job.gather_until = now + gather_span(cluster.settings);
+    job.gather_until = now + barrier_timeout(cluster.settings);
     spdlog::info("job {}: its gang lost a task before its start, another one is to join", job.spec.id.text());
   }
   cluster.plan_wanted = true;
@@ -96,16 +96,16 @@
 // completes it. Ending the attempt instead costs all the others their places and image fetches. If it has started after all
 // the others tell so by `mates_gone`, and the attempt ends as always.
 bool GangCoordinator::survives_loss(ClusterState& cluster, Job& job, bool had_run, Instant now) {
-  if (had_run || job.withdrawn || !gathers(job)) return false;
-  gather(cluster, job, now);
+  if (had_run || job.withdrawn || !waits_at_barrier(job)) return false;
+  hold_start_barrier(cluster, job, now);
   return true;
 }
 
 MissingMembers GangCoordinator::missing_members(const ClusterState& cluster, Job& job, Instant now) {
-  if (!job.gather_until || !gathers(job)) return MissingMembers::none;
+  if (!job.gather_until || !waits_at_barrier(job)) return MissingMembers::none;
   // Those that fetch don't give up yet: the rest has until some time after they are there.
   if (fetches(cluster, job, now)) {
-    job.gather_until = std::max(*job.gather_until, now + gather_span(cluster.settings));
+    job.gather_until = std::max(*job.gather_until, now + barrier_timeout(cluster.settings));
   }
   return now <= *job.gather_until ? MissingMembers::replace : MissingMembers::overdue;
 }
@@ -114,7 +114,7 @@
 // another attempt; when the attempt is ended, the fetches of the others are given up. So those that would wait for too
 // long are placed when the others are nearly there: a gang whose fetches differ by more would never begin. A task is
 // never started twice with the same attempt on the same machine, since an old report could then tell of either.
-std::vector<plan::Placing> GangCoordinator::due_of_gang(ClusterState& cluster, Job& job,
+std::vector<plan::Placing> GangCoordinator::members_due(ClusterState& cluster, Job& job,
                                                         const std::vector<plan::Placing>& placings, Instant now) {
   Millis last{};
   Millis first = Millis::max();
@@ -136,7 +136,8 @@
       book_ahead(cluster, job, placing);
     }
   }
-  if (due.size() < placings.size() && !job.gather_until) job.gather_until = now + last + gather_span(cluster.settings);
+  if (due.size() < placings.size() && !job.gather_until)
+    job.gather_until = now + last + barrier_timeout(cluster.settings);
   return due;
 }
 
--- a/src/control/gang_coordinator.h
+++ b/src/control/gang_coordinator.h
@@ -27,15 +27,15 @@
  public:
   // ---- start barrier ----
   // Whether all that is left of a gang's attempt is known to wait for the others.
-  [[nodiscard]] static bool gathers(const Job& job);
+  [[nodiscard]] static bool waits_at_barrier(const Job& job);
   // Lets the rest of the gang wait for members that join it, up to a timeout.
-  static void gather(ClusterState& cluster, Job& job, Instant now);
+  static void hold_start_barrier(ClusterState& cluster, Job& job, Instant now);
   // A task of the gang is gone together with its machine. Whether the attempt goes on: another task joins the rest if they
   // have not begun.
   [[nodiscard]] static bool survives_loss(ClusterState& cluster, Job& job, bool had_run, Instant now);
   [[nodiscard]] static MissingMembers missing_members(const ClusterState& cluster, Job& job, Instant now);
   // Of a gang's tasks those that are to be placed now; the others' places are booked, see docs/design/gathering.md.
-  [[nodiscard]] static std::vector<plan::Placing> due_of_gang(ClusterState& cluster, Job& job,
+  [[nodiscard]] static std::vector<plan::Placing> members_due(ClusterState& cluster, Job& job,
                                                               const std::vector<plan::Placing>& placings, Instant now);
 
   // ---- backfill reservation ----
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-std::vector<plan::Placing> one_to_a_machine(const plan::Planner& planner, plan::Request request) {
+std::vector<plan::Placing> plan_one_per_machine(const plan::Planner& planner, plan::Request request) {
   std::vector<plan::Placing> placings;
   const std::vector<plan::Place> places = std::move(request.places);
   std::uint32_t left = std::exchange(request.count, 1);
@@ -79,7 +79,7 @@
 
 std::vector<plan::Placing> JobPlanner::plan_turn(const JobTurn& turn) const {
   if (turn.reserves) return gangs_.plan_reserved(cluster_.planner, turn.request);
-  return turn.warms ? one_to_a_machine(cluster_.planner, turn.request) : cluster_.planner.plan(turn.request);
+  return turn.warms ? plan_one_per_machine(cluster_.planner, turn.request) : cluster_.planner.plan(turn.request);
 }
 
 std::size_t JobPlanner::find_placings(Job& job, JobTurn& turn, Instant now) {
@@ -99,7 +99,7 @@
   std::uint32_t planned = 0;
   // Renting helps only a task that a machine rented now would start earlier; those that boot are waited for.
   const Instant rent_after =
-      now + std::max(deadlines_.rental_delay(job, now), autoscaler_.pricing(cluster_).boot_awaited(job.spec));
+      now + std::max(deadlines_.scale_out_delay(job, now), autoscaler_.pricing(cluster_).longest_boot(job.spec));
   for (const plan::Placing& placing : turn.placings) {
     planned += placing.count;
     if (placing.start > rent_after + constants::kTick) job.late_tasks += placing.count;
@@ -154,7 +154,7 @@
   const std::uint32_t left = queue_.ranking().on() ? count - (pending_before - job.pending()) : job.pending();
   if (left == 0) return places;
   if (!turn.joins && may_preempt(job, now))
-    Preemptor(cluster_, queue_, tasks_).make_room(job, left, turn.request.places, now);
+    Preemptor(cluster_, queue_, tasks_).preempt_for(job, left, turn.request.places, now);
   if (queue_.ranking().on() && quota_for(cluster_, job, turn.gang ? left : 1)) queue_.ranking().lacks_room(job.spec.id);
   return places;
 }
@@ -173,7 +173,7 @@
   const AttemptNo attempt = gang_attempt(job);
   const std::vector<std::uint32_t> tasks = jobs::JobTable::pending_tasks(job, job.spec.tasks);
   auto next = tasks.begin();
-  for (const plan::Placing& placing : GangCoordinator::due_of_gang(cluster_, job, placings, now)) {
+  for (const plan::Placing& placing : GangCoordinator::members_due(cluster_, job, placings, now)) {
     for (std::uint32_t at = 0; at < placing.count && next != tasks.end(); ++at, ++next) {
       tasks_.place(job, *next, attempt, cluster_.machines.at(placing.machine), now);
     }
@@ -205,7 +205,7 @@
 // nothing has moved, and the next pass books none of it.
 std::size_t JobPlanner::plan_stranded(Job& job, Instant now) {
   // Renting before a boot would end at the proof costs for nothing.
-  const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).boot_awaited(job.spec);
+  const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).longest_boot(job.spec);
   if (!due) return 0;
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
                                            : std::min(job.stranded, std::uint32_t{constants::kTasksPlannedPerPass});
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -7,8 +7,8 @@
 
 namespace foxshunt::control {
 
-bool MachineFilter::left_to(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
-                            Instant now) const {
+bool MachineFilter::do_pools_allow(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
+                                   Instant now) const {
   if (!cluster_.pools.on()) return true;
   if (warms) {
     return cluster_.pools.lacks(*warms, machine.id, job.spec.image) &&
@@ -69,7 +69,8 @@
 
 // What the machine has to do before a task of the job runs there: boot, and fetch the image.
 Millis MachineFilter::preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const {
-  if (machine.state == MachineState::booting && machine.ready < now) return fetch + pricing_.boot_left(machine, now);
+  if (machine.state == MachineState::booting && machine.ready < now)
+    return fetch + pricing_.remaining_boot(machine, now);
   if (machine.images.contains(job.spec.image)) return Millis(0);
   // Of two that have to fetch it, the one that is to hold it anyway.
   if (fetch > Millis(0) && cluster_.pools.wants(machine.id, job.spec.image))
@@ -91,7 +92,7 @@
       if (found == fits.end()) continue;
       fit = &*found;
     }
-    if (!fit->allowed || job.failed_on.contains(id) || !left_to(job, warms, machine, now)) continue;
+    if (!fit->allowed || job.failed_on.contains(id) || !do_pools_allow(job, warms, machine, now)) continue;
     if (fit->guards_gpus && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
     places.push_back({.node = machine.planned, .before = preparation_time(job, machine, fit->fetch, now)});
   }
--- a/src/control/machine_filter.h
+++ b/src/control/machine_filter.h
@@ -30,8 +30,8 @@
                                      plan::Items& spare_gpus) const;
   [[nodiscard]] Millis preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const;
   // Whether pools leave the machine to the job. `warms`: the pool that its tasks are to warm.
-  [[nodiscard]] bool left_to(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
-                             Instant now) const;
+  [[nodiscard]] bool do_pools_allow(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
+                                    Instant now) const;
 
   const ClusterState& cluster_;
   const DemandEstimator& demand_;
--- a/src/control/preemptor.cpp
+++ b/src/control/preemptor.cpp
@@ -19,7 +19,7 @@
 };
 
 // A gang needs room for all its tasks or none; of other jobs as many are asked for as the team's quota allows.
-std::uint32_t Preemptor::tasks_to_make_room_for(const Job& job, std::uint32_t tasks_most) const {
+std::uint32_t Preemptor::tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const {
   const bool gang = is_gang(job);
   std::uint32_t count = gang ? tasks_most : std::min(tasks_most, constants::kPreemptTasksMost);
   while (count > 0 && !quota_for(cluster_, job, count)) count = gang ? 0 : count - 1;
@@ -42,7 +42,7 @@
                          .lost = repeated * tasks,
                          .left = booking == nullptr ? Millis(0) : std::max(Millis(0), booking->stop - now),
                          .spared = other.displaced ? std::optional(now - *other.displaced) : std::nullopt};
-  victim.kept = queue_.ranking().on() && queue_.kept_by_rank(other, victim, asks);
+  victim.kept = queue_.ranking().on() && queue_.is_protected_by_rank(other, victim, asks);
   if (!whole) return victim;
   victim.tasks.clear();
   for (const Part& part : other.parts) {
@@ -96,9 +96,9 @@
   return victim.tasks.size();
 }
 
-void Preemptor::make_room(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now) {
+void Preemptor::preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now) {
   if (!tasks_.can_start_anything(now)) return;
-  const std::uint32_t count = tasks_to_make_room_for(job, tasks_most);
+  const std::uint32_t count = tasks_to_preempt_for(job, tasks_most);
   if (count == 0) return;
   const preempt::Need need{.each = job.each,
                            .count = count,
--- a/src/control/preemptor.h
+++ b/src/control/preemptor.h
@@ -23,11 +23,11 @@
       : cluster_(cluster), queue_(queue), tasks_(tasks) {}
 
   // Stops work that has to give way to the job, if that makes room for it.
-  void make_room(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now);
+  void preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now);
 
  private:
   struct Victims;
-  [[nodiscard]] std::uint32_t tasks_to_make_room_for(const Job& job, std::uint32_t tasks_most) const;
+  [[nodiscard]] std::uint32_t tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const;
   [[nodiscard]] preempt::Victim describe_victim(const TaskKey& key, const Job& other, const Run& run, const Job& asks,
                                                 Instant now) const;
   [[nodiscard]] std::optional<std::size_t> victim_of(const TaskKey& key, const Job& asks, Victims& victims,
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -140,7 +140,7 @@
   jobs = std::move(ordered);
 }
 
-bool SchedulingQueue::kept_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const {
+bool SchedulingQueue::is_protected_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const {
   if (ranking_.find(runs.spec.id) == nullptr) return false;
   if (!ranking_.goes_first(asks.spec.id, runs.spec.id)) return true;
   return std::ranges::any_of(ranking_.lacking(), [&](const classes::Rank* rank) {
--- a/src/control/scheduling_queue.h
+++ b/src/control/scheduling_queue.h
@@ -26,7 +26,7 @@
                                         const DemandEstimator& demand, Instant now);
   // Whether the room that running work would make is not the asking job's: the work would be ranked before it when it
   // waits again, or what is ranked before it would take the room without being entitled to.
-  [[nodiscard]] bool kept_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const;
+  [[nodiscard]] bool is_protected_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const;
 
  private:
   // The same jobs in the order of their classes.
--- a/src/control/task_pricing.cpp
+++ b/src/control/task_pricing.cpp
@@ -14,7 +14,7 @@
 
 // The longest, as it isn't known yet which kind will be rented: a shorter one would have tasks that wait for a slow
 // kind rent again in every pass until the cloud has no more.
-Millis TaskPricing::boot_awaited(const wire::JobSpec& spec) const {
+Millis TaskPricing::longest_boot(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double longest_s = 0;
   for (const wire::MachineType& kind : cluster_.types) {
@@ -26,7 +26,7 @@
 
 // What is left of a boot that is late. Most end soon after their time; one that is very late may never end, and is
 // no longer worth waiting for once it has taken as long again.
-Millis TaskPricing::boot_left(const Machine& machine, Instant now) const {
+Millis TaskPricing::remaining_boot(const Machine& machine, Instant now) const {
   const wire::MachineType* kind = cluster_.type(machine.type);
   const Millis boot = from_seconds(kind == nullptr ? 0 : kind->boot_s);
   const Millis taken = now - machine.since;
@@ -34,7 +34,7 @@
 }
 
 // From the wish for a machine to a task that runs on it.
-double TaskPricing::boot_cover_s(const wire::JobSpec& spec) const {
+double TaskPricing::shortest_startup_s(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double cover_s = 0;
   for (const wire::MachineType& kind : cluster_.types) {
@@ -46,39 +46,39 @@
   return cover_s;
 }
 
-bool TaskPricing::urgent_class(const std::string& job_class, const wire::JobSpec& sample) const {
+bool TaskPricing::is_urgent_class(const std::string& job_class, const wire::JobSpec& sample) const {
   return std::ranges::any_of(cluster_.settings.objectives, [&](const config::Objective& objective) {
     if (objective.job_class != job_class || (objective.kind != "wait" && objective.kind != "finished")) return false;
     const double run_s = objective.kind == "finished" ? sample.estimate_s : 0;
-    return objective.within_s - run_s < boot_cover_s(sample);
+    return objective.within_s - run_s < shortest_startup_s(sample);
   });
 }
 
-bool TaskPricing::serves_urgent(const Machine& machine) const {
+bool TaskPricing::serves_urgent_class(const Machine& machine) const {
   const wire::MachineType* kind = cluster_.type(machine.type);
   if (kind == nullptr) return false;
   return std::ranges::any_of(demand_.classes(), [&](const auto& entry) {
     const wire::JobSpec& spec = entry.second.sample;
-    if (!urgent_class(entry.first, spec) || !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
+    if (!is_urgent_class(entry.first, spec) || !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       return false;
     const std::int64_t fit = task_amounts(spec).count_in(offered(spec, *kind));
     const double hourly = hourly_price(*kind, machine.spot);
-    return fit > 0 && hourly / static_cast<double>(fit) <= constants::kReservePriceMost * least_price(spec);
+    return fit > 0 && hourly / static_cast<double>(fit) <= constants::kReservePriceMost * lowest_price(spec);
   });
 }
 
 // How long a machine is kept idle. What will come is not known. Keeping it for as long as booting it again would
 // take costs at most twice the least possible, as with hired skis; half of that cost less on the deployments known,
 // where the next work mostly finds cheaper machines. Where an aim leaves no time for a boot, it is kept for longer.
-Millis TaskPricing::idle_most(const Machine& machine) const {
+Millis TaskPricing::max_idle(const Machine& machine) const {
   if (cluster_.settings.operators.idle_return_s > 0) return from_seconds(cluster_.settings.operators.idle_return_s);
-  if (serves_urgent(machine)) return constants::kReturnIdleUrgent;
+  if (serves_urgent_class(machine)) return constants::kReturnIdleUrgent;
   const wire::MachineType* kind = cluster_.type(machine.type);
   const double boot_s = kind == nullptr ? 0 : kind->boot_s;
   return std::max(constants::kReturnIdleLeast, from_seconds(boot_s * constants::kIdlePerBoot));
 }
 
-double TaskPricing::least_price(const wire::JobSpec& spec) const {
+double TaskPricing::lowest_price(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double least = 0;
   for (const wire::MachineType& kind : cluster_.types) {
--- a/src/control/task_pricing.h
+++ b/src/control/task_pricing.h
@@ -23,19 +23,19 @@
   // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
   [[nodiscard]] Amounts offered(const wire::JobSpec& spec, const wire::MachineType& kind) const;
   // An hour of the cheapest kind for one task of the job, whether there is one to rent or not.
-  [[nodiscard]] double least_price(const wire::JobSpec& spec) const;
+  [[nodiscard]] double lowest_price(const wire::JobSpec& spec) const;
   // How long tasks of the job wait for a machine that boots rather than for another one to be rented.
-  [[nodiscard]] Millis boot_awaited(const wire::JobSpec& spec) const;
+  [[nodiscard]] Millis longest_boot(const wire::JobSpec& spec) const;
   // What is left of a boot that is late.
-  [[nodiscard]] Millis boot_left(const Machine& machine, Instant now) const;
+  [[nodiscard]] Millis remaining_boot(const Machine& machine, Instant now) const;
   // Whether a class has an objective that leaves no time for a boot.
-  [[nodiscard]] bool urgent_class(const std::string& job_class, const wire::JobSpec& sample) const;
+  [[nodiscard]] bool is_urgent_class(const std::string& job_class, const wire::JobSpec& sample) const;
   // How long a machine is kept idle.
-  [[nodiscard]] Millis idle_most(const Machine& machine) const;
+  [[nodiscard]] Millis max_idle(const Machine& machine) const;
 
  private:
-  [[nodiscard]] double boot_cover_s(const wire::JobSpec& spec) const;
-  [[nodiscard]] bool serves_urgent(const Machine& machine) const;
+  [[nodiscard]] double shortest_startup_s(const wire::JobSpec& spec) const;
+  [[nodiscard]] bool serves_urgent_class(const Machine& machine) const;
 
   const ClusterState& cluster_;
   const DemandEstimator& demand_;
--- a/tests/unit/demand_and_capacity_test.cpp
+++ b/tests/unit/demand_and_capacity_test.cpp
@@ -55,10 +55,10 @@
 TEST_F(Supplies, ARefusalHoldsUntilThereIsRoomOrItsPauseEnds) {
   const Millis pause = supply_.refused(kPlain, 4, now_);
   EXPECT_EQ(pause, constants::kCapacityPause);
-  EXPECT_FALSE(supply_.on_offer(kPlain, {{kPlain, 4}}, now_));
-  EXPECT_TRUE(supply_.on_offer(kPlain, {{kPlain, 3}}, now_));
-  EXPECT_TRUE(supply_.on_offer(kBig, {}, now_));
-  EXPECT_TRUE(supply_.on_offer(kPlain, {{kPlain, 4}}, now_ + pause));
+  EXPECT_FALSE(supply_.is_available(kPlain, {{kPlain, 4}}, now_));
+  EXPECT_TRUE(supply_.is_available(kPlain, {{kPlain, 3}}, now_));
+  EXPECT_TRUE(supply_.is_available(kBig, {}, now_));
+  EXPECT_TRUE(supply_.is_available(kPlain, {{kPlain, 4}}, now_ + pause));
   // Refused again and again, it is asked less and less often, up to a bound.
   Millis last = pause;
   for (int time = 0; time < 20; ++time) {
@@ -68,7 +68,7 @@
     last = next;
   }
   supply_.given(kPlain);
-  EXPECT_TRUE(supply_.on_offer(kPlain, {{kPlain, 4}}, now_));
+  EXPECT_TRUE(supply_.is_available(kPlain, {{kPlain, 4}}, now_));
 }
 
 TEST_F(Supplies, ANewLeadKeepsRefusalsAlone) {
@@ -77,7 +77,7 @@
   supply_.refused(kPlain, 0, now_);
   CloudCapacityTracker kept = supply_.refusals();
   EXPECT_FALSE(kept.wanted());
-  EXPECT_FALSE(kept.on_offer(kPlain, {}, now_));
+  EXPECT_FALSE(kept.is_available(kPlain, {}, now_));
   kept.want({{kPlain, 3}});
   EXPECT_FALSE(kept.next(kTerm, {}, now_));  // sized before the refusal
 }
