--- /dev/null
+++ b/tests/unit/autoscaler_test.cpp
@@ -0,0 +1,78 @@
+#include "control/autoscaler.h"
+
+#include "cluster_fixture.h"
+
+namespace foxshunt::control {
+namespace {
+
+constexpr Term kTerm{7};
+
+class Autoscaling : public ClusterFixture {
+ protected:
+  void size_fleet(const std::vector<Job*>& queue) { autoscaler_.size_fleet(cluster_, queue, deadlines_, now_); }
+
+  Autoscaler autoscaler_;
+  DeadlinePlanner deadlines_;
+};
+
+TEST_F(Autoscaling, ScalesOutForLateTasks) {
+  Job& job = add_job(spec_of("j-000001", 6));
+  job.late_tasks = 6;  // four to a machine
+  size_fleet({&job});
+  const auto request = autoscaler_.next_rental(cluster_, kTerm, now_);
+  ASSERT_TRUE(request);
+  EXPECT_EQ(request->type, "plain");
+  EXPECT_EQ(request->count, 2U);
+}
+
+TEST_F(Autoscaling, NeverScalesOutBeyondTheQuota) {
+  Job& job = add_job(spec_of("j-000001", 100));
+  job.late_tasks = 100;  // eight fit the quota of 32 CPUs
+  size_fleet({&job});
+  const auto request = autoscaler_.next_rental(cluster_, kTerm, now_);
+  ASSERT_TRUE(request);
+  EXPECT_EQ(request->count, 2U);
+}
+
+TEST_F(Autoscaling, AsksForNothingWhereNothingIsLate) {
+  Job& job = add_job(spec_of("j-000001", 6));
+  size_fleet({&job});
+  EXPECT_FALSE(autoscaler_.next_rental(cluster_, kTerm, now_));
+  EXPECT_FALSE(autoscaler_.cloud_wanted(cluster_));
+}
+
+TEST_F(Autoscaling, AsksForNothingWhereTheSettingsForbidIt) {
+  cluster_.settings.operators.may_rent = false;
+  Job& job = add_job(spec_of("j-000001", 6));
+  job.late_tasks = 6;
+  size_fleet({&job});
+  EXPECT_FALSE(autoscaler_.next_rental(cluster_, kTerm, now_));
+}
+
+TEST_F(Autoscaling, MachinesThatWereGivenAreKnownToBoot) {
+  Job& job = add_job(spec_of("j-000001", 4));
+  job.late_tasks = 4;
+  size_fleet({&job});
+  const auto request = autoscaler_.next_rental(cluster_, kTerm, now_);
+  ASSERT_TRUE(request);
+  autoscaler_.on_rented(cluster_, *request, {MachineId("m-000009")}, now_);
+  const Machine& machine = cluster_.machines.at(MachineId("m-000009"));
+  EXPECT_EQ(machine.type, "plain");
+  EXPECT_EQ(machine.ready, now_ + Millis(10'000));
+  EXPECT_TRUE(cluster_.plan_wanted);
+}
+
+TEST_F(Autoscaling, ASuccessorKnowsWhatTheCloudRefusedAndNothingElse) {
+  Job& job = add_job(spec_of("j-000001", 4));
+  job.late_tasks = 4;
+  size_fleet({&job});
+  const auto request = autoscaler_.next_rental(cluster_, kTerm, now_);
+  ASSERT_TRUE(request);
+  autoscaler_.on_rent_refused(cluster_, *request, now_);
+  const Autoscaler successor = autoscaler_.successor();
+  EXPECT_EQ(successor.capacity().refused().size(), 1U);
+  EXPECT_FALSE(successor.capacity().wanted());
+}
+
+}  // namespace
+}  // namespace foxshunt::control
--- /dev/null
+++ b/tests/unit/cluster_fixture.h
@@ -0,0 +1,70 @@
+// A small cluster state for tests of the modules of `control`: one team, two zones, one machine type of 16 CPUs.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "control/cluster_state.h"
+
+namespace foxshunt::control {
+
+class ClusterFixture : public testing::Test {
+ protected:
+  ClusterFixture() : cluster_(settings()) {
+    cluster_.types = {{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}};
+  }
+
+  static config::Settings settings() {
+    config::Settings settings;
+    settings.zones = {"a", "b"};
+    settings.teams = {{.name = "red", .cpus = 8, .cpus_max = 32, .gpus = 0, .gpus_max = 0}};
+    settings.report_s = 1;
+    settings.lease_s = 10;
+    settings.cancel_s = 40;
+    settings.gang_wait_s = 60;
+    settings.operators.may_rent = true;
+    settings.operators.may_return = true;
+    return settings;
+  }
+
+  static wire::JobSpec spec_of(const std::string& id, std::uint32_t tasks, wire::JobKind kind = wire::JobKind::array) {
+    wire::JobSpec spec;
+    spec.id = JobId(id);
+    spec.kind = kind;
+    spec.job_class = "work";
+    spec.team = "red";
+    spec.tasks = tasks;
+    spec.cpus = 4;
+    spec.image = "img";
+    spec.estimate_s = 60;
+    return spec;
+  }
+
+  Job& add_job(const wire::JobSpec& spec) {
+    return cluster_.jobs.add(state::new_job(spec, 0), Revision(2), 0, cluster_.machines, now_);
+  }
+
+  // One that is up and has just been heard.
+  Machine& add_machine(const std::string& id, const std::string& zone = "a") {
+    Machine& machine = cluster_.know_machine(MachineId(id), now_);
+    machine.type = "plain";
+    machine.zone = zone;
+    machine.state = MachineState::up;
+    machine.reported = true;
+    machine.last_report = now_;
+    machine.ready = now_;
+    machine.images.insert("img");
+    cluster_.refresh_plan_machine(machine);
+    return machine;
+  }
+
+  jobs::Run& place(Job& job, std::uint32_t index, Machine& machine) {
+    return cluster_.jobs.place(job, index, AttemptNo(1), machine, now_);
+  }
+
+  ClusterState cluster_;
+  Instant now_{Millis(1'000'000)};
+};
+
+}  // namespace foxshunt::control
--- /dev/null
+++ b/tests/unit/scheduling_cycle_test.cpp
@@ -0,0 +1,98 @@
+#include "control/scheduling_cycle.h"
+
+#include "cluster_fixture.h"
+#include "config/constants.h"
+#include "control/leadership.h"
+#include "control/machine_filter.h"
+
+namespace foxshunt::control {
+namespace {
+
+class Cycle : public ClusterFixture {
+ protected:
+  Cycle() : leadership_(Millis(30'000)), tasks_(cluster_, leadership_) {
+    leadership_.begin(Term(7), Revision(1), now_);
+    confirm();
+  }
+
+  void confirm() {
+    leadership_.on_lease_confirmed(now_);
+    leadership_.on_records_confirmed(now_, cluster_.jobs);
+  }
+
+  bool plan(std::size_t places_most = SIZE_MAX) {
+    return cycle_.plan_some({cluster_, gangs_, autoscaler_, deadlines_, tasks_, counters_}, now_, places_most);
+  }
+
+  Leadership leadership_;
+  TaskLifecycle tasks_;
+  GangCoordinator gangs_;
+  Autoscaler autoscaler_;
+  DeadlinePlanner deadlines_;
+  Counters counters_;
+  SchedulingCycle cycle_;
+};
+
+TEST_F(Cycle, PlacesWhatHasRoomAndBooksTheRestAhead) {
+  add_machine("m-000001");  // room for four
+  Job& job = add_job(spec_of("j-000001", 6));
+  EXPECT_TRUE(plan());
+  EXPECT_EQ(job.runs_count, 4U);
+  EXPECT_EQ(job.pending(), 2U);
+  EXPECT_GT(job.planned_start, now_);
+  EXPECT_EQ(job.late_tasks, 2U);
+}
+
+TEST_F(Cycle, OnlyBooksWhileNothingMayStart) {
+  now_ += constants::kLeaderLease;
+  add_machine("m-000001");
+  Job& job = add_job(spec_of("j-000001", 2));
+  EXPECT_TRUE(plan());
+  EXPECT_EQ(job.runs_count, 0U);
+  EXPECT_EQ(job.booked.size(), 1U);
+}
+
+TEST_F(Cycle, IsUnderWayBetweenPortions) {
+  add_machine("m-000001");
+  add_job(spec_of("j-000001", 1));
+  add_job(spec_of("j-000002", 1));
+  EXPECT_FALSE(plan(1));
+  EXPECT_TRUE(cycle_.under_way());
+  EXPECT_TRUE(plan(1));
+  EXPECT_FALSE(cycle_.under_way());
+  EXPECT_EQ(counters_.passes, 1U);
+  EXPECT_EQ(counters_.portions, 2U);
+}
+
+TEST_F(Cycle, PlacesAGangAsAWholeOrNotAtAll) {
+  add_machine("m-000001");  // room for four
+  Job& gang = add_job(spec_of("j-000001", 5, wire::JobKind::gang));
+  EXPECT_TRUE(plan());
+  EXPECT_EQ(gang.runs_count, 0U);
+  EXPECT_EQ(gang.late_tasks, 5U);
+  add_machine("m-000002");
+  EXPECT_TRUE(plan());
+  EXPECT_EQ(gang.runs_count, 5U);
+}
+
+TEST_F(Cycle, APassRevokesTheBookingsOfThePassBefore) {
+  add_machine("m-000001");
+  add_job(spec_of("j-000001", 6));
+  plan();
+  const std::size_t bookings = cluster_.planner.bookings();
+  plan();
+  EXPECT_EQ(cluster_.planner.bookings(), bookings);
+}
+
+TEST_F(Cycle, AJobMayOnlyBePlannedOnMachinesOfItsZone) {
+  add_machine("m-000001", "a");
+  add_machine("m-000002", "b");
+  wire::JobSpec spec = spec_of("j-000001", 1);
+  spec.zone = "b";
+  const auto places = MachineFilter(cluster_, autoscaler_.demand()).places_for(add_job(spec), now_);
+  ASSERT_EQ(places.size(), 1U);
+  EXPECT_EQ(places.front().node->info.id, MachineId("m-000002"));
+}
+
+}  // namespace
+}  // namespace foxshunt::control
