--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::uint64_t tasks_of(const plan::Booking& booking, const Job& job) {
+std::uint64_t task_count(const plan::Booking& booking, const Job& job) {
   return static_cast<std::uint64_t>(booking.amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
 }
 
@@ -38,7 +38,7 @@
     const plan::Booking* found = cluster.planner.booking(booking);
     if (found == nullptr) continue;
     end = std::max(end, found->stop + beyond);
-    booked += tasks_of(*found, job);
+    booked += task_count(*found, job);
   }
   for (const Part& part : job.parts) {
     for (const auto& [unused, run] : part.runs) {
@@ -55,13 +55,13 @@
   for (const plan::BookingId booking : job.booked) {
     const plan::Booking* found = planner.booking(booking);
     if (found == nullptr || found->stop + run_time_beyond_booking(job) > by) continue;
-    timely += tasks_of(*found, job);
+    timely += task_count(*found, job);
   }
   return timely;
 }
 
 std::optional<foresight::Kind> rentable_kind(const PlanView& view, const Job& job, const wire::MachineType& kind,
-                                             double price_most, const Supply::Held& have) {
+                                             double price_most, const CloudCapacityTracker::Held& have) {
   const std::int64_t fit = job.each.count_in(TaskPricing(view.cluster, view.demand).offered(job.spec, kind));
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
@@ -81,7 +81,7 @@
   return any ? std::optional(std::move(found)) : std::nullopt;
 }
 
-foresight::Work work_of(const PlanView& view, const Job& job, Instant by, const Supply::Held& have) {
+foresight::Work work_of(const PlanView& view, const Job& job, Instant by, const CloudCapacityTracker::Held& have) {
   foresight::Work work{.by = by, .run = run_time(job)};
   work.waiting = job.pending();
   work.together = is_gang(job);
@@ -94,15 +94,16 @@
   if (const classes::Rank* rank = view.ranking.find(job.spec.id); rank != nullptr && view.ranking.on()) {
     work.capped = rank->capped;
   }
-  const double price_most = TaskPricing(view.cluster, view.demand).least_price(job.spec) * constants::kLatePriceMost;
+  const double price_most = TaskPricing(view.cluster, view.demand).lowest_price(job.spec) * constants::kLatePriceMost;
   for (const wire::MachineType& kind : view.cluster.types) {
     if (auto rentable = rentable_kind(view, job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
   }
   return work;
 }
 
-std::optional<foresight::Prospect> prospect_of(const PlanView& view, const Job& job, Instant by,
-                                               const Supply::Held& have, Instant planned_at, Instant now) {
+std::optional<foresight::Prospect> forecast_of(const PlanView& view, const Job& job, Instant by,
+                                               const CloudCapacityTracker::Held& have, Instant planned_at,
+                                               Instant now) {
   // A pass books some of a very large array only; the rest is not late for that.
   if (job.withdrawn || is_service(job) || job.pending() > constants::kTasksPlannedPerPass) return std::nullopt;
   const auto end = planned_end(view.cluster, job);
@@ -141,11 +142,11 @@
                                                                 Instant now) const {
   std::map<JobId, foresight::Prospect> prospects;
   if (dues_.empty() || view.cluster.types.empty()) return prospects;
-  const Supply::Held have = view.cluster.machines.held();
+  const CloudCapacityTracker::Held have = view.cluster.machines.held();
   for (const auto& [id, due] : dues_) {
     const auto entry = view.cluster.jobs.find(id);
     if (entry == view.cluster.jobs.end()) continue;
-    if (auto prospect = prospect_of(view, entry->second, due.by, have, planned_at, now)) {
+    if (auto prospect = forecast_of(view, entry->second, due.by, have, planned_at, now)) {
       prospects.emplace_hint(prospects.end(), id, std::move(*prospect));
     }
   }
@@ -169,13 +170,13 @@
   return timely_room(job, places, by, late, now) >= late ? 0 : late;
 }
 
-Millis DeadlinePlanner::time_to_rent(const Job& job, Instant now) const {
+Millis DeadlinePlanner::max_startup_for_deadline(const Job& job, Instant now) const {
   const auto due = dues_.find(job.spec.id);
   if (due == dues_.end()) return Millis::max();
   return due->second.by - now - run_time(job);
 }
 
-Millis DeadlinePlanner::rental_delay(const Job& job, Instant now) const {
+Millis DeadlinePlanner::scale_out_delay(const Job& job, Instant now) const {
   if (job.spec.deadline_s) {
     Instant by = job.submitted + from_seconds(*job.spec.deadline_s);
     if (const auto due = dues_.find(job.spec.id); due != dues_.end()) by = std::min(by, due->second.by);
--- a/src/control/job_intake.h
+++ b/src/control/job_intake.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "control/cluster_state.h"
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 #include "control/failover.h"
 #include "control/leadership.h"
 #include "control/task_lifecycle.h"
@@ -22,7 +22,7 @@
 
 class JobIntake {
  public:
-  JobIntake(ClusterState& cluster, const Leadership& leadership, Demand& demand)
+  JobIntake(ClusterState& cluster, const Leadership& leadership, DemandEstimator& demand)
       : cluster_(cluster), tasks_(cluster, leadership), demand_(demand) {}
 
   // Takes in what earlier leaders have recorded, and goes on with gangs and cancellations that they have left half done.
@@ -45,7 +45,7 @@
 
   ClusterState& cluster_;
   TaskLifecycle tasks_;
-  Demand& demand_;
+  DemandEstimator& demand_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/machine_filter.h
+++ b/src/control/machine_filter.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "control/cluster_state.h"
-#include "control/demand.h"
+#include "control/demand_estimator.h"
 #include "control/task_pricing.h"
 #include "plan/planner.h"
 
@@ -16,7 +16,7 @@
 
 class MachineFilter {
  public:
-  MachineFilter(const ClusterState& cluster, const Demand& demand)
+  MachineFilter(const ClusterState& cluster, const DemandEstimator& demand)
       : cluster_(cluster), demand_(demand), pricing_(cluster, demand) {}
 
   // Where the job may run at all, and what each machine has to do before it does.
@@ -30,11 +30,11 @@
                                      plan::Items& spare_gpus) const;
   [[nodiscard]] Millis preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const;
   // Whether pools leave the machine to the job. `warms`: the pool that its tasks are to warm.
-  [[nodiscard]] bool left_to(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
-                             Instant now) const;
+  [[nodiscard]] bool do_pools_allow(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
+                                    Instant now) const;
 
   const ClusterState& cluster_;
-  const Demand& demand_;
+  const DemandEstimator& demand_;
   TaskPricing pricing_;
 };
 
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -105,7 +105,7 @@
 bool MachineHousekeeper::may_return(const Machine& machine, Millis idle, Instant now) const {
   const bool kept = autoscaler_.is_spare(machine.id) || cluster_.pools.keeps(machine.id);
   return cluster_.settings.operators.may_return && !kept && leadership_.can_start(now) &&
-         idle > autoscaler_.pricing(cluster_).idle_most(machine);
+         idle > autoscaler_.pricing(cluster_).max_idle(machine);
 }
 
 bool MachineHousekeeper::is_idle(const Machine& machine, Instant now) const {
