--- /dev/null
+++ b/src/control/controller.h
@@ -0,0 +1,175 @@
+// The controller: takes events, calls the modules of this package in order, and hands out the actions that they decide on.
+//
+// Owns the cluster state and the modules that have state of their own (leadership, autoscaler, gang coordinator, scheduling cycle,
+// deadline planner); the others are made for the length of a call. Is told events and the time. Never does I/O, holds no lock and
+// starts no thread: `node` does, and calls it under a mutex. Not thread-safe.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "catalog/model.h"
+#include "config/settings.h"
+#include "control/autoscaler.h"
+#include "control/cluster_state.h"
+#include "control/counters.h"
+#include "control/deadline_planner.h"
+#include "control/failover.h"
+#include "control/gang_coordinator.h"
+#include "control/job_intake.h"
+#include "control/leadership.h"
+#include "control/scheduling_cycle.h"
+#include "control/task_lifecycle.h"
+#include "control/zone_coordinator.h"
+#include "foresight/foresight.h"
+#include "jobs/job_table.h"
+#include "pools/desk.h"
+#include "standby/picture.h"
+#include "kv/client.h"
+#include "wire/messages.h"
+#include "zone/delegated_lease.h"
+#include "zone/delegation_table.h"
+#include "zone/zone_health.h"
+
+namespace foxshunt::control {
+
+// What there is now.
+struct Census {
+  std::uint64_t jobs = 0;
+  std::uint64_t tasks_waiting = 0;
+  std::uint64_t tasks_placed = 0;
+  std::uint64_t machines_up = 0;
+  std::uint64_t machines_booting = 0;
+  std::uint64_t machines_leaving = 0;
+  std::uint64_t unwritten = 0;  // records that memory is ahead of
+  Millis unwritten_oldest{};    // for so long
+  Millis fence_left{};          // until workers' reports may no longer be answered
+};
+
+class Controller {
+ public:
+  explicit Controller(config::Settings settings);
+  // Another one that goes on from the same moment, for tests that try several orders.
+  [[nodiscard]] Controller copy() const;
+
+  // ---- leadership ----
+  void lead(const Takeover& takeover, Instant now);
+  void resign(const std::string& why);
+  // A write failed by its condition on this revision of the term's record: ends the lead that the write was of, and no other.
+  void on_term_conflict(Revision term_mark);
+  [[nodiscard]] bool leading() const { return leadership_.is_leader(); }
+  // Whether it left the lead to others so recently that they go first.
+  [[nodiscard]] bool gives_way(Instant now) const { return leadership_.should_yield(now); }
+  [[nodiscard]] Term term() const { return leadership_.term(); }
+  [[nodiscard]] Revision term_mark() const { return leadership_.term_revision(); }
+  // Word of a term from a sibling: a higher one ends this lead.
+  void hear_of(Term term);
+  // The lease was confirmed / all changes of records were known at that moment.
+  void confirm_lease(Instant when);
+  void confirm_reading(Instant when);
+  // Whether workers' reports may be answered with 200, and whether anything may be started.
+  [[nodiscard]] bool may_answer(Instant now) const;
+  [[nodiscard]] bool may_start(Instant now) const;
+
+  // ---- records ----
+  void on_job_record(const JobId& job, const wire::Value& record, Revision mark, std::int64_t wall_ms, Instant now);
+  void on_job_removed(const JobId& job, Instant now);
+  // All of live/, as a read found it that began in that term. False if this lead is another one: it knows better.
+  [[nodiscard]] bool on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now);
+  [[nodiscard]] std::optional<jobs::Reload> next_reload() const { return cluster_.jobs.next_reload(); }
+  // What a fresh read of the record found.
+  void on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now);
+  [[nodiscard]] std::optional<WriteBatch> begin_write(Instant now);
+  void end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
+
+  // ---- catalog ----
+  // The set in force, and the time of day.
+  void on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now);
+  // What the calendar's records ask of jobs.
+  void on_dues(foresight::Dues dues);
+  // What becomes of these by the plan, and what lacks.
+  [[nodiscard]] std::map<JobId, foresight::Prospect> prospects(Instant now) const;
+  // When the plan says that other jobs end; those without a booking are left out.
+  [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadlines_.planned_ends(cluster_); }
+
+  // ---- workers ----
+  // The commands to answer with; nothing when this controller may not act for the controllers.
+  [[nodiscard]] std::optional<std::vector<wire::Command>> on_report(const wire::Report& report, Instant now);
+  // Whether all that the report told is durable and planned, so that nothing better can be answered by waiting.
+  [[nodiscard]] bool settled(const wire::Report& report) const;
+  // What may be answered to the same report later on, besides what it was answered with.
+  [[nodiscard]] std::optional<std::vector<wire::Command>> later_commands(const wire::Report& report, Instant now);
+  [[nodiscard]] std::vector<DirectHalt> due_halts(Instant now);
+
+  // ---- zones ----
+  // What a sibling that asks is granted; nothing when it is no sibling, its word is stale, or nothing can be granted now.
+  [[nodiscard]] std::optional<zone::Grant> on_ask(const zone::Ask& ask, Instant now);
+  [[nodiscard]] const zone::Book& grants() const { return cluster_.delegations; }
+  [[nodiscard]] const zone::View& zones() const { return cluster_.zones; }
+
+  // ---- cloud ----
+  void on_types(const std::vector<wire::MachineType>& types);
+  [[nodiscard]] const std::vector<wire::MachineType>& types() const { return cluster_.types; }
+  void on_machine_list(const std::vector<wire::ListedMachine>& machines, Instant now);
+  [[nodiscard]] std::optional<wire::RentRequest> next_rental(Instant now);
+  void on_rented(const wire::RentRequest& request, const std::vector<MachineId>& machines, Instant now);
+  void on_rent_refused(const wire::RentRequest& request, Instant now);
+  [[nodiscard]] std::vector<MachineId> next_returns(Instant now);
+  void on_returned(const std::vector<MachineId>& machines, Instant now);
+
+  // ---- pools ----
+  // What the pools want of it, at any time; and what it sees, for them.
+  void steer(pools::Steer steer);
+  [[nodiscard]] pools::Sighting sight_pools(Instant now);
+
+  // ---- standby ----
+  // What no record tells, for siblings.
+  [[nodiscard]] standby::Picture soft_state(Instant now) const;
+  // What an earlier term's leader knew: steers plans and renting, and is taken back by what is seen. It proves nothing,
+  // and makes no machine usable. Comes at any time of a lead.
+  void hint(const standby::Picture& picture, Instant now);
+
+  // ---- time ----
+  // Housekeeping: expiries, overdue allocations, idle machines; ends a lead that no worker reaches.
+  void tick(Instant now);
+  // Plans what is pending and places what may start now, a portion of it: events are taken between portions. At least
+  // one job is planned, and no more once this many places were looked at. True when the pass has ended.
+  bool plan_some(Instant now, std::size_t places_most);
+  // A whole pass.
+  void plan_pass(Instant now);
+  [[nodiscard]] bool plan_wanted() const { return cluster_.plan_wanted || cycle_.under_way(); }
+  // Whether a pass is under way: what it has not come to has no booking.
+  [[nodiscard]] bool planning() const { return cycle_.under_way(); }
+  // Whether there is something to rent or to return.
+  [[nodiscard]] bool cloud_wanted() const;
+  [[nodiscard]] bool writes_wanted() const { return cluster_.jobs.writes_wanted(); }
+
+  [[nodiscard]] Census census(Instant now) const;
+  // Why the job's tasks wait and when the next is planned to start, in words; nothing if no such job is known.
+  [[nodiscard]] std::optional<std::string> explain(const JobId& job, Instant now) const;
+  [[nodiscard]] const Counters& counters() const { return cluster_.counters; }
+  [[nodiscard]] const std::map<JobId, Job>& jobs() const { return cluster_.jobs.all(); }
+  [[nodiscard]] const std::map<MachineId, Machine>& machines() const { return cluster_.machines.all(); }
+  // Whether jobs, runs and machines agree, for tests: what does not, in words.
+  [[nodiscard]] std::optional<std::string> disagreement() const {
+    return cluster_.jobs.disagreement(cluster_.machines);
+  }
+
+ private:
+  // Modules that store no state are made for the length of a call.
+  [[nodiscard]] TaskLifecycle tasks() { return {cluster_, leadership_}; }
+  [[nodiscard]] JobIntake job_intake() { return {cluster_, leadership_, autoscaler_.demand()}; }
+  [[nodiscard]] ZoneCoordinator zone_coordinator() { return {cluster_, leadership_}; }
+
+  ClusterState cluster_;
+  Leadership leadership_;
+  Autoscaler autoscaler_;
+  GangCoordinator gangs_;
+  SchedulingCycle cycle_;
+  DeadlinePlanner deadlines_;
+};
+
+}  // namespace foxshunt::control
--- /dev/null
+++ b/src/control/controller_fleet.cpp
@@ -0,0 +1,93 @@
+// Machines, as the cloud tells of them and as time passes.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "config/constants.h"
+#include "control/controller.h"
+#include "control/machine_housekeeper.h"
+
+namespace foxshunt::control {
+
+namespace {
+
+// Whether no agent reaches this node, and no other controller passes heartbeats on: the agents' leases end soon, whoever leads,
+// and another node may hear them. Only while the state service answers, without which nobody could take the lead.
+bool is_unreachable(const ClusterState& cluster, const Leadership& leadership, Instant now) {
+  return cluster.machines.unheard(now) >= constants::kUnheardLeast && cluster.settings.nodes > 1 &&
+         leadership.can_start(now);
+}
+
+}  // namespace
+
+void Controller::on_types(const std::vector<wire::MachineType>& types) {
+  cluster_.types = types;
+  for (auto& [unused, machine] : cluster_.machines) {
+    cluster_.refresh_plan_machine(machine);
+    cluster_.know_cache(machine);
+  }
+  cluster_.plan_wanted = true;
+}
+
+void Controller::on_machine_list(const std::vector<wire::ListedMachine>& listed, Instant now) {
+  if (!leadership_.is_leader()) return;
+  for (const wire::ListedMachine& entry : listed) {
+    const auto known = cluster_.machines.list(entry, cluster_.boot_time(entry.type), now);
+    if (!known) continue;  // an old list
+    Machine& machine = known->machine;
+    if (known->fresh) cluster_.know_cache(machine);
+    if (!machine.reported) cluster_.refresh_plan_machine(machine);
+    if (entry.state == wire::ListedState::failed && machine.state != MachineState::returning) {
+      spdlog::info("machine {} has failed", entry.id.text());
+      machine.listed.failed = true;
+      machine.state = MachineState::returning;
+      machine.why = "it has failed";
+    }
+  }
+}
+
+std::optional<wire::RentRequest> Controller::next_rental(Instant now) {
+  if (!leadership_.can_start(now)) return std::nullopt;
+  return autoscaler_.next_rental(cluster_, leadership_.term(), now);
+}
+
+void Controller::on_rented(const wire::RentRequest& request, const std::vector<MachineId>& rented, Instant now) {
+  if (leadership_.is_leader()) autoscaler_.on_rented(cluster_, request, rented, now);
+}
+
+void Controller::on_rent_refused(const wire::RentRequest& request, Instant now) {
+  autoscaler_.on_rent_refused(cluster_, request, now);
+}
+
+bool Controller::cloud_wanted() const { return autoscaler_.cloud_wanted(cluster_); }
+
+std::vector<MachineId> Controller::next_returns(Instant now) {
+  return leadership_.can_start(now) ? Autoscaler::next_returns(cluster_) : std::vector<MachineId>();
+}
+
+void Controller::on_returned(const std::vector<MachineId>& names, Instant now) {
+  if (!leadership_.is_leader()) return;
+  for (const MachineId& id : names) {
+    const auto entry = cluster_.machines.find(id);
+    if (entry == cluster_.machines.end()) continue;
+    spdlog::info("machine {} is returned: {}", id.text(), entry->second.why);
+    cluster_.machines.on_returned(id);
+    const std::set<TaskKey> runs = entry->second.runs.copy();
+    for (const TaskKey& key : runs) tasks().lose_task(key, "its machine was returned", now);
+    cluster_.forget_machine(id);
+  }
+}
+
+void Controller::tick(Instant now) {
+  if (!leadership_.is_leader()) return;
+  if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no worker reaches it", now);
+  cluster_.planner.forget_before(now);
+  cycle_.request_overdue_pass(cluster_, now);
+  cluster_.delegations.forget_before(now);
+  ZoneCoordinator zones = zone_coordinator();
+  zones.move_services_out();
+  if (cluster_.settings.operators.zone_watch) zones.observe_zones(now);
+  MachineHousekeeper(cluster_, leadership_, autoscaler_).review_machines(now);
+}
+
+}  // namespace foxshunt::control
--- /dev/null
+++ b/src/control/controller_pools.cpp
@@ -0,0 +1,46 @@
+// What the controller does for warm pools: it tells what it sees and keeps to what they want.
+#include "control/controller.h"
+
+namespace foxshunt::control {
+
+void Controller::steer(pools::Steer steer) {
+  const bool was_on = cluster_.pools.on();
+  cluster_.pools.take(std::move(steer));
+  if (!leadership_.is_leader()) return;
+  for (auto& [unused, machine] : cluster_.machines) cluster_.know_cache(machine);
+  if (cluster_.pools.on() != was_on) cluster_.plan_wanted = true;
+}
+
+pools::Sighting Controller::sight_pools(Instant now) {
+  pools::Sighting seen;
+  if (!leadership_.is_leader()) return seen;
+  seen.answers = cluster_.pools.answers();
+  seen.may_rent = cluster_.settings.operators.may_rent;
+  seen.types = cluster_.types;
+  for (const std::string& zone : cluster_.settings.zones) {
+    if (!cluster_.counted_on(zone)) seen.left_zones.insert(zone);
+  }
+  if (!cluster_.pools.on()) return seen;
+  seen.settled = cluster_.pools.settled(now);
+  seen.starts = cluster_.pools.take_starts();
+  for (const auto& [id, machine] : cluster_.machines) {
+    if (machine.type.empty()) continue;
+    pools::Sight sight{.id = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot};
+    sight.leaving = machine.state == MachineState::draining || machine.state == MachineState::returning;
+    const bool booked = has_bookings(machine);
+    sight.spare = machine.runs.empty() && !booked && !autoscaler_.is_spare(id) && cluster_.usable(machine, now);
+    for (const TaskKey& key : machine.runs) {
+      const Job& job = cluster_.jobs.at(key.job);
+      cluster_.pools.look(sight, job.spec);
+    }
+    const pools::Cache* const cache = cluster_.pools.cache(id);
+    if (cache != nullptr && cluster_.pools.of_interest(*cache)) sight.images = cache->images();
+    seen.machines.push_back(std::move(sight));
+  }
+  for (const auto& [id, unused] : cluster_.pools.members()) {
+    if (cluster_.machines.gone(id)) seen.gone.insert(id);
+  }
+  return seen;
+}
+
+}  // namespace foxshunt::control
--- /dev/null
+++ b/src/control/controller_records.cpp
@@ -0,0 +1,59 @@
+// Records: what is durable, and what of it is on its way.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "config/guards.h"
+#include "control/controller.h"
+
+namespace foxshunt::control {
+
+using guards::Guard;
+using guards::kept;
+
+void Controller::on_job_record(const JobId& id, const wire::Value& record, Revision mark, std::int64_t wall_ms,
+                               Instant now) {
+  if (!leadership_.is_leader()) return;
+  cycle_.queue().ranking().tell_time(wall_ms, now);
+  job_intake().on_record(id, record, mark, wall_ms, now);
+}
+
+void Controller::on_job_removed(const JobId& id, Instant now) {
+  if (leadership_.is_leader()) job_intake().on_removed(id, now);
+}
+
+bool Controller::on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now) {
+  // Read in an earlier lead, it lacks what was accepted since, which would be taken for withdrawn and never run.
+  if (!leadership_.is_leader() || (kept(Guard::list_term) && read_in != leadership_.term())) return false;
+  if (!live.empty()) cycle_.queue().ranking().tell_time(wall_ms, now);
+  job_intake().on_list(live, wall_ms, now);
+  return true;
+}
+
+void Controller::on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now) {
+  if (leadership_.is_leader()) job_intake().on_reloaded(reload, mark, now);
+}
+
+std::optional<WriteBatch> Controller::begin_write(Instant now) {
+  if (!leadership_.can_start(now)) return std::nullopt;
+  return cluster_.jobs.begin_write(leadership_.term_revision(), cluster_.settings.state_txn_ops, now);
+}
+
+void Controller::end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now) {
+  // The answer to an earlier lead's write tells nothing of this one: that its condition on the term failed is no reason to
+  // give this lead up, and the job table that it was built from is gone.
+  if (!leadership_.is_leader() || (kept(Guard::write_earlier_lead) && batch.term_mark != leadership_.term_revision()))
+    return;
+  ++cluster_.counters.writes;
+  if (result.answer != kv::Answer::ok) ++cluster_.counters.writes_failed;
+  if (result.answer == kv::Answer::conflict &&
+      std::ranges::find(result.failed, state::kTermKey) != result.failed.end()) {
+    on_term_conflict(batch.term_mark);
+    return;
+  }
+  for (const Job& job : cluster_.jobs.end_write(batch, result, now)) {
+    for (const plan::BookingId booking : job.booked) cluster_.planner.revoke(booking);
+  }
+}
+
+}  // namespace foxshunt::control
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -1,6 +1,6 @@
 // The job table: the jobs that this leader knows, their parts, and the runs (allocations of tasks to machines): what is
 // durable, what memory is ahead of the records, which writes are under way, and what teams use. It builds the writes;
-// what is placed, halted or taken for terminated its callers decide.
+// what is placed, stopped or taken for terminated its callers decide.
 //
 // It keeps two invariants, each in one place:
 //
--- a/src/node/leadership.h
+++ b/src/node/leadership.h
@@ -44,7 +44,7 @@
   kv::Client client_;
 };
 
-// Writes what the engine wants durable.
+// Writes what the controller wants durable.
 class WriteDuty {
  public:
   explicit WriteDuty(Context& context);
--- a/tests/golden/messages_test.cpp
+++ b/tests/golden/messages_test.cpp
@@ -4,9 +4,11 @@
 #include "golden/golden_file.h"
 #include "health/health.h"
 #include "standby/words.h"
-#include "state/records.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 #include "wire/messages.h"
-#include "zone/words.h"
+#include "zone/messages.h"
 
 namespace foxshunt::golden {
 namespace {
--- a/tests/golden/records_test.cpp
+++ b/tests/golden/records_test.cpp
@@ -10,7 +10,9 @@
 #include "catalog/xml.h"
 #include "golden/golden_file.h"
 #include "pools/records.h"
-#include "state/records.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::golden {
 namespace {
--- a/tests/golden/state_service_test.cpp
+++ b/tests/golden/state_service_test.cpp
@@ -5,8 +5,10 @@
 
 #include "golden/golden_file.h"
 #include "net/http.h"
-#include "state/client.h"
-#include "state/records.h"
+#include "kv/client.h"
+#include "state/job_records.h"
+#include "state/keys.h"
+#include "state/leadership_records.h"
 
 namespace foxshunt::golden {
 namespace {
@@ -51,25 +53,25 @@
   constexpr double kEnough = 1e6;
   const auto until = net::Clock::now() + std::chrono::seconds(60);
   RecordingServer server;
-  state::RateBudget budget(kEnough, kEnough, 1);
-  state::Client client(server.address(), budget, state::Urgency::duty);
+  kv::RateBudget budget(kEnough, kEnough, 1);
+  kv::Client client(server.address(), budget, kv::Urgency::duty);
   std::string answers;
 
   server.answers(R"({"mark":17,"data":{"next":3}})");
-  const state::GetResult found = client.get("live/j-000412", until);
+  const kv::GetResult found = client.get("live/j-000412", until);
   answers += "get: mark " + std::to_string(found.entry.mark.number()) + " " + to_json(found.entry.data) + "\n";
 
   server.answers(R"({"tally":20,"items":[{"k":"live/j-000412","data":"x","mark":17}],"more":false})");
-  const state::ListResult listed = client.list("live/", milliseconds(60'000));
+  const kv::ListResult listed = client.list("live/", milliseconds(60'000));
   answers += "list: revision " + std::to_string(listed.revision.number());
-  for (const state::Entry& entry : listed.entries) {
+  for (const kv::Entry& entry : listed.entries) {
     answers += " " + entry.key + " mark " + std::to_string(entry.mark.number()) + " " + to_json(entry.data);
   }
 
-  const state::Txn txn{.conditions = {{.key = "a", .mark = Revision(4)}, {.key = "b", .mark = {}}},
-                       .changes = {{.key = "a", .data = Value(Value::Map{{"x", 1}}), .lease = state::LeaseId{9}},
-                                   {.key = "b", .data = Value("text"), .lease = {}},
-                                   {.key = "c", .data = {}, .lease = {}}}};
+  const kv::Txn txn{.conditions = {{.key = "a", .mark = Revision(4)}, {.key = "b", .mark = {}}},
+                    .changes = {{.key = "a", .data = Value(Value::Map{{"x", 1}}), .lease = kv::LeaseId{9}},
+                                {.key = "b", .data = Value("text"), .lease = {}},
+                                {.key = "c", .data = {}, .lease = {}}}};
   server.answers(R"({"tally":21})");
   answers += "\ntransaction: revision " + std::to_string(client.txn(txn, until).revision.number());
   server.answers(R"({"failed":["b"]})", 409);
@@ -77,25 +79,25 @@
 
   server.answers(R"({"tether":33})");
   answers += "\nlease: " + std::to_string(client.grant(milliseconds(9'000), until).value().number) + "\n";
-  (void)client.touch(state::LeaseId{33}, until);
-  (void)client.revoke(state::LeaseId{33}, until);
+  (void)client.touch(kv::LeaseId{33}, until);
+  (void)client.revoke(kv::LeaseId{33}, until);
 
   server.answers(R"({"tally":22,"news":[{"set":"a","data":7,"mark":21},{"remove":"b","mark":22}]})");
-  const state::FollowResult followed = client.follow("live/", Revision(20), milliseconds(1'500), until);
+  const kv::FollowResult followed = client.follow("live/", Revision(20), milliseconds(1'500), until);
   answers += "watch: revision " + std::to_string(followed.revision.number());
-  for (const state::Event& event : followed.events) {
+  for (const kv::Event& event : followed.events) {
     answers += " " + event.key + " mark " + std::to_string(event.mark.number()) + " " +
                (event.data ? to_json(*event.data) : "removed");
   }
   expect_same("state_service.txt", server.told() + answers + "\n");
 }
 
-std::string text_of(const state::Txn& txn) {
+std::string text_of(const kv::Txn& txn) {
   std::string text;
-  for (const state::Condition& condition : txn.conditions) {
+  for (const kv::Condition& condition : txn.conditions) {
     text += "if " + condition.key + " " + std::to_string(condition.mark.number()) + "\n";
   }
-  for (const state::Change& change : txn.changes) {
+  for (const kv::Change& change : txn.changes) {
     text += "set " + change.key + " " + to_json(change.data.value()) + " " + to_hex(change.data.value());
     if (change.lease) text += " lease " + std::to_string(change.lease->number);
     text += "\n";
@@ -103,20 +105,20 @@
   return text;
 }
 
-state::GetResult got(const std::string& json, std::uint64_t mark) {
-  return {.answer = state::Answer::ok, .entry = {.key = {}, .data = from_json(json), .mark = Revision(mark)}};
+kv::GetResult got(const std::string& json, std::uint64_t mark) {
+  return {.answer = kv::Answer::ok, .entry = {.key = {}, .data = from_json(json), .mark = Revision(mark)}};
 }
 
 TEST(GoldenStateService, TakingTheLead) {
-  const state::GetResult nothing{.answer = state::Answer::not_found, .entry = {}};
+  const kv::GetResult nothing{.answer = kv::Answer::not_found, .entry = {}};
   std::string told;
   const state::LeadView first = state::lead_view(nothing, nothing);
-  told += text_of(state::take_lead_txn(first, NodeName("node-0"), state::LeaseId{5}, 0));
+  told += text_of(state::take_lead_txn(first, NodeName("node-0"), kv::LeaseId{5}, 0));
   const state::LeadView later = state::lead_view(got(R"({"node":"node-0","tether":5})", 8),
                                                  got(R"({"term":7,"leader":"node-0","until":1760000000000})", 9));
   told += "held by lease " + std::to_string(later.holder_lease) + ", others until " +
           std::to_string(later.others_until_wall_ms) + "\n";
-  told += text_of(state::take_lead_txn(later, NodeName("node-1"), state::LeaseId{6}, 1760000009000));
+  told += text_of(state::take_lead_txn(later, NodeName("node-1"), kv::LeaseId{6}, 1760000009000));
   expect_same("leadership.txt", told);
 }
 
