--- /dev/null
+++ b/tests/ci/doc_links_test.sh
@@ -0,0 +1,169 @@
+#!/usr/bin/env bash
+# Checks what the pages cite against the tree, so that a page can't go on naming what was moved or renamed:
+#   links      every relative link of a page leads to a file, and to a heading there if it names one
+#   paths      every path below src, tests, deploy, docs or .ci that a page names in backticks exists
+#   functions  every `Type::member` in backticks stands in the sources: some file there has both names
+#   warnings   docs/on-call.md lists every warning and error that the sources log, and no other
+# doc_links_test.sh [ROOT] CASE; without a case all of them. Prints FILE:LINE: FAULT for each fault, exit code 1 if there is any.
+#
+# Pages that tell of the past (docs/incidents, and journal entries) keep the names that were true then: only their links
+# are checked.
+set -euo pipefail
+
+root="$(cd "$(dirname "$0")/../.." && pwd)"
+if [[ -d "${1:-}" ]]; then
+  root="$(cd "$1" && pwd)"
+  shift
+fi
+
+exec python3 - "$root" "$@" <<'PYTHON'
+import functools
+import pathlib
+import re
+import sys
+
+ROOT = pathlib.Path(sys.argv[1])
+SOURCE_FOLDERS = ("src", "tests")
+PATH_FOLDERS = ("src", "tests", "deploy", "docs", ".ci")
+ON_CALL_PAGE = ROOT / "docs" / "on-call.md"
+
+LINK = re.compile(r"\[[^\]]*\]\(([^)\s]+)\)")
+CODE = re.compile(r"`([^`]+)`")
+PATH = re.compile(r"^(?:%s)/[\w./*-]+$" % "|".join(re.escape(folder) for folder in PATH_FOLDERS))
+MEMBER = re.compile(r"^([A-Za-z_][\w]*(?:::~?[A-Za-z_]\w*)+)(?:\(\))?$")
+WORD = re.compile(r"[A-Za-z_]\w*")
+# A log call: the function, then the level where it is chosen at run time, then the text; adjacent literals are one text.
+LOG_CALL = re.compile(r"spdlog::(warn|error|critical|log)\(([^;\"]*?)((?:\"(?:\\.|[^\"\\])*\"\s*)+)", re.S)
+LITERAL = re.compile(r"\"((?:\\.|[^\"\\])*)\"")
+
+
+def pages():
+    found = sorted((ROOT / "docs").rglob("*.md")) + sorted(ROOT.glob("*.md")) + sorted((ROOT / "tests").rglob("*.md"))
+    return [page for page in found if page.is_file()]
+
+
+def is_historical(page):
+    return "incidents" in page.relative_to(ROOT).parts
+
+
+def lines_of(page):
+    """The page's lines with their numbers, without those of fenced blocks."""
+    is_fenced = False
+    for number, line in enumerate(page.read_text().splitlines(), 1):
+        if line.lstrip().startswith("```"):
+            is_fenced = not is_fenced
+        elif not is_fenced:
+            yield number, line
+
+
+def fault(page, number, text):
+    return f"{page.relative_to(ROOT)}:{number}: {text}"
+
+
+def anchor_of(heading):
+    kept = re.sub(r"[^\w\- ]", "", heading.strip().lower().replace("`", ""))
+    return kept.replace(" ", "-")
+
+
+@functools.cache
+def anchors_of(page):
+    return {anchor_of(line.lstrip("#")) for _, line in lines_of(page) if line.startswith("#")}
+
+
+def check_links():
+    for page in pages():
+        for number, line in lines_of(page):
+            for target in LINK.findall(line):
+                if re.match(r"[a-z]+:", target):
+                    continue
+                path, _, anchor = target.partition("#")
+                linked = (page.parent / path).resolve() if path else page
+                if not linked.exists():
+                    yield fault(page, number, f"link to {target}: no such file")
+                elif anchor and linked.suffix == ".md" and anchor not in anchors_of(linked):
+                    yield fault(page, number, f"link to {target}: no such heading")
+
+
+def check_paths():
+    for page in pages():
+        if is_historical(page):
+            continue
+        for number, line in lines_of(page):
+            for code in CODE.findall(line):
+                if not PATH.match(code) or "NAME" in code:
+                    continue
+                # A module is named without its suffix: src/node/relay is relay.h with relay.cpp.
+                if not any(list(ROOT.glob(code.rstrip("/") + suffix)) for suffix in ("", ".h", ".cpp")):
+                    yield fault(page, number, f"`{code}`: no such path")
+
+
+@functools.cache
+def words_of_sources():
+    return [set(WORD.findall(file.read_text())) for folder in SOURCE_FOLDERS
+            for file in sorted((ROOT / folder).rglob("*")) if file.suffix in (".h", ".cpp")]
+
+
+def check_functions():
+    for page in pages():
+        if is_historical(page):
+            continue
+        for number, line in lines_of(page):
+            for code in CODE.findall(line):
+                cited = MEMBER.match(code)
+                if not cited or code.startswith("std::"):
+                    continue
+                names = set(re.split(r"::~?", cited.group(1)))
+                if not any(names <= words for words in words_of_sources()):
+                    yield fault(page, number, f"`{code}`: no source file has {' and '.join(sorted(names))}")
+
+
+def may_warn(function, level):
+    """Whether the call may log a warning or an error: by its name, or by a level that is not only info and debug."""
+    if function != "log":
+        return True
+    return "level::warn" in level or "level::err" in level or "level::" not in level
+
+
+def warning_texts():
+    """File, line and text of every warning and error that the sources log, with an ellipsis for each value."""
+    for file in sorted((ROOT / "src").rglob("*.cpp")):
+        source = file.read_text()
+        for call in LOG_CALL.finditer(source):
+            function, level, literals = call.groups()
+            if may_warn(function, level):
+                text = "".join(LITERAL.findall(literals)).replace('\\"', '"')
+                yield file, source.count("\n", 0, call.start()) + 1, re.sub(r"\{[^}]*\}", "…", text)
+
+
+def listed_texts(page):
+    """Line and text of each first column in the page's section of warnings and errors."""
+    is_listed = False
+    for number, line in lines_of(page):
+        if line.startswith("## "):
+            is_listed = line == "## Warnings and errors"
+        elif is_listed and line.startswith("| `"):
+            for text in CODE.findall(line.split(" | ")[0]):
+                yield number, text
+
+
+def check_warnings():
+    logged = {text: (file, number) for file, number, text in warning_texts()}
+    listed = {text: number for number, text in listed_texts(ON_CALL_PAGE)}
+    for text, (file, number) in logged.items():
+        if text not in listed:
+            yield fault(file, number, f"docs/on-call.md lacks this warning or error: `{text}`")
+    for text, number in listed.items():
+        if text not in logged:
+            yield fault(ON_CALL_PAGE, number, f"`{text}`: no such warning or error in the sources")
+
+
+CASES = {"links": check_links, "paths": check_paths, "functions": check_functions, "warnings": check_warnings}
+
+chosen = sys.argv[2:] or list(CASES)
+unknown = [case for case in chosen if case not in CASES]
+if unknown:
+    sys.exit(f"doc_links_test.sh: unknown case {unknown[0]}; known: {', '.join(CASES)}")
+faults = [text for case in chosen for text in CASES[case]()]
+print("\n".join(faults) if faults else "no fault found in " + ", ".join(chosen))
+sys.exit(1 if faults else 0)
+PYTHON
