--- a/tests/ci/doc_links_test.sh
+++ b/tests/ci/doc_links_test.sh
@@ -2,7 +2,7 @@
 # Checks what the pages cite against the tree, so that a page can't go on naming what was moved or renamed:
 #   links      every relative link of a page leads to a file, and to a heading there if it names one
 #   paths      every path below src, tests, deploy, docs or .ci that a page names in backticks exists
-#   functions  every `Type::member` in backticks stands in the sources: some file there has both names
+#   functions  every `Type::member` in backticks stands in the sources: a file that declares Type, a class or namespace, has the member
 #   warnings   docs/on-call.md lists every warning and error that the sources log, and no other
 # doc_links_test.sh [ROOT] CASE; without a case all of them. Prints FILE:LINE: FAULT for each fault, exit code 1 if there is any.
 #
@@ -98,9 +98,12 @@
 
 
 @functools.cache
-def words_of_sources():
-    return [set(WORD.findall(file.read_text())) for folder in SOURCE_FOLDERS
-            for file in sorted((ROOT / folder).rglob("*")) if file.suffix in (".h", ".cpp")]
+def words_where_declared(scope):
+    """The words of each source file that declares a type or a namespace of this name."""
+    declares = re.compile(r"\b(?:class|struct|namespace) (?:\w+::)*%s\b(?!;)" % scope)
+    texts = (file.read_text() for folder in SOURCE_FOLDERS for file in sorted((ROOT / folder).rglob("*.h*"))
+             + sorted((ROOT / folder).rglob("*.cpp")))
+    return [set(WORD.findall(text)) for text in texts if declares.search(text)]
 
 
 def check_functions():
@@ -112,9 +115,12 @@
                 cited = MEMBER.match(code)
                 if not cited or code.startswith("std::"):
                     continue
-                names = set(re.split(r"::~?", cited.group(1)))
-                if not any(names <= words for words in words_of_sources()):
-                    yield fault(page, number, f"`{code}`: no source file has {' and '.join(sorted(names))}")
+                scope, member = cited.group(1).split("::")[-2:]
+                files = words_where_declared(scope)
+                if not files:
+                    yield fault(page, number, f"`{code}`: no source file declares {scope}")
+                elif not any(member.lstrip("~") in words for words in files):
+                    yield fault(page, number, f"`{code}`: no file that declares {scope} has {member}")
 
 
 def may_warn(function, level):
