--- a/tests/ci/doc_links_test.sh
+++ b/tests/ci/doc_links_test.sh
@@ -4,7 +4,7 @@
 #   paths      every path below src, tests, deploy, docs or .ci that a page names in backticks exists
 #   functions  every `Type::member` in backticks stands in the sources: a file that declares Type, a class or namespace, has the member
 #   names      every identifier, test (`Suite.Test`) and hyphenated name in backticks stands in the sources, or names a scenario
-#   warnings   docs/on-call.md lists every warning and error that the sources log, and no other
+#   warnings   docs/on-call.md lists every warning and error that the sources log, and no other; its lines at info are logged
 # doc_links_test.sh [ROOT] CASE; without a case all of them. Prints FILE:LINE: FAULT for each fault, exit code 1 if there is any.
 #
 # Pages that tell of runs of the past (PAGES_OF_THE_PAST below) keep the names that were true then: only their links are checked.
@@ -42,7 +42,7 @@
 COMPOSED_COUNTER = re.compile(r"^(?:wait_\w+_ms|\w+_slowest_ms|\w+_refused|\w+_bad)$")
 STYLES = {"CamelCase", "snake_case", "kCamelCase"}
 # A log call: the function, then the level where it is chosen at run time, then the text; adjacent literals are one text.
-LOG_CALL = re.compile(r"spdlog::(warn|error|critical|log)\(([^;\"]*?)((?:\"(?:\\.|[^\"\\])*\"\s*)+)", re.S)
+LOG_CALL = re.compile(r"spdlog::(debug|info|warn|error|critical|log)\(([^;\"]*?)((?:\"(?:\\.|[^\"\\])*\"\s*)+)", re.S)
 LITERAL = re.compile(r"\"((?:\\.|[^\"\\])*)\"")
 
 
@@ -167,41 +167,46 @@
 def may_warn(function, level):
     """Whether the call may log a warning or an error: by its name, or by a level that is not only info and debug."""
     if function != "log":
-        return True
+        return function in ("warn", "error", "critical")
     return "level::warn" in level or "level::err" in level or "level::" not in level
 
 
-def warning_texts():
-    """File, line and text of every warning and error that the sources log, with an ellipsis for each value."""
+@functools.cache
+def logged_texts():
+    """File, line, text and whether it may be a warning of every log call; an ellipsis stands for each value."""
+    texts = []
     for file in sorted((ROOT / "src").rglob("*.cpp")):
         source = file.read_text()
         for call in LOG_CALL.finditer(source):
             function, level, literals = call.groups()
-            if may_warn(function, level):
-                text = "".join(LITERAL.findall(literals)).replace('\\"', '"')
-                yield file, source.count("\n", 0, call.start()) + 1, re.sub(r"\{[^}]*\}", "…", text)
+            text = "".join(LITERAL.findall(literals)).replace('\\"', '"')
+            number = source.count("\n", 0, call.start()) + 1
+            texts.append((file, number, re.sub(r"\{[^}]*\}", "…", text), may_warn(function, level)))
+    return texts
 
 
-def listed_texts(page):
-    """Line and text of each first column in the page's section of warnings and errors."""
+def listed_texts(section):
+    """Line and text of each first column in the section of the on-call page."""
     is_listed = False
-    for number, line in lines_of(page):
+    for number, line in lines_of(ON_CALL_PAGE):
         if line.startswith("## "):
-            is_listed = line == "## Warnings and errors"
+            is_listed = line == "## " + section
         elif is_listed and line.startswith("| `"):
             for text in CODE.findall(line.split(" | ")[0]):
                 yield number, text
 
 
 def check_warnings():
-    logged = {text: (file, number) for file, number, text in warning_texts()}
-    listed = {text: number for number, text in listed_texts(ON_CALL_PAGE)}
-    for text, (file, number) in logged.items():
-        if text not in listed:
+    warnings = {text: number for number, text in listed_texts("Warnings and errors")}
+    for file, number, text, is_warning in logged_texts():
+        if is_warning and text not in warnings:
             yield fault(file, number, f"docs/on-call.md lacks this warning or error: `{text}`")
-    for text, number in listed.items():
-        if text not in logged:
+    for text, number in warnings.items():
+        if not any(text == logged and is_warning for _, _, logged, is_warning in logged_texts()):
             yield fault(ON_CALL_PAGE, number, f"`{text}`: no such warning or error in the sources")
+    for number, text in listed_texts("Notable lines at info"):
+        if not any(text == logged for _, _, logged, _ in logged_texts()):
+            yield fault(ON_CALL_PAGE, number, f"`{text}`: no such log line in the sources")
 
 
 CASES = {"links": check_links, "paths": check_paths, "functions": check_functions, "names": check_names,
