--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -16,7 +16,7 @@
 #include "config/constants.h"
 #include "config/settings.h"
 #include "net/http.h"
-#include "node/catalog.h"
+#include "node/catalog_settings.h"
 #include "node/node.h"
 
 namespace {
--- /dev/null
+++ b/src/node/cache_watcher.cpp
@@ -0,0 +1,149 @@
+#include "node/cache_watcher.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <iterator>
+
+#include "calendar/keeper.h"
+#include "catalog/records.h"
+#include "config/constants.h"
+#include "node/clock.h"
+#include "node/store_calls.h"
+
+namespace foxshunt::node {
+
+using state::Answer;
+
+namespace {
+
+// Read and told to readers, not held: the catalog's book holds the items of its sets itself, encoded. Twenty sets at the
+// limits are 27 MB as values and 6 MB there.
+constexpr const char* kToldAlone = catalog::kItemPrefix;
+
+// Every key: one watch tells all changes in the order of revisions.
+constexpr const char* kEverything = "";
+
+// Tells the engine of the catalog in force when that is another one. To be called without locks.
+
+void tell_catalog(Context& context) {
+  std::shared_ptr<const catalog::Set> set;
+  {
+    const std::lock_guard lock(context.shared.mutex);
+    set = context.shared.catalog.in_force();
+    if (set == context.shared.told) return;
+    context.shared.told = set;
+  }
+  calendar::warm(*set);  // reads zone files, while nobody waits for them
+  const std::lock_guard lock(context.engine_mutex.of(Duty::records));
+  context.engine.on_catalog(*set, wall_ms(), now());
+}
+
+}  // namespace
+
+LedgerDuty::LedgerDuty(Context& context)
+    : context_(context),
+      client_(context.state_address, context.budget, state::Urgency::duty),
+      compared_(net::Clock::now()) {}
+
+std::optional<LedgerDuty::Found> LedgerDuty::read_all(bool to_compare) {
+  Found found;
+  bool first = true;
+  std::vector<std::string> prefixes = kept_prefixes();
+  if (!to_compare) prefixes.emplace_back(kToldAlone);
+  for (const std::string& prefix : prefixes) {
+    state::ListResult page = client_.list(prefix, constants::kStateCallLimit);
+    if (page.answer != Answer::ok) return std::nullopt;
+    if (first) found.from = page.revision;
+    first = false;
+    std::ranges::move(page.entries, std::back_inserter(found.entries));
+  }
+  context_.heard_state();
+  return found;
+}
+
+bool LedgerDuty::read() {
+  const auto found = read_all(false);
+  if (!found) return false;
+  Shared& shared = context_.shared;
+  {
+    const std::lock_guard lock(shared.mutex);
+    shared.ledger.read(found->entries, found->from);
+    shared.calendar.cold_read();
+    ++shared.cold_reads;
+  }
+  shared.moved.notify_all();  // a new leader may await no more than this
+  return true;
+}
+
+void LedgerDuty::run(const std::stop_token& stop) {
+  while (!stop.stop_requested()) {
+    if (read()) {
+      watch(stop);
+    } else {
+      pause(stop, constants::kStateRetryPause);
+    }
+  }
+}
+
+void LedgerDuty::watch(const std::stop_token& stop) {
+  Shared& shared = context_.shared;
+  while (!stop.stop_requested()) {
+    Revision from;
+    {
+      const std::lock_guard lock(shared.mutex);
+      from = shared.ledger.revision();
+    }
+    const state::FollowResult news =
+        client_.follow(kEverything, from, constants::kLedgerHold, call_limit() + constants::kLedgerHold);
+    if (news.answer == Answer::too_old) return;  // it fell behind: a cold read
+    if (news.answer != Answer::ok) {
+      pause(stop, constants::kStateRetryPause);
+      continue;
+    }
+    context_.heard_state();
+    {
+      const std::lock_guard lock(shared.mutex);
+      shared.ledger.heard(news.events, news.revision);
+      shared.changes_heard += news.events.size();
+      shared.calendar.look(moment());
+    }
+    shared.moved.notify_all();
+    tell_catalog(context_);
+    if (!news.events.empty()) context_.keep_signal.raise();
+    if (net::Clock::now() - compared_ > constants::kLedgerCompareEvery && !compare(stop)) return;
+    // Changes that come together are read together: a watch that wakes for each costs more than what it tells.
+    if (!news.events.empty()) pause(stop, constants::kLedgerPause);
+  }
+}
+
+bool LedgerDuty::compare(const std::stop_token& stop) {
+  Shared& shared = context_.shared;
+  compared_ = net::Clock::now();
+  {
+    const std::lock_guard lock(shared.mutex);
+    shared.comparison.begin();
+  }
+  const auto found = read_all(true);
+  if (!found) return true;
+  // Once the watch has told of something asked after the read, all that the read can have seen is known.
+  Revision from;
+  {
+    const std::lock_guard lock(shared.mutex);
+    from = shared.ledger.revision();
+  }
+  const state::FollowResult news = client_.follow(kEverything, from, std::chrono::milliseconds(0), call_limit());
+  if (news.answer != Answer::ok || stop.stop_requested()) return news.answer != Answer::too_old;
+  const std::lock_guard lock(shared.mutex);
+  shared.ledger.heard(news.events, news.revision);
+  shared.calendar.look(moment());
+  const std::vector<std::string> differ = shared.comparison.differences(shared.ledger, found->entries, found->from);
+  shared.comparison.begin();
+  if (differ.empty()) return true;
+  shared.differences += differ.size();
+  spdlog::error("ledger: differs from a cold read, which wins: keys={} first={} revision={}", differ.size(),
+                differ.front(), shared.ledger.revision().number());
+  return false;
+}
+
+}  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/cache_watcher.h
@@ -0,0 +1,35 @@
+// The watch over all records, which every node has.
+#pragma once
+
+#include <optional>
+#include <stop_token>
+#include <vector>
+
+#include "node/context.h"
+#include "state/client.h"
+
+namespace foxshunt::node {
+
+// Reads the records once, then watches them: one watch over everything, so that changes come in the order of revisions.
+class LedgerDuty {
+ public:
+  explicit LedgerDuty(Context& context);
+  void run(const std::stop_token& stop);
+
+ private:
+  [[nodiscard]] bool read();
+  void watch(const std::stop_token& stop);
+  // Now and then, in the background: what a cold read finds wins over what is believed. False when it differs.
+  [[nodiscard]] bool compare(const std::stop_token& stop);
+  struct Found {
+    std::vector<state::Entry> entries;
+    Revision from;
+  };
+  [[nodiscard]] std::optional<Found> read_all(bool to_compare);
+
+  Context& context_;
+  state::Client client_;
+  net::Clock::time_point compared_;
+};
+
+}  // namespace foxshunt::node
--- a/src/node/calendar.cpp
+++ b/src/node/calendar_requests.cpp
@@ -1,10 +1,11 @@
-#include "node/calendar.h"
+#include "node/calendar_requests.h"
 
 #include <charconv>
 #include <vector>
 
 #include "config/constants.h"
-#include "node/front.h"
+#include "node/clock.h"
+#include "node/http_responses.h"
 #include "state/client.h"
 
 namespace foxshunt::node {
--- a/src/node/catalog.cpp
+++ b/src/node/catalog_requests.cpp
@@ -1,4 +1,4 @@
-#include "node/catalog.h"
+#include "node/catalog_requests.h"
 
 #include <spdlog/spdlog.h>
 
@@ -9,7 +9,9 @@
 
 #include "calendar/civil.h"
 #include "config/constants.h"
-#include "node/front.h"
+#include "node/catalog_settings.h"
+#include "node/clock.h"
+#include "node/http_responses.h"
 #include "state/client.h"
 
 namespace foxshunt::node {
@@ -84,41 +86,6 @@
 
 }  // namespace
 
-catalog::Known known_of(const config::Settings& settings) {
-  catalog::Known known;
-  known.teams.emplace();
-  for (const config::Team& team : settings.teams) known.teams->insert(team.name);
-  known.zones.emplace(settings.zones.begin(), settings.zones.end());
-  known.time_zone = calendar::zone_exists;
-  known.record_bytes_most = static_cast<std::size_t>(settings.state_value_kb * 1024) - constants::kRecordSpareBytes;
-  return known;
-}
-
-catalog::WriteLimits write_limits_of(const config::Settings& settings) {
-  return {.changes = settings.state_txn_ops,
-          .bytes = constants::kTxnBytesMost,
-          .portion = std::min(settings.state_txn_ops, constants::kCatalogPortionMost)};
-}
-
-std::optional<catalog::Founding> founding_of(const config::Settings& settings) {
-  const std::string& path = settings.operators.founding_catalog;
-  if (path.empty()) return std::nullopt;
-  if (!settings.operators.shared_records) {
-    spdlog::warn("founding set is not used: shared-records is off file=\"{}\"", path);
-    return std::nullopt;
-  }
-  catalog::Founding founding{.file = path, .text = {}, .known = known_of(settings)};
-  std::ifstream file(path, std::ios::binary);
-  if (!file) return founding;
-  std::string text(constants::kCatalogXmlBytesMost + 1, '\0');  // a longer one is refused by its length
-  file.read(text.data(), static_cast<std::streamsize>(text.size()));
-  if (file.bad()) return founding;
-  text.resize(static_cast<std::size_t>(file.gcount()));
-  text.shrink_to_fit();
-  founding.text = std::move(text);
-  return founding;
-}
-
 struct CatalogDoor::Wanted {
   std::string file;
   std::string author;
--- /dev/null
+++ b/src/node/catalog_settings.h
@@ -0,0 +1,19 @@
+// What the settings say about the catalog.
+#pragma once
+
+#include <optional>
+
+#include "catalog/founder.h"
+#include "catalog/xml.h"
+#include "config/settings.h"
+
+namespace foxshunt::node {
+
+// What a catalog is judged by in this deployment; its machine types come from the cloud.
+[[nodiscard]] catalog::Known known_of(const config::Settings& settings);
+// Of transactions that write a set.
+[[nodiscard]] catalog::WriteLimits write_limits_of(const config::Settings& settings);
+// The founding set's file, read now; nothing: the settings name none, or the records are not followed.
+[[nodiscard]] std::optional<catalog::Founding> founding_of(const config::Settings& settings);
+
+}  // namespace foxshunt::node
--- a/src/node/cloud.cpp
+++ b/src/node/cloud_loop.cpp
@@ -1,15 +1,12 @@
-#include "node/cloud.h"
+#include "node/cloud_loop.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <deque>
-#include <map>
-#include <system_error>
-#include <thread>
 #include <utility>
 
 #include "config/constants.h"
+#include "node/clock.h"
 
 namespace foxshunt::node {
 
@@ -187,66 +184,4 @@
   }
 }
 
-void HaltDuty::send(const control::DirectHalt& halt) {
-  const auto address = net::parse_address(halt.address);
-  if (!address) return;
-  net::HttpClient client(*address, constants::kHaltCallLimit);
-  const auto answer = client.call({.method = "POST",
-                                   .path = "/commands",
-                                   .body = wire::encode(wire::direct_commands(halt.term, halt.session, halt.commands))},
-                                  net::Clock::now() + constants::kHaltCallLimit);
-  // What became of it is learnt from the worker's next report, which alone is proof.
-  spdlog::debug("machine {}: told directly to stop {} tasks: {}", halt.machine.text(), halt.commands.size(),
-                answer ? std::to_string(answer->status) : "no answer");
-}
-
-void HaltDuty::run(const std::stop_token& stop) {
-  struct Sender {
-    std::atomic<bool> done{false};
-    std::jthread thread;
-  };
-  std::map<MachineId, std::unique_ptr<Sender>> senders;
-  std::deque<control::DirectHalt> waiting;  // the oldest first, one a machine
-  while (!stop.stop_requested()) {
-    context_.halt_signal.wait(stop, !waiting.empty()  ? constants::kTick
-                                    : senders.empty() ? constants::kForGood
-                                                      : constants::kHaltCallLimit);
-    std::erase_if(senders, [](const auto& entry) { return entry.second->done.load(); });
-    std::vector<control::DirectHalt> due;
-    Term term;
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::reports));
-      due = std::exchange(context_.halts, {});
-      term = context_.engine.term();
-    }
-    for (control::DirectHalt& halt : due) {
-      if (senders.contains(halt.machine)) continue;
-      const auto same = std::ranges::find(waiting, halt.machine, &control::DirectHalt::machine);
-      if (same != waiting.end()) {
-        *same = std::move(halt);
-      } else {
-        waiting.push_back(std::move(halt));
-      }
-    }
-    for (; !waiting.empty() && senders.size() < constants::kHaltsAtOnce; waiting.pop_front()) {
-      control::DirectHalt& next = waiting.front();
-      // What an ended lead wanted gone the next one may want, also if this process leads again.
-      if (next.term != term) continue;
-      const MachineId machine = next.machine;
-      auto sender = std::make_unique<Sender>();
-      Sender* const raw = sender.get();
-      try {
-        sender->thread = std::jthread([this, raw, halt = std::move(next)] {
-          send(halt);
-          raw->done = true;
-        });
-      } catch (const std::system_error& error) {
-        spdlog::warn("no thread to tell machine {} directly: {}", machine.text(), error.what());
-        continue;  // halts are repeated until proof
-      }
-      senders.emplace(machine, std::move(sender));
-    }
-  }
-}
-
 }  // namespace foxshunt::node
--- a/src/node/cloud.h
+++ b/src/node/cloud_loop.h
@@ -37,15 +37,4 @@
   std::stop_token stop_;
 };
 
-// Tells workers directly to stop tasks, one thread a worker, so that a silent one delays no other.
-class HaltDuty {
- public:
-  explicit HaltDuty(Context& context) : context_(context) {}
-  void run(const std::stop_token& stop);
-
- private:
-  void send(const control::DirectHalt& halt);
-  Context& context_;
-};
-
 }  // namespace foxshunt::node
--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "config/constants.h"
+#include "node/clock.h"
 
 namespace foxshunt::node {
 namespace {
@@ -17,28 +18,6 @@
 
 }  // namespace
 
-void Signal::raise() {
-  {
-    const std::lock_guard lock(mutex_);
-    up_ = true;
-  }
-  raised_.notify_one();
-}
-
-bool Signal::wait(const std::stop_token& stop, std::chrono::milliseconds most) {
-  std::unique_lock lock(mutex_);
-  raised_.wait_for(lock, stop, most, [this] { return up_; });
-  return std::exchange(up_, false);
-}
-
-bool pause(const std::stop_token& stop, std::chrono::milliseconds span) {
-  std::mutex mutex;
-  std::condition_variable_any never;
-  std::unique_lock lock(mutex);
-  never.wait_for(lock, stop, span, [] { return false; });
-  return !stop.stop_requested();
-}
-
 Context::Context(const config::Settings& from)
     : settings(from),
       state_address(address_or_throw(from.state, "outside.state")),
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -7,38 +7,17 @@
 
 #include "config/settings.h"
 #include "control/engine.h"
-#include "net/socket.h"
-#include "node/counters.h"
-#include "node/duty_mutex.h"
-#include "node/shared.h"
-#include "node/standby.h"
 #include "health/health.h"
+#include "net/socket.h"
+#include "node/auto_reset_event.h"
+#include "node/metrics.h"
+#include "node/priority_mutex.h"
+#include "node/shared_records.h"
+#include "node/standby_state.h"
 #include "state/budget.h"
 
 namespace foxshunt::node {
 
-inline plan::Instant now() { return std::chrono::floor<plan::Millis>(net::Clock::now()); }
-inline std::int64_t wall_ms() {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
-
-// A flag that one duty raises and another waits for.
-class Signal {
- public:
-  void raise();
-  // Waits until it is raised, the time is over or a stop is asked for; then lowers it. Whether it was raised.
-  bool wait(const std::stop_token& stop, std::chrono::milliseconds most);
-
- private:
-  std::mutex mutex_;
-  std::condition_variable_any raised_;
-  bool up_ = false;
-};
-
-// Sleeps unless a stop is asked for; false then.
-bool pause(const std::stop_token& stop, std::chrono::milliseconds span);
-
 struct Context {
   explicit Context(const config::Settings& from);
 
--- a/src/node/relay.cpp
+++ b/src/node/heartbeat_relay.cpp
@@ -1,8 +1,9 @@
-#include "node/relay.h"
+#include "node/heartbeat_relay.h"
 
 #include <spdlog/spdlog.h>
 
 #include "config/constants.h"
+#include "node/clock.h"
 
 namespace foxshunt::node {
 
--- a/src/node/relay.h
+++ b/src/node/heartbeat_relay.h
@@ -8,8 +8,8 @@
 
 #include "control/unreached.h"
 #include "node/context.h"
-#include "node/pool.h"
-#include "node/zones.h"
+#include "node/client_pool.h"
+#include "node/held_delegation.h"
 
 namespace foxshunt::node {
 
--- a/src/node/zones.h
+++ b/src/node/held_delegation.h
@@ -1,13 +1,13 @@
-// What passes between siblings about zones: every second a node that does not lead asks the leader for the right to
-// answer its own zone's workers, and uses it when neither it nor they can reach the leader.
+// The right to answer this node's zone's workers, as the leader has granted it.
 #pragma once
 
-#include <map>
-#include <memory>
 #include <mutex>
+#include <optional>
+#include <string>
 
-#include "net/http.h"
-#include "node/context.h"
+#include "config/settings.h"
+#include "node/rate_limited_log.h"
+#include "wire/messages.h"
 #include "zone/grants.h"
 
 namespace foxshunt::node {
@@ -35,22 +35,4 @@
   Seldom warned_;
 };
 
-class AskDuty {
- public:
-  AskDuty(Context& context, ZoneRights& rights);
-  void run(const std::stop_token& stop);
-
- private:
-  void ask(net::HttpClient& leader, Term term);
-
-  Context& context_;
-  ZoneRights& rights_;
-  std::map<NodeName, net::HttpClient> siblings_;
-};
-
-// Answers a sibling's word: with a grant while this node leads.
-[[nodiscard]] net::HttpResponse answer_ask(Context& context, ZoneRights& rights, const std::string& body);
-// GET /zones, for operators.
-[[nodiscard]] net::HttpResponse zones_answer(Context& context, const ZoneRights& rights);
-
 }  // namespace foxshunt::node
--- a/src/node/leadership.cpp
+++ b/src/node/leader_elector.cpp
@@ -1,30 +1,19 @@
-#include "node/leadership.h"
+#include "node/leader_elector.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <iterator>
 
 #include "config/constants.h"
 #include "control/readiness.h"
 #include "control/times.h"
+#include "node/clock.h"
+#include "node/store_calls.h"
 
 namespace foxshunt::node {
 
 using state::Answer;
 
-namespace {
-
-net::Deadline call_limit() { return net::Clock::now() + constants::kStateCallLimit; }
-
-bool answered(Answer answer) {
-  return answer == Answer::ok || answer == Answer::not_found || answer == Answer::conflict;
-}
-
-}  // namespace
-
-// ---- LeaderDuty ----
-
 LeaderDuty::LeaderDuty(Context& context)
     : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
 
@@ -250,177 +239,4 @@
   context_.budget.set_share((1 - constants::kLeaderShare) / (nodes - 1));
 }
 
-// ---- FollowDuty ----
-
-FollowDuty::FollowDuty(Context& context)
-    : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
-
-void FollowDuty::run(const std::stop_token& stop) {
-  while (!stop.stop_requested()) {
-    Revision from;
-    Term term;
-    bool leading = false;
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
-      leading = context_.engine.leading();
-      from = context_.follow_from;
-      term = context_.engine.term();
-    }
-    if (!leading) {
-      if (!context_.wait_to_lead(stop)) return;
-      continue;
-    }
-    const plan::Instant sent = now();
-    const state::FollowResult news =
-        client_.follow(state::kLivePrefix, from, constants::kFollowHold, call_limit() + constants::kFollowHold);
-    if (news.answer == Answer::too_old) {
-      reload(stop, term);
-      continue;
-    }
-    if (news.answer != Answer::ok) {
-      pause(stop, constants::kStateRetryPause);
-      continue;
-    }
-    context_.heard_state();
-    const plan::Instant at = now();
-    const std::int64_t wall = wall_ms();
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
-      if (!context_.engine.leading() || context_.engine.term() != term) continue;
-      for (const state::Event& event : news.events) {
-        const auto id = state::job_of_key(event.key);
-        if (!id) continue;
-        if (event.data) {
-          context_.engine.on_job_record(*id, *event.data, event.mark, wall, at);
-        } else {
-          context_.engine.on_job_removed(*id, at);
-        }
-      }
-      context_.engine.confirm_reading(sent);
-      context_.follow_from = news.revision;
-    }
-    if (!news.events.empty()) {
-      context_.plan_signal.raise();
-      context_.write_signal.raise();
-    }
-  }
-}
-
-// The watch is too far behind: what is there now is compared with what is known.
-void FollowDuty::reload(const std::stop_token& stop, Term term) {
-  const plan::Instant sent = now();
-  const state::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit);
-  if (live.answer != Answer::ok) {
-    pause(stop, constants::kStateRetryPause);
-    return;
-  }
-  const plan::Instant at = now();
-  const std::int64_t wall = wall_ms();
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
-  if (!context_.engine.on_job_list(term, live.entries, wall, at)) return;
-  context_.engine.confirm_reading(sent);
-  context_.follow_from = live.revision;
-  context_.plan_signal.raise();
-}
-
-// ---- WriteDuty ----
-
-WriteDuty::WriteDuty(Context& context)
-    : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
-
-void WriteDuty::reload_jobs() {
-  while (true) {
-    std::optional<jobs::Reload> reload;
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
-      reload = context_.engine.next_reload();
-    }
-    if (!reload) return;
-    const state::GetResult found = client_.get(reload->key(), call_limit());
-    if (!answered(found.answer)) return;
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
-    context_.engine.on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt,
-                                now());
-  }
-}
-
-void WriteDuty::run(const std::stop_token& stop) {
-  while (context_.wait_to_lead(stop)) {
-    reload_jobs();
-    std::optional<control::WriteBatch> batch;
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
-      batch = context_.engine.begin_write(now());
-    }
-    if (!batch) {
-      if (context_.write_signal.wait(stop, constants::kWriteLook)) pause(stop, constants::kWritePause);
-      continue;
-    }
-    const state::TxnResult result = client_.txn(batch->txn, call_limit());
-    if (answered(result.answer)) context_.heard_state();
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
-      context_.engine.end_write(*batch, result, now());
-    }
-    context_.engine_moved.notify_all();
-    if (!answered(result.answer)) pause(stop, constants::kStateRetryPause);
-  }
-}
-
-// ---- PlanDuty ----
-
-void PlanDuty::run(const std::stop_token& stop) {
-  while (context_.wait_to_lead(stop)) {
-    context_.plan_signal.wait(stop, constants::kHousekeepEvery);
-    bool wanted = false;
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
-      context_.engine.tick(now());
-      wanted = context_.engine.plan_wanted();
-      if (!context_.engine.leading()) context_.lead_signal.raise();
-    }
-    // Reports, records and the lease take their turn between portions.
-    const auto began = net::Clock::now();
-    for (bool ended = !wanted; !ended && !stop.stop_requested();) {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
-      ended = context_.engine.plan_some(now(), constants::kPlacesPerPortion);
-    }
-    bool writes = false;
-    bool cloud = false;
-    bool halts = false;
-    bool placed = false;
-    control::Census census;
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
-      writes = context_.engine.writes_wanted();
-      cloud = context_.engine.cloud_wanted();
-      std::ranges::move(context_.engine.due_halts(now()), std::back_inserter(context_.halts));
-      halts = !context_.halts.empty();
-      if (wanted) census = context_.engine.census(now());
-      placed = context_.engine.counters().placed > 0;
-    }
-    if (wanted) {
-      context_.standby.reached(standby::Phase::planned);
-      if (placed) context_.standby.reached(standby::Phase::placed);
-    }
-    context_.standby.log_takeover();
-    if (census.unwritten_oldest > constants::kBehind && late_write_.due(net::Clock::now())) {
-      spdlog::warn("behind: {} records are to be written, the oldest for {:.1f} s", census.unwritten,
-                   control::to_seconds(census.unwritten_oldest));
-    }
-    if (writes) context_.write_signal.raise();
-    if (cloud) context_.cloud_signal.raise();
-    if (halts) context_.halt_signal.raise();
-    if (!wanted) continue;
-    const auto ended_at = net::Clock::now();
-    context_.tallies.planned(ended_at - began);
-    if (ended_at - began > constants::kBehind && late_pass_.due(ended_at)) {
-      spdlog::warn("behind: a planning pass took {:.1f} s; placements are late",
-                   std::chrono::duration<double>(ended_at - began).count());
-    }
-    context_.engine_moved.notify_all();
-    pause(stop, constants::kPlanPause);
-  }
-}
-
 }  // namespace foxshunt::node
--- a/src/node/leadership.h
+++ b/src/node/leader_elector.h
@@ -1,8 +1,6 @@
-// Who leads: a leased key and a term that only grows; and the duties of whoever leads.
+// Who leads: a leased key and a term that only grows.
 #pragma once
 
-#include <functional>
-
 #include "node/context.h"
 #include "state/client.h"
 
@@ -31,40 +29,4 @@
   state::LeaseId lease_;
 };
 
-// Reads the changes of records while leading.
-class FollowDuty {
- public:
-  explicit FollowDuty(Context& context);
-  void run(const std::stop_token& stop);
-
- private:
-  void reload(const std::stop_token& stop, Term term);
-  Context& context_;
-  state::Client client_;
-};
-
-// Writes what the engine wants durable.
-class WriteDuty {
- public:
-  explicit WriteDuty(Context& context);
-  void run(const std::stop_token& stop);
-
- private:
-  void reload_jobs();
-  Context& context_;
-  state::Client client_;
-};
-
-// Plans, and keeps house.
-class PlanDuty {
- public:
-  explicit PlanDuty(Context& context) : context_(context) {}
-  void run(const std::stop_token& stop);
-
- private:
-  Context& context_;
-  Seldom late_pass_;
-  Seldom late_write_;
-};
-
 }  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/metrics.cpp
@@ -0,0 +1,32 @@
+#include "node/metrics.h"
+
+namespace foxshunt::node {
+
+void Tallies::answered(Kind kind, int status, RecentPeak::Clock::duration after) {
+  Requests& requests = requests_[static_cast<std::size_t>(kind)];
+  ++requests.all;
+  if (status == 503 || status == 429) {
+    ++requests.refused;
+  } else if (status >= 400 && status < 500 && status != 421) {
+    ++requests.bad;
+  }
+  const std::lock_guard lock(mutex_);
+  answers_[static_cast<std::size_t>(kind)].note(after, RecentPeak::Clock::now());
+}
+
+void Tallies::planned(RecentPeak::Clock::duration took) {
+  const std::lock_guard lock(mutex_);
+  passes_.note(took, RecentPeak::Clock::now());
+}
+
+std::chrono::milliseconds Tallies::slowest(Kind kind) {
+  const std::lock_guard lock(mutex_);
+  return answers_[static_cast<std::size_t>(kind)].longest(RecentPeak::Clock::now());
+}
+
+std::chrono::milliseconds Tallies::longest_pass() {
+  const std::lock_guard lock(mutex_);
+  return passes_.longest(RecentPeak::Clock::now());
+}
+
+}  // namespace foxshunt::node
--- a/src/node/counters.h
+++ b/src/node/metrics.h
@@ -1,18 +1,16 @@
-// What an operator can read from a running node: GET /counters, and why a job waits: GET /plan/<job>.
+// What a node counts as it happens.
 #pragma once
 
 #include <array>
 #include <atomic>
+#include <chrono>
+#include <cstdint>
 #include <mutex>
 
-#include "net/http.h"
-#include "node/duty_mutex.h"
 #include "node/recent_peak.h"
 
 namespace foxshunt::node {
 
-struct Context;
-
 // Counted as it happens; reading them costs the node next to nothing.
 class Tallies {
  public:
@@ -40,7 +38,4 @@
   RecentPeak passes_;
 };
 
-[[nodiscard]] net::HttpResponse counters_answer(Context& context, const net::HttpServer& server);
-[[nodiscard]] net::HttpResponse plan_answer(Context& context, const std::string& job);
-
 }  // namespace foxshunt::node
--- a/src/node/counters.cpp
+++ b/src/node/operator_requests.cpp
@@ -1,14 +1,15 @@
-#include "node/counters.h"
+#include "node/operator_requests.h"
 
 #include <sys/resource.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <fstream>
 
 #include "control/times.h"
-#include "node/context.h"
-#include "node/front.h"
+#include "node/clock.h"
+#include "node/http_responses.h"
 
 namespace foxshunt::node {
 namespace {
@@ -32,39 +33,8 @@
   return static_cast<double>(resident) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / (1024.0 * 1024.0);
 }
 
-std::uint64_t count_ms(std::chrono::milliseconds span) {
-  return static_cast<std::uint64_t>(std::max<std::int64_t>(0, span.count()));
-}
-
 }  // namespace
 
-void Tallies::answered(Kind kind, int status, RecentPeak::Clock::duration after) {
-  Requests& requests = requests_[static_cast<std::size_t>(kind)];
-  ++requests.all;
-  if (status == 503 || status == 429) {
-    ++requests.refused;
-  } else if (status >= 400 && status < 500 && status != 421) {
-    ++requests.bad;
-  }
-  const std::lock_guard lock(mutex_);
-  answers_[static_cast<std::size_t>(kind)].note(after, RecentPeak::Clock::now());
-}
-
-void Tallies::planned(RecentPeak::Clock::duration took) {
-  const std::lock_guard lock(mutex_);
-  passes_.note(took, RecentPeak::Clock::now());
-}
-
-std::chrono::milliseconds Tallies::slowest(Kind kind) {
-  const std::lock_guard lock(mutex_);
-  return answers_[static_cast<std::size_t>(kind)].longest(RecentPeak::Clock::now());
-}
-
-std::chrono::milliseconds Tallies::longest_pass() {
-  const std::lock_guard lock(mutex_);
-  return passes_.longest(RecentPeak::Clock::now());
-}
-
 net::HttpResponse counters_answer(Context& context, const net::HttpServer& server) {
   Tallies& tallies = context.tallies;
   const net::Clock::duration up = net::Clock::now() - context.began;
--- a/src/node/peers.cpp
+++ b/src/node/peer_prober.cpp
@@ -1,9 +1,10 @@
-#include "node/peers.h"
+#include "node/peer_prober.h"
 
 #include <spdlog/spdlog.h>
 
 #include "config/constants.h"
-#include "node/front.h"
+#include "node/clock.h"
+#include "node/http_responses.h"
 #include "state/records.h"
 
 namespace foxshunt::node {
--- a/src/node/duty_mutex.cpp
+++ b/src/node/priority_mutex.cpp
@@ -1,4 +1,4 @@
-#include "node/duty_mutex.h"
+#include "node/priority_mutex.h"
 
 #include <algorithm>
 
--- a/src/node/queue.cpp
+++ b/src/node/queue_requests.cpp
@@ -1,10 +1,11 @@
-#include "node/queue.h"
+#include "node/queue_requests.h"
 
 #include <charconv>
 
 #include "calendar/keeper.h"
 #include "classes/queue.h"
-#include "node/front.h"
+#include "node/clock.h"
+#include "node/http_responses.h"
 
 namespace foxshunt::node {
 namespace {
@@ -40,17 +41,4 @@
   return {.status = 200, .body = wire::encode(classes::queue_answer(ranks, table, basis, ask)), .retry_after_s = {}};
 }
 
-void tell_catalog(Context& context) {
-  std::shared_ptr<const catalog::Set> set;
-  {
-    const std::lock_guard lock(context.shared.mutex);
-    set = context.shared.catalog.in_force();
-    if (set == context.shared.told) return;
-    context.shared.told = set;
-  }
-  calendar::warm(*set);  // reads zone files, while nobody waits for them
-  const std::lock_guard lock(context.engine_mutex.of(Duty::records));
-  context.engine.on_catalog(*set, wall_ms(), now());
-}
-
 }  // namespace foxshunt::node
--- a/src/node/queue.h
+++ b/src/node/queue_requests.h
@@ -9,7 +9,4 @@
 // GET /queue?class=C&team=T&from=N, of any node that follows the records.
 [[nodiscard]] net::HttpResponse queue_answer(Context& context, const net::HttpRequest& request);
 
-// Tells the engine of the catalog in force when that is another one. To be called without locks.
-void tell_catalog(Context& context);
-
 }  // namespace foxshunt::node
--- a/src/node/recent_peak.h
+++ b/src/node/recent_peak.h
@@ -1,10 +1,8 @@
-// What is told of the recent past only: the largest of the spans noted in the last minute or two, and warnings that
-// are not repeated all the time. Not synchronised.
+// The largest of the spans noted in the last minute or two. Not synchronised.
 #pragma once
 
 #include <algorithm>
 #include <chrono>
-#include <optional>
 
 #include "config/constants.h"
 
@@ -37,17 +35,4 @@
   Clock::duration earlier_{};
 };
 
-// Lets a warning through once a minute.
-class Seldom {
- public:
-  [[nodiscard]] bool due(std::chrono::steady_clock::time_point now) {
-    if (next_ && now < *next_) return false;
-    next_ = now + constants::kWarnEvery;
-    return true;
-  }
-
- private:
-  std::optional<std::chrono::steady_clock::time_point> next_;
-};
-
 }  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/record_controller_loop.cpp
@@ -0,0 +1,114 @@
+#include "node/record_controller_loop.h"
+
+#include <algorithm>
+#include <set>
+
+#include "calendar/plans.h"
+#include "config/constants.h"
+#include "node/clock.h"
+#include "node/store_calls.h"
+
+namespace foxshunt::node {
+
+using state::Answer;
+
+KeepDuty::KeepDuty(Context& context)
+    : context_(context), client_(context.state_address, context.budget, state::Urgency::user) {}
+
+void KeepDuty::run(const std::stop_token& stop) {
+  while (context_.wait_to_lead(stop)) {
+    read_ends();
+    tell_plan();
+    tell_types();
+    while (!stop.stop_requested() && write_one()) pause(stop, constants::kKeepPause);
+    context_.keep_signal.wait(stop, constants::kKeepEvery);
+  }
+}
+
+void KeepDuty::read_ends() {
+  Shared& shared = context_.shared;
+  std::optional<std::string> key;
+  {
+    const std::lock_guard lock(shared.mutex);
+    key = shared.calendar.next_read();
+  }
+  if (!key) return;
+  const state::GetResult found = client_.get(*key, call_limit());
+  const std::lock_guard lock(shared.mutex);
+  shared.calendar.on_read(*key, found);
+}
+
+void KeepDuty::tell_types() {
+  Shared& shared = context_.shared;
+  {
+    const std::lock_guard lock(shared.mutex);
+    if (!shared.catalog_founder.wants_types()) return;
+  }
+  std::set<std::string> names;
+  {
+    const std::lock_guard lock(context_.view_mutex);
+    for (const wire::MachineType& type : context_.types) names.insert(type.name);
+  }
+  const std::lock_guard lock(shared.mutex);
+  shared.catalog_founder.learn_types(names);
+}
+
+void KeepDuty::tell_plan() {
+  Shared& shared = context_.shared;
+  {
+    const std::lock_guard lock(shared.mutex);
+    if (shared.calendar.occurrences().empty()) return;
+  }
+  const calendar::Both moment{.at = now(), .wall_ms = wall_ms()};
+  foresight::Dues dues;
+  {
+    const std::lock_guard lock(shared.mutex);
+    dues = calendar::dues_of(shared.calendar, moment);
+  }
+  std::map<JobId, plan::Instant> ends;
+  std::map<JobId, foresight::Prospect> prospects;
+  {
+    const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
+    context_.engine.on_dues(std::move(dues));
+    if (context_.engine.planning()) return;
+    ends = context_.engine.planned_ends();
+    prospects = context_.engine.prospects(moment.at);
+  }
+  const std::lock_guard lock(shared.mutex);
+  shared.calendar.planned(calendar::plans_of(ends, prospects, moment));
+}
+
+bool KeepDuty::write_one() {
+  Revision term_mark;
+  {
+    const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
+    if (!context_.engine.may_start(now())) return false;
+    term_mark = context_.engine.term_mark();
+  }
+  Shared& shared = context_.shared;
+  ledger::Keeper* keeper = nullptr;
+  std::optional<state::Txn> txn;
+  {
+    const std::lock_guard lock(shared.mutex);
+    if (!shared.ledger.whole() || shared.ledger.revision() < term_mark) return false;
+    for (ledger::Keeper* one : shared.keepers) {
+      txn = one->next_write(shared.jobs, moment(), context_.settings.state_txn_ops);
+      keeper = one;
+      if (txn) break;
+    }
+  }
+  if (!txn) return false;
+  state::Txn guarded = *txn;
+  guarded.conditions.push_back({.key = state::kTermKey, .mark = term_mark});
+  const state::TxnResult result = client_.txn(guarded, call_limit());
+  if (result.answer == Answer::conflict &&
+      std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
+    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+    context_.engine.on_term_conflict(term_mark);
+  }
+  const std::lock_guard lock(shared.mutex);
+  keeper->on_written(*txn, result);
+  return result.answer == Answer::ok;
+}
+
+}  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/record_controller_loop.h
@@ -0,0 +1,28 @@
+// The writes of the ledger's keepers.
+#pragma once
+
+#include "node/context.h"
+#include "state/client.h"
+
+namespace foxshunt::node {
+
+// Lets the keepers write while this node leads.
+class KeepDuty {
+ public:
+  explicit KeepDuty(Context& context);
+  void run(const std::stop_token& stop);
+
+ private:
+  bool write_one();
+  // How jobs ended that an open occurrence lists: the ledger does not keep what is over.
+  void read_ends();
+  // What a founding set that names machine types waits for.
+  void tell_types();
+  // When the plan says that jobs end, and what the calendar's records leave them.
+  void tell_plan();
+
+  Context& context_;
+  state::Client client_;
+};
+
+}  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/record_watcher.cpp
@@ -0,0 +1,82 @@
+#include "node/record_watcher.h"
+
+#include "config/constants.h"
+#include "node/clock.h"
+#include "node/store_calls.h"
+
+namespace foxshunt::node {
+
+using state::Answer;
+
+FollowDuty::FollowDuty(Context& context)
+    : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
+
+void FollowDuty::run(const std::stop_token& stop) {
+  while (!stop.stop_requested()) {
+    Revision from;
+    Term term;
+    bool leading = false;
+    {
+      const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
+      leading = context_.engine.leading();
+      from = context_.follow_from;
+      term = context_.engine.term();
+    }
+    if (!leading) {
+      if (!context_.wait_to_lead(stop)) return;
+      continue;
+    }
+    const plan::Instant sent = now();
+    const state::FollowResult news =
+        client_.follow(state::kLivePrefix, from, constants::kFollowHold, call_limit() + constants::kFollowHold);
+    if (news.answer == Answer::too_old) {
+      reload(stop, term);
+      continue;
+    }
+    if (news.answer != Answer::ok) {
+      pause(stop, constants::kStateRetryPause);
+      continue;
+    }
+    context_.heard_state();
+    const plan::Instant at = now();
+    const std::int64_t wall = wall_ms();
+    {
+      const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
+      if (!context_.engine.leading() || context_.engine.term() != term) continue;
+      for (const state::Event& event : news.events) {
+        const auto id = state::job_of_key(event.key);
+        if (!id) continue;
+        if (event.data) {
+          context_.engine.on_job_record(*id, *event.data, event.mark, wall, at);
+        } else {
+          context_.engine.on_job_removed(*id, at);
+        }
+      }
+      context_.engine.confirm_reading(sent);
+      context_.follow_from = news.revision;
+    }
+    if (!news.events.empty()) {
+      context_.plan_signal.raise();
+      context_.write_signal.raise();
+    }
+  }
+}
+
+// The watch is too far behind: what is there now is compared with what is known.
+void FollowDuty::reload(const std::stop_token& stop, Term term) {
+  const plan::Instant sent = now();
+  const state::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit);
+  if (live.answer != Answer::ok) {
+    pause(stop, constants::kStateRetryPause);
+    return;
+  }
+  const plan::Instant at = now();
+  const std::int64_t wall = wall_ms();
+  const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
+  if (!context_.engine.on_job_list(term, live.entries, wall, at)) return;
+  context_.engine.confirm_reading(sent);
+  context_.follow_from = live.revision;
+  context_.plan_signal.raise();
+}
+
+}  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/record_watcher.h
@@ -0,0 +1,21 @@
+// The leader's watch over the records of jobs.
+#pragma once
+
+#include "node/context.h"
+#include "state/client.h"
+
+namespace foxshunt::node {
+
+// Reads the changes of records while leading.
+class FollowDuty {
+ public:
+  explicit FollowDuty(Context& context);
+  void run(const std::stop_token& stop);
+
+ private:
+  void reload(const std::stop_token& stop, Term term);
+  Context& context_;
+  state::Client client_;
+};
+
+}  // namespace foxshunt::node
--- a/src/node/front.cpp
+++ b/src/node/request_handler.cpp
@@ -1,25 +1,15 @@
-#include "node/front.h"
+#include "node/request_handler.h"
 
 #include <spdlog/spdlog.h>
 
 #include "config/constants.h"
+#include "node/clock.h"
+#include "node/http_responses.h"
 
 namespace foxshunt::node {
 
 using net::HttpResponse;
 
-namespace {
-
-HttpResponse http(const user_api::Reply& reply) {
-  return {.status = reply.status, .body = wire::encode(reply.body), .retry_after_s = reply.retry_after_s};
-}
-
-}  // namespace
-
-HttpResponse plain_error(int status, const std::string& why) { return http(user_api::error_reply(status, why)); }
-
-HttpResponse come_back(const std::string& why) { return http(user_api::come_back(why)); }
-
 Front::Front(Context& context)
     : context_(context), clients_(constants::kFrontClients, [&context] {
         return std::make_unique<state::Client>(context.state_address, context.budget, state::Urgency::user);
--- a/src/node/front.h
+++ b/src/node/request_handler.h
@@ -6,7 +6,7 @@
 
 #include "net/http.h"
 #include "node/context.h"
-#include "node/pool.h"
+#include "node/client_pool.h"
 #include "state/client.h"
 #include "user_api/request.h"
 
@@ -34,7 +34,4 @@
   user_api::FinalStates finals_;
 };
 
-[[nodiscard]] net::HttpResponse plain_error(int status, const std::string& why);
-[[nodiscard]] net::HttpResponse come_back(const std::string& why);
-
 }  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/scheduler_loop.cpp
@@ -0,0 +1,68 @@
+#include "node/scheduler_loop.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <iterator>
+
+#include "config/constants.h"
+#include "control/times.h"
+#include "node/clock.h"
+
+namespace foxshunt::node {
+
+void PlanDuty::run(const std::stop_token& stop) {
+  while (context_.wait_to_lead(stop)) {
+    context_.plan_signal.wait(stop, constants::kHousekeepEvery);
+    bool wanted = false;
+    {
+      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
+      context_.engine.tick(now());
+      wanted = context_.engine.plan_wanted();
+      if (!context_.engine.leading()) context_.lead_signal.raise();
+    }
+    // Reports, records and the lease take their turn between portions.
+    const auto began = net::Clock::now();
+    for (bool ended = !wanted; !ended && !stop.stop_requested();) {
+      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
+      ended = context_.engine.plan_some(now(), constants::kPlacesPerPortion);
+    }
+    bool writes = false;
+    bool cloud = false;
+    bool halts = false;
+    bool placed = false;
+    control::Census census;
+    {
+      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
+      writes = context_.engine.writes_wanted();
+      cloud = context_.engine.cloud_wanted();
+      std::ranges::move(context_.engine.due_halts(now()), std::back_inserter(context_.halts));
+      halts = !context_.halts.empty();
+      if (wanted) census = context_.engine.census(now());
+      placed = context_.engine.counters().placed > 0;
+    }
+    if (wanted) {
+      context_.standby.reached(standby::Phase::planned);
+      if (placed) context_.standby.reached(standby::Phase::placed);
+    }
+    context_.standby.log_takeover();
+    if (census.unwritten_oldest > constants::kBehind && late_write_.due(net::Clock::now())) {
+      spdlog::warn("behind: {} records are to be written, the oldest for {:.1f} s", census.unwritten,
+                   control::to_seconds(census.unwritten_oldest));
+    }
+    if (writes) context_.write_signal.raise();
+    if (cloud) context_.cloud_signal.raise();
+    if (halts) context_.halt_signal.raise();
+    if (!wanted) continue;
+    const auto ended_at = net::Clock::now();
+    context_.tallies.planned(ended_at - began);
+    if (ended_at - began > constants::kBehind && late_pass_.due(ended_at)) {
+      spdlog::warn("behind: a planning pass took {:.1f} s; placements are late",
+                   std::chrono::duration<double>(ended_at - began).count());
+    }
+    context_.engine_moved.notify_all();
+    pause(stop, constants::kPlanPause);
+  }
+}
+
+}  // namespace foxshunt::node
--- a/src/node/shared.h
+++ b/src/node/shared_records.h
@@ -64,45 +64,10 @@
 // What the calendar's records leave each job until its deadline there, in steps; with the mutex held.
 [[nodiscard]] std::map<JobId, int> slack_of(const Shared& shared);
 
-// Reads the records once, then watches them: one watch over everything, so that changes come in the order of revisions.
-class LedgerDuty {
- public:
-  explicit LedgerDuty(Context& context);
-  void run(const std::stop_token& stop);
+// The prefixes of the keys that the ledger keeps.
+[[nodiscard]] std::vector<std::string> kept_prefixes();
 
- private:
-  [[nodiscard]] bool read();
-  void watch(const std::stop_token& stop);
-  // Now and then, in the background: what a cold read finds wins over what is believed. False when it differs.
-  [[nodiscard]] bool compare(const std::stop_token& stop);
-  struct Found {
-    std::vector<state::Entry> entries;
-    Revision from;
-  };
-  [[nodiscard]] std::optional<Found> read_all(bool to_compare);
-
-  Context& context_;
-  state::Client client_;
-  net::Clock::time_point compared_;
-};
-
-// Lets the keepers write while this node leads.
-class KeepDuty {
- public:
-  explicit KeepDuty(Context& context);
-  void run(const std::stop_token& stop);
-
- private:
-  bool write_one();
-  // How jobs ended that an open occurrence lists: the ledger does not keep what is over.
-  void read_ends();
-  // What a founding set that names machine types waits for.
-  void tell_types();
-  // When the plan says that jobs end, and what the calendar's records leave them.
-  void tell_plan();
-
-  Context& context_;
-  state::Client client_;
-};
+// The time by both clocks, as the ledger's keepers take it.
+[[nodiscard]] ledger::Moment moment();
 
 }  // namespace foxshunt::node
--- a/src/node/standby.cpp
+++ b/src/node/standby_state.cpp
@@ -1,12 +1,14 @@
-#include "node/standby.h"
+#include "node/standby_state.h"
 
 #include <spdlog/spdlog.h>
 
+#include <limits>
 #include <random>
 
 #include "config/constants.h"
+#include "node/clock.h"
 #include "node/context.h"
-#include "node/front.h"
+#include "node/http_responses.h"
 
 namespace foxshunt::node {
 
@@ -21,10 +23,6 @@
   return (std::uint64_t{luck()} << 31) ^ luck() ^ 1U;
 }
 
-std::uint64_t count_ms(plan::Millis span) {
-  return static_cast<std::uint64_t>(std::max(plan::Millis(0), span).count());
-}
-
 }  // namespace
 
 Standby::Standby(const config::Settings& settings)
@@ -223,96 +221,4 @@
   return body;
 }
 
-// ---- StandbyDuty ----
-
-StandbyDuty::StandbyDuty(Context& context) : context_(context) {
-  for (const config::Sibling& sibling : context.settings.siblings) {
-    if (const auto address = net::parse_address(sibling.endpoint)) {
-      siblings_.try_emplace(sibling.name, *address, constants::kPeerCallLimit);
-    }
-  }
-}
-
-bool StandbyDuty::ask(const NodeName& sibling, std::optional<Term> least, const std::stop_token& stop) {
-  const auto link = siblings_.find(sibling);
-  if (link == siblings_.end()) return false;
-  while (!stop.stop_requested()) {
-    const standby::Ask ask = context_.standby.next_ask(sibling, least);
-    const auto answer =
-        link->second.call({.method = "POST", .path = "/standby", .body = wire::encode(standby::to_value(ask))},
-                          net::Clock::now() + constants::kStandbyCallLimit);
-    if (!answer) return false;
-    if (answer->status == 200 && least) context_.standby.sign();
-    if (!context_.standby.on_answer(sibling, *answer)) return answer->status == 200 && context_.standby.caught_up();
-    pause(stop, constants::kStandbyMorePause);
-  }
-  return false;
-}
-
-void StandbyDuty::look_for_hints(const std::stop_token& stop) {
-  for (const auto& [sibling, unused] : siblings_) {
-    if (!ask(sibling, {}, stop)) continue;
-    const plan::Instant at = now();
-    const auto picture = context_.standby.take(at);
-    if (!picture) continue;
-    {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
-      if (!context_.engine.leading() || picture->term >= context_.engine.term()) continue;
-      context_.engine.hint(*picture, at);
-    }
-    context_.standby.hinted(*picture);
-    context_.plan_signal.raise();
-    return;
-  }
-}
-
-void StandbyDuty::run(const std::stop_token& stop) {
-  while (!stop.stop_requested()) {
-    NodeName leader;
-    Term term;
-    {
-      const std::lock_guard lock(context_.view_mutex);
-      leader = context_.leader;
-      term = context_.term;
-    }
-    if (context_.standby.wants_hints()) {
-      look_for_hints(stop);
-    } else if (siblings_.contains(leader)) {
-      (void)ask(leader, term, stop);
-    } else if (leader.empty() && !context_.standby.holds()) {
-      // A process that has just begun: it may soon lead.
-      for (const auto& [sibling, unused] : siblings_) {
-        if (ask(sibling, {}, stop)) break;
-      }
-    }
-    context_.standby_signal.wait(stop, constants::kStandbyEvery);
-  }
-}
-
-// ---- answers ----
-
-net::HttpResponse answer_standby(Context& context, const std::string& body) {
-  return context.standby.answer(context, body).value_or(plain_error(404, "no such path"));
-}
-
-net::HttpResponse standby_answer(Context& context) {
-  NodeName leader;
-  Term term;
-  {
-    const std::lock_guard lock(context.view_mutex);
-    leader = context.leader;
-    term = context.term;
-  }
-  Value::Map body{{"node", context.settings.name.text()}, {"leader", leader.text()}, {"term", term.number()}};
-  for (auto& entry : context.standby.told()) body.push_back(std::move(entry));
-  if (context.settings.operators.shared_records) {
-    const std::lock_guard lock(context.shared.mutex);
-    body.emplace_back("records_whole", context.shared.ledger.whole());
-    body.emplace_back("records_revision", context.shared.ledger.revision().number());
-  }
-  const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
-  body.emplace_back("leads", context.engine.leading());
-  return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
-}
-
 }  // namespace foxshunt::node
--- a/src/node/standby.h
+++ b/src/node/standby_state.h
@@ -10,7 +10,7 @@
 
 #include "config/settings.h"
 #include "net/http.h"
-#include "node/recent_peak.h"
+#include "node/rate_limited_log.h"
 #include "standby/listener.h"
 #include "standby/phases.h"
 #include "standby/teller.h"
@@ -68,22 +68,4 @@
   Seldom warned_;
 };
 
-class StandbyDuty {
- public:
-  explicit StandbyDuty(Context& context);
-  void run(const std::stop_token& stop);
-
- private:
-  // Whether it knows all that the sibling tells.
-  bool ask(const NodeName& sibling, std::optional<Term> least, const std::stop_token& stop);
-  void look_for_hints(const std::stop_token& stop);
-
-  Context& context_;
-  std::map<NodeName, net::HttpClient> siblings_;
-};
-
-// POST /standby of siblings, and GET /standby for operators.
-[[nodiscard]] net::HttpResponse answer_standby(Context& context, const std::string& body);
-[[nodiscard]] net::HttpResponse standby_answer(Context& context);
-
 }  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/standby_subscriber.cpp
@@ -0,0 +1,72 @@
+#include "node/standby_subscriber.h"
+
+#include "config/constants.h"
+#include "node/clock.h"
+
+namespace foxshunt::node {
+
+StandbyDuty::StandbyDuty(Context& context) : context_(context) {
+  for (const config::Sibling& sibling : context.settings.siblings) {
+    if (const auto address = net::parse_address(sibling.endpoint)) {
+      siblings_.try_emplace(sibling.name, *address, constants::kPeerCallLimit);
+    }
+  }
+}
+
+bool StandbyDuty::ask(const NodeName& sibling, std::optional<Term> least, const std::stop_token& stop) {
+  const auto link = siblings_.find(sibling);
+  if (link == siblings_.end()) return false;
+  while (!stop.stop_requested()) {
+    const standby::Ask ask = context_.standby.next_ask(sibling, least);
+    const auto answer =
+        link->second.call({.method = "POST", .path = "/standby", .body = wire::encode(standby::to_value(ask))},
+                          net::Clock::now() + constants::kStandbyCallLimit);
+    if (!answer) return false;
+    if (answer->status == 200 && least) context_.standby.sign();
+    if (!context_.standby.on_answer(sibling, *answer)) return answer->status == 200 && context_.standby.caught_up();
+    pause(stop, constants::kStandbyMorePause);
+  }
+  return false;
+}
+
+void StandbyDuty::look_for_hints(const std::stop_token& stop) {
+  for (const auto& [sibling, unused] : siblings_) {
+    if (!ask(sibling, {}, stop)) continue;
+    const plan::Instant at = now();
+    const auto picture = context_.standby.take(at);
+    if (!picture) continue;
+    {
+      const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
+      if (!context_.engine.leading() || picture->term >= context_.engine.term()) continue;
+      context_.engine.hint(*picture, at);
+    }
+    context_.standby.hinted(*picture);
+    context_.plan_signal.raise();
+    return;
+  }
+}
+
+void StandbyDuty::run(const std::stop_token& stop) {
+  while (!stop.stop_requested()) {
+    NodeName leader;
+    Term term;
+    {
+      const std::lock_guard lock(context_.view_mutex);
+      leader = context_.leader;
+      term = context_.term;
+    }
+    if (context_.standby.wants_hints()) {
+      look_for_hints(stop);
+    } else if (siblings_.contains(leader)) {
+      (void)ask(leader, term, stop);
+    } else if (leader.empty() && !context_.standby.holds()) {
+      // A process that has just begun: it may soon lead.
+      for (const auto& [sibling, unused] : siblings_) {
+        if (ask(sibling, {}, stop)) break;
+      }
+    }
+    context_.standby_signal.wait(stop, constants::kStandbyEvery);
+  }
+}
+
+}  // namespace foxshunt::node
--- a/src/node/pools.cpp
+++ b/src/node/warm_pool_loop.cpp
@@ -1,8 +1,9 @@
-#include "node/pools.h"
+#include "node/warm_pool_loop.h"
 
 #include <utility>
 
 #include "config/constants.h"
+#include "node/clock.h"
 
 namespace foxshunt::node {
 
--- a/tests/smoke/smoke_test.cpp
+++ b/tests/smoke/smoke_test.cpp
@@ -11,8 +11,8 @@
 #include <thread>
 
 #include "config/constants.h"
-#include "node/front.h"
-#include "node/limits.h"
+#include "node/request_handler.h"
+#include "node/connection_limits.h"
 #include "smoke/processes.h"
 #include "state/records.h"
 #include "wire/messages.h"
--- a/tests/smoke/takeover_test.cpp
+++ b/tests/smoke/takeover_test.cpp
@@ -5,7 +5,7 @@
 #include <atomic>
 #include <thread>
 
-#include "node/leadership.h"
+#include "node/leader_elector.h"
 #include "standins/http_world.h"
 
 namespace foxshunt::smoke {
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/connection_limits_test.cpp
@@ -1,4 +1,4 @@
-#include "node/limits.h"
+#include "node/connection_limits.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/peers_test.cpp
+++ b/tests/unit/peer_prober_test.cpp
@@ -4,7 +4,7 @@
 #include <atomic>
 #include <thread>
 
-#include "node/peers.h"
+#include "node/peer_prober.h"
 #include "state/records.h"
 
 namespace foxshunt::node {
--- a/tests/unit/duty_mutex_test.cpp
+++ b/tests/unit/priority_mutex_test.cpp
@@ -1,5 +1,5 @@
 // The order in which duties get the engine.
-#include "node/duty_mutex.h"
+#include "node/priority_mutex.h"
 
 #include <gtest/gtest.h>
 
