--- a/src/node/auto_reset_event.cpp
+++ b/src/node/auto_reset_event.cpp
@@ -4,21 +4,21 @@
 
 namespace foxshunt::node {
 
-void Signal::raise() {
+void AutoResetEvent::signal() {
   {
     const std::lock_guard lock(mutex_);
-    up_ = true;
+    is_signalled_ = true;
   }
-  raised_.notify_one();
+  signalled_.notify_one();
 }
 
-bool Signal::wait(const std::stop_token& stop, std::chrono::milliseconds most) {
+bool AutoResetEvent::wait(const std::stop_token& stop, std::chrono::milliseconds timeout) {
   std::unique_lock lock(mutex_);
-  raised_.wait_for(lock, stop, most, [this] { return up_; });
-  return std::exchange(up_, false);
+  signalled_.wait_for(lock, stop, timeout, [this] { return is_signalled_; });
+  return std::exchange(is_signalled_, false);
 }
 
-bool pause(const std::stop_token& stop, std::chrono::milliseconds span) {
+bool sleep_unless_stopped(const std::stop_token& stop, std::chrono::milliseconds span) {
   std::mutex mutex;
   std::condition_variable_any never;
   std::unique_lock lock(mutex);
--- a/src/node/cache_watcher.cpp
+++ b/src/node/cache_watcher.cpp
@@ -26,7 +26,7 @@
 
 // Tells the engine of the catalog in force when that is another one. To be called without locks.
 
-void tell_catalog(Context& context) {
+void publish_catalog(Context& context) {
   std::shared_ptr<const catalog::Set> set;
   {
     const std::lock_guard lock(context.shared.mutex);
@@ -35,18 +35,18 @@
     context.shared.told = set;
   }
   calendar::warm(*set);  // reads zone files, while nobody waits for them
-  const std::lock_guard lock(context.engine_mutex.of(Duty::records));
+  const std::lock_guard lock(context.engine_mutex.handle(LockPriority::records));
   context.engine.on_catalog(*set, wall_ms(), now());
 }
 
 }  // namespace
 
-LedgerDuty::LedgerDuty(Context& context)
+CacheWatcher::CacheWatcher(Context& context)
     : context_(context),
       client_(context.state_address, context.budget, state::Urgency::duty),
       compared_(net::Clock::now()) {}
 
-std::optional<LedgerDuty::Found> LedgerDuty::read_all(bool to_compare) {
+std::optional<CacheWatcher::Found> CacheWatcher::read_all(bool to_compare) {
   Found found;
   bool first = true;
   std::vector<std::string> prefixes = kept_prefixes();
@@ -58,14 +58,14 @@
     first = false;
     std::ranges::move(page.entries, std::back_inserter(found.entries));
   }
-  context_.heard_state();
+  context_.on_store_answered();
   return found;
 }
 
-bool LedgerDuty::read() {
+bool CacheWatcher::read() {
   const auto found = read_all(false);
   if (!found) return false;
-  Shared& shared = context_.shared;
+  SharedRecords& shared = context_.shared;
   {
     const std::lock_guard lock(shared.mutex);
     shared.ledger.read(found->entries, found->from);
@@ -76,18 +76,18 @@
   return true;
 }
 
-void LedgerDuty::run(const std::stop_token& stop) {
+void CacheWatcher::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     if (read()) {
       watch(stop);
     } else {
-      pause(stop, constants::kStateRetryPause);
+      sleep_unless_stopped(stop, constants::kStateRetryPause);
     }
   }
 }
 
-void LedgerDuty::watch(const std::stop_token& stop) {
-  Shared& shared = context_.shared;
+void CacheWatcher::watch(const std::stop_token& stop) {
+  SharedRecords& shared = context_.shared;
   while (!stop.stop_requested()) {
     Revision from;
     {
@@ -95,13 +95,13 @@
       from = shared.ledger.revision();
     }
     const state::FollowResult news =
-        client_.follow(kEverything, from, constants::kLedgerHold, call_limit() + constants::kLedgerHold);
+        client_.follow(kEverything, from, constants::kLedgerHold, store_call_deadline() + constants::kLedgerHold);
     if (news.answer == Answer::too_old) return;  // it fell behind: a cold read
     if (news.answer != Answer::ok) {
-      pause(stop, constants::kStateRetryPause);
+      sleep_unless_stopped(stop, constants::kStateRetryPause);
       continue;
     }
-    context_.heard_state();
+    context_.on_store_answered();
     {
       const std::lock_guard lock(shared.mutex);
       shared.ledger.heard(news.events, news.revision);
@@ -109,16 +109,16 @@
       shared.calendar.look(moment());
     }
     shared.moved.notify_all();
-    tell_catalog(context_);
-    if (!news.events.empty()) context_.keep_signal.raise();
+    publish_catalog(context_);
+    if (!news.events.empty()) context_.keep_signal.signal();
     if (net::Clock::now() - compared_ > constants::kLedgerCompareEvery && !compare(stop)) return;
     // Changes that come together are read together: a watch that wakes for each costs more than what it tells.
-    if (!news.events.empty()) pause(stop, constants::kLedgerPause);
+    if (!news.events.empty()) sleep_unless_stopped(stop, constants::kLedgerPause);
   }
 }
 
-bool LedgerDuty::compare(const std::stop_token& stop) {
-  Shared& shared = context_.shared;
+bool CacheWatcher::compare(const std::stop_token& stop) {
+  SharedRecords& shared = context_.shared;
   compared_ = net::Clock::now();
   {
     const std::lock_guard lock(shared.mutex);
@@ -132,7 +132,8 @@
     const std::lock_guard lock(shared.mutex);
     from = shared.ledger.revision();
   }
-  const state::FollowResult news = client_.follow(kEverything, from, std::chrono::milliseconds(0), call_limit());
+  const state::FollowResult news =
+      client_.follow(kEverything, from, std::chrono::milliseconds(0), store_call_deadline());
   if (news.answer != Answer::ok || stop.stop_requested()) return news.answer != Answer::too_old;
   const std::lock_guard lock(shared.mutex);
   shared.ledger.heard(news.events, news.revision);
--- a/src/node/cache_watcher.h
+++ b/src/node/cache_watcher.h
@@ -11,9 +11,9 @@
 namespace foxshunt::node {
 
 // Reads the records once, then watches them: one watch over everything, so that changes come in the order of revisions.
-class LedgerDuty {
+class CacheWatcher {
  public:
-  explicit LedgerDuty(Context& context);
+  explicit CacheWatcher(Context& context);
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/calendar_requests.cpp
+++ b/src/node/calendar_requests.cpp
@@ -29,43 +29,43 @@
 
 }  // namespace
 
-HttpResponse calendar_answer(Context& context, const calendar::Keeper& keeper, const std::string& rest) {
+HttpResponse calendar_response(Context& context, const calendar::Keeper& keeper, const std::string& rest) {
   const auto numbers = numbers_of(rest);
   if (!numbers || numbers->size() > 3 || (*numbers)[0] < 1 || (*numbers)[0] > constants::kCalendarDaysMost) {
-    return plain_error(400, "days: 1 to " + std::to_string(constants::kCalendarDaysMost));
+    return error_response(400, "days: 1 to " + std::to_string(constants::kCalendarDaysMost));
   }
   const auto at = [&numbers](std::size_t index) { return numbers->size() > index ? (*numbers)[index] : 0; };
   const std::lock_guard lock(context.shared.mutex);
   const ledger::Ledger& ledger = context.shared.ledger;
-  if (!ledger.whole()) return come_back("the records are not known yet");
+  if (!ledger.whole()) return retry_later("the records are not known yet");
   const wire::Value body = calendar::shown(keeper, ledger.revision(), wall_ms(), static_cast<int>(at(0)), at(1),
                                            static_cast<std::size_t>(at(2)));
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
-HttpResponse calendar_order(Context& context, const calendar::Keeper& keeper, const std::string& body) {
+HttpResponse change_calendar(Context& context, const calendar::Keeper& keeper, const std::string& body) {
   calendar::Decision decision;
   try {
     const calendar::Request request = calendar::request_from(wire::decode(body));
     const std::lock_guard lock(context.shared.mutex);
-    if (!context.shared.ledger.whole()) return come_back("the records are not known yet");
+    if (!context.shared.ledger.whole()) return retry_later("the records are not known yet");
     decision = calendar::decide(keeper, request, wall_ms());
   } catch (const wire::Malformed& error) {
-    return plain_error(400, error.what());
+    return error_response(400, error.what());
   }
   const auto done = [](Revision revision) -> HttpResponse {
     const wire::Value answer = wire::Value::Map{{"revision", revision.number()}};
     return {.status = 200, .body = wire::encode(answer), .retry_after_s = {}};
   };
   if (!decision.txn && decision.status == 200) return done(decision.done);
-  if (!decision.txn) return plain_error(decision.status, decision.error);
+  if (!decision.txn) return error_response(decision.status, decision.error);
   state::Client client(context.state_address, context.budget, state::Urgency::user);
   const state::TxnResult result = client.txn(*decision.txn, net::Clock::now() + constants::kStateCallLimit);
   if (result.answer == state::Answer::conflict) {
-    return plain_error(409, "it was changed meanwhile: look again before you repeat it");
+    return error_response(409, "it was changed meanwhile: look again before you repeat it");
   }
   // Without an answer it may have been done; asked again, that is seen.
-  if (result.answer != state::Answer::ok) return come_back("the state service can't take it now");
+  if (result.answer != state::Answer::ok) return retry_later("the state service can't take it now");
   return done(result.revision);
 }
 
--- a/src/node/catalog_requests.cpp
+++ b/src/node/catalog_requests.cpp
@@ -44,7 +44,7 @@
  private:
   template <typename Result>
   Result heard(Result result) {
-    if (result.answer != state::Answer::none) context_.heard_state();
+    if (result.answer != state::Answer::none) context_.on_store_answered();
     return result;
   }
 
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-struct CatalogDoor::Wanted {
+struct CatalogRequestHandler::Wanted {
   std::string file;
   std::string author;
   std::string xml;
@@ -97,10 +97,10 @@
   std::optional<Version> from;        // or this one
 };
 
-HttpResponse CatalogDoor::handle(const net::HttpRequest& request) {
+HttpResponse CatalogRequestHandler::handle(const net::HttpRequest& request) {
   const std::string& path = request.path;
   if (!context_.settings.operators.shared_records) {
-    return plain_error(409, "this node has no catalog: shared-records is off in its settings");
+    return error_response(409, "this node has no catalog: shared-records is off in its settings");
   }
   try {
     if (request.method == "POST" && path == "/catalog/part") return part(request.body);
@@ -108,12 +108,12 @@
     if (request.method == "GET" && path == "/catalog") return show(request);
     if (request.method == "GET" && path == "/catalog/history") return history();
   } catch (const wire::Malformed& error) {
-    return plain_error(400, error.what());
+    return error_response(400, error.what());
   }
-  return plain_error(404, "no such path");
+  return error_response(404, "no such path");
 }
 
-HttpResponse CatalogDoor::part(const std::string& body) {
+HttpResponse CatalogRequestHandler::part(const std::string& body) {
   const Value asked = wire::decode(body);
   const std::string& id = asked.text("upload");
   const std::uint64_t number = asked.count("part");
@@ -122,13 +122,13 @@
   const std::size_t most = constants::kCatalogXmlBytesMost / constants::kCatalogPartBytes + 1;
   if (id.empty() || id.size() > constants::kCatalogNameMost || of == 0 || of > most || number >= of ||
       text.size() > constants::kCatalogPartBytes) {
-    return plain_error(400, "no such part of a file");
+    return error_response(400, "no such part of a file");
   }
   const std::lock_guard lock(uploads_mutex_);
   const auto now = net::Clock::now();
   std::erase_if(uploads_, [&](const auto& one) { return now - one.second.begun > constants::kCatalogUploadKept; });
   if (!uploads_.contains(id) && uploads_.size() >= constants::kCatalogUploadsMost) {
-    return come_back("too many files under way");
+    return retry_later("too many files under way");
   }
   Upload& upload = uploads_[id];
   if (upload.parts.size() != of) upload = {.parts = std::vector<std::string>(of), .begun = now};
@@ -137,7 +137,7 @@
   return answer(200, {});
 }
 
-std::optional<std::string> CatalogDoor::uploaded(const std::string& id) {
+std::optional<std::string> CatalogRequestHandler::uploaded(const std::string& id) {
   const std::lock_guard lock(uploads_mutex_);
   const auto found = uploads_.find(id);
   if (found == uploads_.end()) return std::nullopt;
@@ -149,13 +149,13 @@
   return whole;
 }
 
-HttpResponse CatalogDoor::apply(const std::string& body) {
+HttpResponse CatalogRequestHandler::apply(const std::string& body) {
   const Value asked = wire::decode(body);
   Wanted wanted;
   wanted.file = asked.text("file");
   wanted.author = asked.text("author");
   wanted.dry_run = asked.flag("dry_run");
-  if (!catalog::is_name(wanted.author)) return plain_error(400, "author: must be a name");
+  if (!catalog::is_name(wanted.author)) return error_response(400, "author: must be a name");
   if (!asked["base"].is_null()) {
     wanted.base = Version(asked.count("base"));
     wanted.digest = asked.text("digest");
@@ -166,26 +166,26 @@
     wanted.from = Version(asked.count("from"));
   } else if (!asked["upload"].is_null()) {
     auto text = uploaded(asked.text("upload"));
-    if (!text) return plain_error(410, "parts of the file are missing at this node");
+    if (!text) return error_response(410, "parts of the file are missing at this node");
     wanted.xml = std::move(*text);
   } else {
     wanted.xml = asked.text("xml");
   }
   const std::unique_lock lock(apply_mutex_, std::try_to_lock);
-  if (!lock) return come_back("another set is being applied here");
+  if (!lock) return retry_later("another set is being applied here");
   StateStore store(context_);
   return apply(store, std::move(wanted));
 }
 
-HttpResponse CatalogDoor::apply(catalog::Store& store, Wanted wanted) {
+HttpResponse CatalogRequestHandler::apply(catalog::Store& store, Wanted wanted) {
   using Found = catalog::SetLook::Found;
   const catalog::HeadLook look = catalog::look_at_head(store);
   switch (look.found) {
     case catalog::HeadLook::Found::read: break;
-    case catalog::HeadLook::Found::no_answer: return come_back("the state service can't be reached");
+    case catalog::HeadLook::Found::no_answer: return retry_later("the state service can't be reached");
     case catalog::HeadLook::Found::newer_form:
-      return plain_error(409, "the catalog was written by a newer program; apply at a node that runs it");
-    case catalog::HeadLook::Found::unreadable: return plain_error(409, "the record catalog/head can't be read");
+      return error_response(409, "the catalog was written by a newer program; apply at a node that runs it");
+    case catalog::HeadLook::Found::unreadable: return error_response(409, "the record catalog/head can't be read");
   }
   const Edition now = look.head ? look.head->now : Edition{};
   const Version base = wanted.base.value_or(now.version);
@@ -210,7 +210,7 @@
     }
   }
 
-  catalog::Known judged_by = known_of(context_.settings);
+  catalog::Known judged_by = catalog_constraints_of(context_.settings);
   {
     const std::lock_guard lock(context_.view_mutex);
     if (!context_.types.empty()) judged_by.types.emplace();
@@ -225,11 +225,11 @@
     }
     if (!edition) {
       const std::size_t kept = look.head ? look.head->former.size() : 0;
-      return plain_error(422, "there is no such former set; kept are " + std::to_string(kept));
+      return error_response(422, "there is no such former set; kept are " + std::to_string(kept));
     }
     const catalog::SetLook former = catalog::look_at_set(store, *edition);
-    if (former.found == Found::no_answer) return come_back("the state service can't be reached");
-    if (former.found != Found::read) return plain_error(409, "that set can't be read by this program");
+    if (former.found == Found::no_answer) return retry_later("the state service can't be reached");
+    if (former.found != Found::read) return error_response(409, "that set can't be read by this program");
     wanted.file = "version " + std::to_string(edition->version.number());
     wanted.xml = catalog::write_xml(*former.set);
     wanted.from = edition->version;
@@ -238,7 +238,7 @@
   if (!reading.faults.empty()) return faults_answer(wanted.file, reading);
   const auto names_types = [](const catalog::PoolDef& pool) { return !pool.types.empty(); };
   if (!judged_by.types && std::ranges::any_of(reading.set.pools, names_types)) {
-    return come_back("machine types are not known yet");
+    return retry_later("machine types are not known yet");
   }
   const std::string digest = catalog::digest_of(reading.set);
 
@@ -247,9 +247,9 @@
     bool readable = true;
     if (look.head) {
       const catalog::SetLook set = catalog::look_at_set(store, now);
-      if (set.found == Found::no_answer) return come_back("the state service can't be reached");
+      if (set.found == Found::no_answer) return retry_later("the state service can't be reached");
       if (set.found == Found::newer_form) {
-        return plain_error(409, "the set in force was written by a newer program; apply at a node that runs it");
+        return error_response(409, "the set in force was written by a newer program; apply at a node that runs it");
       }
       readable = set.found == Found::read;
       if (readable) before = set.set;
@@ -270,9 +270,9 @@
     return answer(200, std::move(map));
   }
 
-  if (digest != wanted.digest) return plain_error(409, "this is not the content that was judged");
-  const catalog::Outcome outcome =
-      catalog::put_in_force(store, reading.set, base, wanted.author, wall_ms(), write_limits_of(context_.settings));
+  if (digest != wanted.digest) return error_response(409, "this is not the content that was judged");
+  const catalog::Outcome outcome = catalog::put_in_force(store, reading.set, base, wanted.author, wall_ms(),
+                                                         catalog_write_limits_of(context_.settings));
   switch (outcome.kind) {
     case catalog::Outcome::Kind::in_force:
       spdlog::info("catalog applied version={} revision={} author=\"{}\" digest={}", outcome.ours.version.number(),
@@ -280,19 +280,20 @@
       return held("in_force", outcome.ours, outcome.ours);
     case catalog::Outcome::Kind::replaced: return held("replaced", outcome.ours, *outcome.theirs);
     case catalog::Outcome::Kind::lost: return lost_to(outcome.theirs.value_or(Edition{}));
-    case catalog::Outcome::Kind::no_answer: return come_back("the state service did not tell the outcome in time");
-    case catalog::Outcome::Kind::rejected: return plain_error(500, "the state service does not take the set");
-    default: return plain_error(409, "the catalog's head can't be read by this program");
+    case catalog::Outcome::Kind::no_answer: return retry_later("the state service did not tell the outcome in time");
+    case catalog::Outcome::Kind::rejected: return error_response(500, "the state service does not take the set");
+    default: return error_response(409, "the catalog's head can't be read by this program");
   }
 }
 
-HttpResponse CatalogDoor::show(const net::HttpRequest& request) const {
+HttpResponse CatalogRequestHandler::show(const net::HttpRequest& request) const {
   std::optional<Version> version;
   if (const auto asked = request.query.find("version"); asked != request.query.end()) {
     std::uint64_t number = 0;
     const std::string& text = asked->second;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (error != std::errc{} || end != text.data() + text.size()) return plain_error(400, "version: must be a number");
+    if (error != std::errc{} || end != text.data() + text.size())
+      return error_response(400, "version: must be a number");
     version = Version(number);
   }
   std::shared_ptr<const catalog::Set> set;
@@ -307,8 +308,8 @@
     head = book.head() ? book.head()->now.version : Version(0);
     records = context_.shared.ledger.revision();
   }
-  if (records == Revision(0)) return come_back("the records are not known yet");
-  if (set == nullptr) return plain_error(404, "no such version is kept");
+  if (records == Revision(0)) return retry_later("the records are not known yet");
+  if (set == nullptr) return error_response(404, "no such version is kept");
   return answer(200, {{"node", context_.settings.name.text()},
                       {"record_revision", records.number()},
                       {"newest", head.number()},
@@ -323,7 +324,7 @@
                       {"pools", list_of(set->pools)}});
 }
 
-HttpResponse CatalogDoor::history() const {
+HttpResponse CatalogRequestHandler::history() const {
   Value::List list;
   Revision records;
   std::uint64_t in_force = 0;
@@ -337,7 +338,7 @@
       for (const Edition& edition : book.head()->former) list.push_back(map_of(edition));
     }
   }
-  if (records == Revision(0)) return come_back("the records are not known yet");
+  if (records == Revision(0)) return retry_later("the records are not known yet");
   return answer(200, {{"node", context_.settings.name.text()},
                       {"record_revision", records.number()},
                       {"in_force", in_force},
--- a/src/node/catalog_requests.h
+++ b/src/node/catalog_requests.h
@@ -20,9 +20,9 @@
 
 namespace foxshunt::node {
 
-class CatalogDoor {
+class CatalogRequestHandler {
  public:
-  explicit CatalogDoor(Context& context) : context_(context) {}
+  explicit CatalogRequestHandler(Context& context) : context_(context) {}
 
   // Of paths that begin with /catalog.
   [[nodiscard]] net::HttpResponse handle(const net::HttpRequest& request);
--- a/src/node/catalog_settings.cpp
+++ b/src/node/catalog_settings.cpp
@@ -10,7 +10,7 @@
 
 namespace foxshunt::node {
 
-catalog::Known known_of(const config::Settings& settings) {
+catalog::Known catalog_constraints_of(const config::Settings& settings) {
   catalog::Known known;
   known.teams.emplace();
   for (const config::Team& team : settings.teams) known.teams->insert(team.name);
@@ -20,7 +20,7 @@
   return known;
 }
 
-catalog::WriteLimits write_limits_of(const config::Settings& settings) {
+catalog::WriteLimits catalog_write_limits_of(const config::Settings& settings) {
   return {.changes = settings.state_txn_ops,
           .bytes = constants::kTxnBytesMost,
           .portion = std::min(settings.state_txn_ops, constants::kCatalogPortionMost)};
@@ -33,7 +33,7 @@
     spdlog::warn("founding set is not used: shared-records is off file=\"{}\"", path);
     return std::nullopt;
   }
-  catalog::Founding founding{.file = path, .text = {}, .known = known_of(settings)};
+  catalog::Founding founding{.file = path, .text = {}, .known = catalog_constraints_of(settings)};
   std::ifstream file(path, std::ios::binary);
   if (!file) return founding;
   std::string text(constants::kCatalogXmlBytesMost + 1, '\0');  // a longer one is refused by its length
--- a/src/node/catalog_settings.h
+++ b/src/node/catalog_settings.h
@@ -10,9 +10,9 @@
 namespace foxshunt::node {
 
 // What a catalog is judged by in this deployment; its machine types come from the cloud.
-[[nodiscard]] catalog::Known known_of(const config::Settings& settings);
+[[nodiscard]] catalog::Known catalog_constraints_of(const config::Settings& settings);
 // Of transactions that write a set.
-[[nodiscard]] catalog::WriteLimits write_limits_of(const config::Settings& settings);
+[[nodiscard]] catalog::WriteLimits catalog_write_limits_of(const config::Settings& settings);
 // The founding set's file, read now; nothing: the settings name none, or the records are not followed.
 [[nodiscard]] std::optional<catalog::Founding> founding_of(const config::Settings& settings);
 
--- a/src/node/client_pool.h
+++ b/src/node/client_pool.h
@@ -11,51 +11,51 @@
 namespace foxshunt::node {
 
 template <typename Client>
-class Pool {
+class ClientPool {
  public:
-  using Make = std::function<std::unique_ptr<Client>()>;
+  using Factory = std::function<std::unique_ptr<Client>()>;
 
-  Pool(std::size_t most, Make make) : most_(most), make_(std::move(make)) {}
+  ClientPool(std::size_t max_clients, Factory factory) : max_clients_(max_clients), factory_(std::move(factory)) {}
 
   // Gives its client back at its end; empty when all were lent.
-  class Loan {
+  class Lease {
    public:
-    explicit Loan(Pool& pool) : pool_(pool), client_(pool.take()) {}
-    ~Loan() {
-      if (client_) pool_.put(std::move(client_));
+    explicit Lease(ClientPool& pool) : pool_(pool), client_(pool.acquire()) {}
+    ~Lease() {
+      if (client_) pool_.release(std::move(client_));
     }
-    Loan(const Loan&) = delete;
-    Loan& operator=(const Loan&) = delete;
+    Lease(const Lease&) = delete;
+    Lease& operator=(const Lease&) = delete;
     [[nodiscard]] Client* get() const { return client_.get(); }
 
    private:
-    Pool& pool_;
+    ClientPool& pool_;
     std::unique_ptr<Client> client_;
   };
 
  private:
-  std::unique_ptr<Client> take() {
+  std::unique_ptr<Client> acquire() {
     const std::lock_guard lock(mutex_);
-    if (idle_.empty()) {
-      if (lent_ >= most_) return nullptr;
-      idle_.push_back(make_());
+    if (idle_clients_.empty()) {
+      if (leased_count_ >= max_clients_) return nullptr;
+      idle_clients_.push_back(factory_());
     }
-    ++lent_;
-    std::unique_ptr<Client> client = std::move(idle_.back());
-    idle_.pop_back();
+    ++leased_count_;
+    std::unique_ptr<Client> client = std::move(idle_clients_.back());
+    idle_clients_.pop_back();
     return client;
   }
-  void put(std::unique_ptr<Client> client) {
+  void release(std::unique_ptr<Client> client) {
     const std::lock_guard lock(mutex_);
-    --lent_;
-    idle_.push_back(std::move(client));
+    --leased_count_;
+    idle_clients_.push_back(std::move(client));
   }
 
-  std::size_t most_;
-  Make make_;
+  std::size_t max_clients_;
+  Factory factory_;
   std::mutex mutex_;
-  std::vector<std::unique_ptr<Client>> idle_;
-  std::size_t lent_ = 0;
+  std::vector<std::unique_ptr<Client>> idle_clients_;
+  std::size_t leased_count_ = 0;
 };
 
 }  // namespace foxshunt::node
--- a/src/node/cloud_loop.cpp
+++ b/src/node/cloud_loop.cpp
@@ -10,15 +10,15 @@
 
 namespace foxshunt::node {
 
-CloudDuty::CloudDuty(Context& context)
+CloudLoop::CloudLoop(Context& context)
     : context_(context),
       http_(context.cloud_address, constants::kCloudCallLimit),
       state_(context.state_address, context.budget, state::Urgency::duty) {}
 
-CloudDuty::Answer CloudDuty::call(const std::string& method, const std::string& path, const wire::Value* body) {
+CloudLoop::Answer CloudLoop::call(const std::string& method, const std::string& path, const wire::Value* body) {
   // Calls are spaced, as several nodes may ask for types at once.
   if (const auto wait = next_call_ - net::Clock::now(); wait > net::Clock::duration::zero()) {
-    if (!pause(stop_, std::chrono::ceil<std::chrono::milliseconds>(wait))) return {};
+    if (!sleep_unless_stopped(stop_, std::chrono::ceil<std::chrono::milliseconds>(wait))) return {};
   }
   next_call_ = net::Clock::now() + std::chrono::duration_cast<net::Clock::duration>(
                                        std::chrono::duration<double>(1.0 / context_.settings.cloud_rps));
@@ -45,10 +45,10 @@
   return result;
 }
 
-void CloudDuty::read_types() {
+void CloudLoop::read_types() {
   const state::GetResult kept = state_.get(state::kTypesKey, net::Clock::now() + constants::kStateCallLimit);
   if (kept.answer != state::Answer::ok) return;
-  context_.heard_state();
+  context_.on_store_answered();
   try {
     publish_types(wire::machine_types_from(kept.entry.data));
     published_ = true;
@@ -57,17 +57,17 @@
   }
 }
 
-void CloudDuty::publish_types(const std::vector<wire::MachineType>& types) {
+void CloudLoop::publish_types(const std::vector<wire::MachineType>& types) {
   {
     const std::lock_guard lock(context_.view_mutex);
     context_.types = types;
   }
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
+  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::cloud));
   context_.engine.on_types(types);
   engine_knows_types_ = !types.empty();
 }
 
-bool CloudDuty::fetch_types() {
+bool CloudLoop::fetch_types() {
   const Answer answer = call("GET", "/machine_types", nullptr);
   if (answer.status != 200) return false;
   try {
@@ -86,7 +86,7 @@
   }
 }
 
-void CloudDuty::list() {
+void CloudLoop::list() {
   std::vector<wire::ListedMachine> machines;
   std::string from;
   while (true) {
@@ -105,23 +105,23 @@
     }
   }
   next_list_ = net::Clock::now() + constants::kListEvery;
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
+  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::cloud));
   context_.engine.on_machine_list(machines, now());
 }
 
-void CloudDuty::rent() {
+void CloudLoop::rent() {
   // What the leader before rented in its last seconds is on no list yet; a sibling may know of it.
-  if (context_.standby.wants_hints()) return;
+  if (context_.standby.wants_soft_state()) return;
   std::optional<wire::RentRequest> request;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::cloud));
     request = context_.engine.next_rental(now());
   }
   if (!request) return;
   const wire::Value body = wire::to_value(*request);
   const Answer answer = call("POST", "/machines", &body);
   const std::string* why = answer.body["error"].as_text();
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
+  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::cloud));
   if (answer.status == 200) {
     try {
       context_.engine.on_rented(*request, wire::machine_names_from(answer.body), now());
@@ -134,39 +134,39 @@
   // Otherwise the rental may have been carried out: the same request is sent again until its answer is known.
 }
 
-void CloudDuty::give_back() {
+void CloudLoop::give_back() {
   std::vector<MachineId> names;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::cloud));
     names = context_.engine.next_returns(now());
   }
   if (names.empty()) return;
   const wire::Value body = wire::machine_names(names);
   const Answer answer = call("POST", "/machines/return", &body);
   if (answer.status != 200) return;
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
+  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::cloud));
   context_.engine.on_returned(names, now());
-  context_.plan_signal.raise();
+  context_.plan_signal.signal();
 }
 
-void CloudDuty::run(const std::stop_token& stop) {
+void CloudLoop::run(const std::stop_token& stop) {
   stop_ = stop;
   while (!stop.stop_requested()) {
     const bool known = engine_knows_types_;
     bool leading = false;
     bool wanted = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::cloud));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::cloud));
       leading = context_.engine.leading();
       wanted = leading && context_.engine.cloud_wanted();
     }
     if (!leading && known) {
-      if (!context_.wait_to_lead(stop)) return;
+      if (!context_.wait_until_leader(stop)) return;
       continue;
     }
     if (!known) read_types();
     if (net::Clock::now() < next_try_) {
-      pause(stop, constants::kTick);
+      sleep_unless_stopped(stop, constants::kTick);
       continue;
     }
     if ((!known && !published_) || (leading && net::Clock::now() >= next_types_)) {
--- a/src/node/cloud_loop.h
+++ b/src/node/cloud_loop.h
@@ -7,9 +7,9 @@
 
 namespace foxshunt::node {
 
-class CloudDuty {
+class CloudLoop {
  public:
-  explicit CloudDuty(Context& context);
+  explicit CloudLoop(Context& context);
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/connection_limits.cpp
+++ b/src/node/connection_limits.cpp
@@ -6,7 +6,7 @@
 
 namespace foxshunt::node {
 
-NodeLimits limits_of(const config::Settings& settings) {
+ConnectionLimits connection_limits_for(const config::Settings& settings) {
   const int by_sockets = settings.max_connections - constants::kConnectionReserve;
   const int by_memory = static_cast<int>((settings.ram_mb - constants::kProcessMb) / constants::kConnectionMb) -
                         constants::kPeerConnectionsMost;
--- a/src/node/connection_limits.h
+++ b/src/node/connection_limits.h
@@ -7,11 +7,11 @@
 
 namespace foxshunt::node {
 
-struct NodeLimits {
+struct ConnectionLimits {
   net::ServerLimits all;       // workers', users' and probes' connections; users get a part of them only
   net::ServerLimits siblings;  // at `peer_listen`
 };
 
-[[nodiscard]] NodeLimits limits_of(const config::Settings& settings);
+[[nodiscard]] ConnectionLimits connection_limits_for(const config::Settings& settings);
 
 }  // namespace foxshunt::node
--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -28,22 +28,22 @@
       standby(from),
       health(now(), from.siblings.size()) {}
 
-bool Context::wait_to_lead(const std::stop_token& stop) {
-  std::unique_lock lock(engine_mutex.of(Duty::planning));
-  return led.wait(lock, stop, [this] { return engine.leading(); });
+bool Context::wait_until_leader(const std::stop_token& stop) {
+  std::unique_lock lock(engine_mutex.handle(LockPriority::scheduling));
+  return became_leader.wait(lock, stop, [this] { return engine.leading(); });
 }
 
-void Context::heard_state() {
+void Context::on_store_answered() {
   const std::lock_guard lock(health_mutex);
   health.on_state(now());
 }
 
-plan::Millis Context::state_silent_for() {
+plan::Millis Context::store_silent_for() {
   const std::lock_guard lock(health_mutex);
   return health.silent_for(now());
 }
 
-bool Context::learn_lead(const NodeName& of, Term in) {
+bool Context::observe_leader(const NodeName& of, Term in) {
   const std::lock_guard lock(view_mutex);
   if (in < term) return false;
   if (of != leader && !of.empty()) spdlog::info("{} leads in term {}", of.text(), in.number());
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -26,25 +26,25 @@
   net::Address cloud_address;
   state::RateBudget budget;
   const net::Clock::time_point began = net::Clock::now();
-  Tallies tallies;
+  Metrics metrics;
 
-  DutyMutex engine_mutex;                    // never held across I/O
-  std::condition_variable_any engine_moved;  // with engine_mutex: a write or a planning pass has ended
+  PriorityMutex engine_mutex;                 // never held across I/O
+  std::condition_variable_any progress_made;  // with engine_mutex: a write or a planning pass has ended
   control::Engine engine;
-  Signal lead_signal;  // the lead may be over
-  Signal plan_signal;
-  Signal write_signal;
-  Signal cloud_signal;
-  Signal halt_signal;
-  Signal keep_signal;
-  Signal standby_signal;
-  std::vector<control::DirectHalt> halts;  // with engine_mutex: to be sent
-  std::condition_variable_any led;         // with engine_mutex: this node has begun to lead
-  Revision follow_from;                    // with engine_mutex: up to here the leader knows the records
+  AutoResetEvent lead_signal;  // the lead may be over
+  AutoResetEvent plan_signal;
+  AutoResetEvent write_signal;
+  AutoResetEvent cloud_signal;
+  AutoResetEvent halt_signal;
+  AutoResetEvent keep_signal;
+  AutoResetEvent standby_signal;
+  std::vector<control::DirectHalt> halts;     // with engine_mutex: to be sent
+  std::condition_variable_any became_leader;  // with engine_mutex: this node has begun to lead
+  Revision follow_from;                       // with engine_mutex: up to here the leader knows the records
 
-  Shared shared;  // the records, as this node knows them; its own mutex, taken after engine_mutex if both are
+  SharedRecords shared;  // the records, as this node knows them; its own mutex, taken after engine_mutex if both are
 
-  Standby standby;  // its own mutex as well
+  StandbyState standby;  // its own mutex as well
 
   std::mutex view_mutex;
   NodeName leader;  // as last read; empty: none
@@ -55,12 +55,12 @@
   health::HealthCheck health;
 
   // The leader's duties of a node that does not lead wait here, so that it costs nothing. False when a stop is asked for.
-  bool wait_to_lead(const std::stop_token& stop);
+  bool wait_until_leader(const std::stop_token& stop);
 
-  void heard_state();
-  [[nodiscard]] plan::Millis state_silent_for();
+  void on_store_answered();
+  [[nodiscard]] plan::Millis store_silent_for();
   // Takes note of who leads; false if a later term is known already.
-  bool learn_lead(const NodeName& of, Term in);
+  bool observe_leader(const NodeName& of, Term in);
 };
 
 }  // namespace foxshunt::node
--- a/src/node/delegation_client.cpp
+++ b/src/node/delegation_client.cpp
@@ -6,7 +6,8 @@
 
 namespace foxshunt::node {
 
-AskDuty::AskDuty(Context& context, ZoneRights& rights) : context_(context), rights_(rights) {
+DelegationClient::DelegationClient(Context& context, HeldDelegation& held_delegation)
+    : context_(context), held_delegation_(held_delegation) {
   for (const config::Sibling& sibling : context.settings.siblings) {
     if (const auto address = net::parse_address(sibling.endpoint)) {
       siblings_.try_emplace(sibling.name, *address, constants::kPeerCallLimit);
@@ -14,33 +15,33 @@
   }
 }
 
-void AskDuty::ask(net::HttpClient& leader, Term term) {
+void DelegationClient::ask(net::HttpClient& leader, Term term) {
   {
     // Asking in a term says that this node does not act in an older one.
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
     context_.engine.hear_of(term);
     if (context_.engine.leading()) return;
   }
-  const zone::Ask ask = rights_.next_ask(term);
+  const zone::Ask ask = held_delegation_.next_ask(term);
   const plan::Instant asked = now();
   const auto answer = leader.call({.method = "POST", .path = "/grant", .body = wire::encode(zone::to_value(ask))},
                                   net::Clock::now() + constants::kAskLimit);
-  if (!answer || answer->status != 200) return rights_.lost_contact();
+  if (!answer || answer->status != 200) return held_delegation_.on_contact_lost();
   try {
     const zone::Grant grant = zone::grant_from(wire::decode(answer->body));
-    if (grant.term != term || !rights_.take(grant, asked)) throw wire::Malformed("not what was asked for");
-    context_.standby.sign();
+    if (grant.term != term || !held_delegation_.accept(grant, asked)) throw wire::Malformed("not what was asked for");
+    context_.standby.on_leader_seen();
   } catch (const wire::Malformed& error) {
-    rights_.malformed(leader.to().text(), error.what());
-    rights_.lost_contact();
+    held_delegation_.log_malformed(leader.to().text(), error.what());
+    held_delegation_.on_contact_lost();
   }
 }
 
-void AskDuty::run(const std::stop_token& stop) {
+void DelegationClient::run(const std::stop_token& stop) {
   // A life's number has to be above those of earlier ones, whose clocks may have been ahead by the skew.
   const auto skew = std::chrono::milliseconds(static_cast<std::int64_t>(context_.settings.skew_ms) * 2 + 1);
-  if (!pause(stop, skew)) return;
-  rights_.begin(static_cast<std::uint64_t>(wall_ms()));
+  if (!sleep_unless_stopped(stop, skew)) return;
+  held_delegation_.begin(static_cast<std::uint64_t>(wall_ms()));
   do {
     NodeName leader;
     Term term;
@@ -51,11 +52,11 @@
     }
     const auto sibling = siblings_.find(leader);
     if (sibling == siblings_.end()) {
-      rights_.lost_contact();
+      held_delegation_.on_contact_lost();
     } else {
       ask(sibling->second, term);
     }
-  } while (pause(stop, constants::kAskEvery));
+  } while (sleep_unless_stopped(stop, constants::kAskEvery));
 }
 
 }  // namespace foxshunt::node
--- a/src/node/delegation_client.h
+++ b/src/node/delegation_client.h
@@ -11,16 +11,16 @@
 
 namespace foxshunt::node {
 
-class AskDuty {
+class DelegationClient {
  public:
-  AskDuty(Context& context, ZoneRights& rights);
+  DelegationClient(Context& context, HeldDelegation& held_delegation);
   void run(const std::stop_token& stop);
 
  private:
   void ask(net::HttpClient& leader, Term term);
 
   Context& context_;
-  ZoneRights& rights_;
+  HeldDelegation& held_delegation_;
   std::map<NodeName, net::HttpClient> siblings_;
 };
 
--- a/src/node/heartbeat_relay.cpp
+++ b/src/node/heartbeat_relay.cpp
@@ -13,27 +13,28 @@
   return {.status = 421, .body = wire::encode(wire::redirect_to(node)), .retry_after_s = {}};
 }
 
-Relay::Link::Link(const net::Address& to)
+HeartbeatRelay::Link::Link(const net::Address& to)
     : clients(constants::kRelayClients,
               [to] { return std::make_unique<net::HttpClient>(to, constants::kRelayConnectLimit); }) {}
 
-Relay::Relay(Context& context, ZoneRights& rights) : context_(context), rights_(rights) {
+HeartbeatRelay::HeartbeatRelay(Context& context, HeldDelegation& held_delegation)
+    : context_(context), held_delegation_(held_delegation) {
   for (const config::Sibling& sibling : context.settings.siblings) {
     if (const auto address = net::parse_address(sibling.endpoint)) links_.try_emplace(sibling.name, *address);
   }
 }
 
-std::optional<HttpResponse> Relay::pass_on(const NodeName& leader, const std::string& body) {
+std::optional<HttpResponse> HeartbeatRelay::forward(const NodeName& leader, const std::string& body) {
   const auto link = links_.find(leader);
   if (link == links_.end()) return std::nullopt;
   {
     const std::lock_guard lock(mutex_);
     if (net::Clock::now() < link->second.broken_until) return std::nullopt;
   }
-  const Pool<net::HttpClient>::Loan loan(link->second.clients);
-  if (loan.get() == nullptr) return std::nullopt;
+  const ClientPool<net::HttpClient>::Lease lease(link->second.clients);
+  if (lease.get() == nullptr) return std::nullopt;
   auto answer =
-      loan.get()->call({.method = "POST", .path = "/relay", .body = body}, net::Clock::now() + constants::kRelayLimit);
+      lease.get()->call({.method = "POST", .path = "/relay", .body = body}, net::Clock::now() + constants::kRelayLimit);
   if (!answer) {
     const std::lock_guard lock(mutex_);
     link->second.broken_until = net::Clock::now() + constants::kRelayPause;
@@ -41,7 +42,7 @@
   return answer;
 }
 
-HttpResponse Relay::answer(const wire::Report& report, const std::string& body) {
+HttpResponse HeartbeatRelay::answer(const wire::Report& report, const std::string& body) {
   NodeName leader;
   Term term;
   {
@@ -49,28 +50,29 @@
     leader = context_.leader;
     term = context_.term;
   }
-  if (leader.empty() || leader == context_.settings.name) return answer_itself(report, true).value_or(send_to({}));
+  if (leader.empty() || leader == context_.settings.name)
+    return answer_by_held_delegation(report, true).value_or(send_to({}));
   bool passes = false;
   {
     const std::lock_guard lock(mutex_);
     passes = unreached_.passes(report.machine, report.term, term, now());
   }
-  if (!passes) return answer_itself(report, false).value_or(send_to(leader));
-  auto answer = pass_on(leader, body);
+  if (!passes) return answer_by_held_delegation(report, false).value_or(send_to(leader));
+  auto answer = forward(leader, body);
   if (answer && answer->status == 200) {
-    if (context_.tallies.relayed++ == 0) {
+    if (context_.metrics.relayed++ == 0) {
       spdlog::info("reports of workers that can't reach {} are passed on to it", leader.text());
     }
     return std::move(*answer);
   }
   // Neither the worker nor this node reaches the leader, or it leads no longer: another node may know better.
-  return answer_itself(report, true).value_or(send_to({}));
+  return answer_by_held_delegation(report, true).value_or(send_to({}));
 }
 
-std::optional<HttpResponse> Relay::answer_itself(const wire::Report& report, bool leader_tried) {
-  const auto term = rights_.answers(report, leader_tried);
+std::optional<HttpResponse> HeartbeatRelay::answer_by_held_delegation(const wire::Report& report, bool leader_tried) {
+  const auto term = held_delegation_.answerable_term(report, leader_tried);
   if (!term) return std::nullopt;
-  if (context_.tallies.granted++ == 0) spdlog::info("workers of {} are answered without the leader", report.zone);
+  if (context_.metrics.granted++ == 0) spdlog::info("workers of {} are answered without the leader", report.zone);
   return HttpResponse{.status = 200, .body = wire::encode(wire::report_answer(*term, {})), .retry_after_s = {}};
 }
 
--- a/src/node/heartbeat_relay.h
+++ b/src/node/heartbeat_relay.h
@@ -13,25 +13,26 @@
 
 namespace foxshunt::node {
 
-class Relay {
+class HeartbeatRelay {
  public:
-  Relay(Context& context, ZoneRights& rights);
+  HeartbeatRelay(Context& context, HeldDelegation& held_delegation);
   // What a node that does not lead answers to a report, given also as it came.
   [[nodiscard]] net::HttpResponse answer(const wire::Report& report, const std::string& body);
 
  private:
   struct Link {  // to a sibling
     explicit Link(const net::Address& to);
-    Pool<net::HttpClient> clients;
+    ClientPool<net::HttpClient> clients;
     net::Clock::time_point broken_until;  // with mutex_
   };
-  [[nodiscard]] std::optional<net::HttpResponse> pass_on(const NodeName& leader, const std::string& body);
+  [[nodiscard]] std::optional<net::HttpResponse> forward(const NodeName& leader, const std::string& body);
 
   // With this node's own right, if it has one for the machine.
-  [[nodiscard]] std::optional<net::HttpResponse> answer_itself(const wire::Report& report, bool leader_tried);
+  [[nodiscard]] std::optional<net::HttpResponse> answer_by_held_delegation(const wire::Report& report,
+                                                                           bool leader_tried);
 
   Context& context_;
-  ZoneRights& rights_;
+  HeldDelegation& held_delegation_;
   std::mutex mutex_;
   control::Unreached unreached_;
   std::map<NodeName, Link> links_;
--- a/src/node/held_delegation.cpp
+++ b/src/node/held_delegation.cpp
@@ -10,50 +10,50 @@
 
 using wire::Value;
 
-ZoneRights::ZoneRights(const config::Settings& settings) : settings_(settings) {}
+HeldDelegation::HeldDelegation(const config::Settings& settings) : settings_(settings) {}
 
-void ZoneRights::begin(std::uint64_t life) {
+void HeldDelegation::begin(std::uint64_t life) {
   const std::lock_guard lock(mutex_);
   holder_ = zone::Holder(settings_.name, settings_.zone, life, control::grant_spans(settings_));
 }
 
-std::optional<Term> ZoneRights::answers(const wire::Report& report, bool leader_tried) {
+std::optional<Term> HeldDelegation::answerable_term(const wire::Report& report, bool leader_tried) {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
-  const bool near = answered_ && at - *answered_ < constants::kContactLost;
-  if (near && !leader_tried) return std::nullopt;
+  const bool leader_answers = last_answer_ && at - *last_answer_ < constants::kContactLost;
+  if (leader_answers && !leader_tried) return std::nullopt;
   return holder_.answers(report.machine, report.zone, report.term, at);
 }
 
-zone::Ask ZoneRights::next_ask(Term leaders) {
+zone::Ask HeldDelegation::next_ask(Term leaders) {
   const std::lock_guard lock(mutex_);
   return holder_.next_ask(leaders, now());
 }
 
-bool ZoneRights::take(const zone::Grant& grant, plan::Instant asked) {
+bool HeldDelegation::accept(const zone::Grant& grant, plan::Instant asked) {
   const std::lock_guard lock(mutex_);
   if (!holder_.on_grant(grant, asked)) return false;
-  answered_ = now();
+  last_answer_ = now();
   return true;
 }
 
-void ZoneRights::lost_contact() {
+void HeldDelegation::on_contact_lost() {
   const std::lock_guard lock(mutex_);
-  answered_.reset();
+  last_answer_.reset();
 }
 
-void ZoneRights::malformed(const std::string& from, const char* why) {
+void HeldDelegation::log_malformed(const std::string& from, const char* why) {
   const std::lock_guard lock(mutex_);
-  if (warned_.due(net::Clock::now())) spdlog::warn("malformed word about zones from {}: {}", from, why);
+  if (malformed_log_.should_log(net::Clock::now())) spdlog::warn("malformed word about zones from {}: {}", from, why);
 }
 
-Value::Map ZoneRights::told() const {
+Value::Map HeldDelegation::status() const {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   const auto until = holder_.until();
   return {{"zone", settings_.zone},
           {"ends_in_ms", until ? count_ms(*until - at) : 0},
-          {"leader_answers", answered_ && at - *answered_ < constants::kContactLost},
+          {"leader_answers", last_answer_ && at - *last_answer_ < constants::kContactLost},
           {"machines_answered", static_cast<std::uint64_t>(holder_.machines_used())}};
 }
 
--- a/src/node/held_delegation.h
+++ b/src/node/held_delegation.h
@@ -13,26 +13,26 @@
 namespace foxshunt::node {
 
 // What this node was granted, and whether it is in contact with who granted it.
-class ZoneRights {
+class HeldDelegation {
  public:
-  explicit ZoneRights(const config::Settings& settings);
+  explicit HeldDelegation(const config::Settings& settings);
   // Begins with nothing in hand; the process's lives have rising numbers.
   void begin(std::uint64_t life);
   // The term in which the report may be answered without the leader; nothing when it may not, or when the leader
   // answers this node and was not tried with the report.
-  [[nodiscard]] std::optional<Term> answers(const wire::Report& report, bool leader_tried);
+  [[nodiscard]] std::optional<Term> answerable_term(const wire::Report& report, bool leader_tried);
   [[nodiscard]] zone::Ask next_ask(Term leaders);
-  bool take(const zone::Grant& grant, plan::Instant asked);
-  void lost_contact();
-  void malformed(const std::string& from, const char* why);  // told once a while
-  [[nodiscard]] wire::Value::Map told() const;               // to operators
+  bool accept(const zone::Grant& grant, plan::Instant asked);
+  void on_contact_lost();
+  void log_malformed(const std::string& from, const char* why);  // told once a while
+  [[nodiscard]] wire::Value::Map status() const;                 // to operators
 
  private:
   const config::Settings& settings_;
   mutable std::mutex mutex_;
   zone::Holder holder_;
-  std::optional<plan::Instant> answered_;  // when the leader last answered a word, and none has failed since
-  Seldom warned_;
+  std::optional<plan::Instant> last_answer_;  // when the leader last answered a word, and none has failed since
+  RateLimitedLog malformed_log_;
 };
 
 }  // namespace foxshunt::node
--- a/src/node/http_responses.cpp
+++ b/src/node/http_responses.cpp
@@ -8,8 +8,8 @@
   return {.status = reply.status, .body = wire::encode(reply.body), .retry_after_s = reply.retry_after_s};
 }
 
-HttpResponse plain_error(int status, const std::string& why) { return http(user_api::error_reply(status, why)); }
+HttpResponse error_response(int status, const std::string& why) { return http(user_api::error_reply(status, why)); }
 
-HttpResponse come_back(const std::string& why) { return http(user_api::come_back(why)); }
+HttpResponse retry_later(const std::string& why) { return http(user_api::come_back(why)); }
 
 }  // namespace foxshunt::node
--- a/src/node/http_responses.h
+++ b/src/node/http_responses.h
@@ -8,8 +8,8 @@
 
 namespace foxshunt::node {
 
-[[nodiscard]] net::HttpResponse plain_error(int status, const std::string& why);
-[[nodiscard]] net::HttpResponse come_back(const std::string& why);
+[[nodiscard]] net::HttpResponse error_response(int status, const std::string& why);
+[[nodiscard]] net::HttpResponse retry_later(const std::string& why);
 // What the user API has answered.
 [[nodiscard]] net::HttpResponse http(const user_api::Reply& reply);
 
--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -14,62 +14,62 @@
 
 using state::Answer;
 
-LeaderDuty::LeaderDuty(Context& context)
+LeaderElector::LeaderElector(Context& context)
     : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
 
-std::optional<state::LeadView> LeaderDuty::look() {
-  const state::GetResult holder = client_.get(state::kHolderKey, call_limit());
-  if (!answered(holder.answer)) return std::nullopt;
-  const state::GetResult term = client_.get(state::kTermKey, call_limit());
-  if (!answered(term.answer)) return std::nullopt;
-  context_.heard_state();
+std::optional<state::LeadView> LeaderElector::read_leadership() {
+  const state::GetResult holder = client_.get(state::kHolderKey, store_call_deadline());
+  if (!is_answered(holder.answer)) return std::nullopt;
+  const state::GetResult term = client_.get(state::kTermKey, store_call_deadline());
+  if (!is_answered(term.answer)) return std::nullopt;
+  context_.on_store_answered();
   return state::lead_view(holder, term);
 }
 
-void LeaderDuty::run(const std::stop_token& stop) {
+void LeaderElector::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     try {
-      const auto view = look();
+      const auto view = read_leadership();
       if (!view) {
-        pause(stop, constants::kStateRetryPause);
+        sleep_unless_stopped(stop, constants::kStateRetryPause);
         continue;
       }
       // A lease of this node's earlier life: that process has ended, so it can't act any more.
       const bool own = view->record.leader == context_.settings.name;
       if (view->holder_mark != Revision{} && !own) {
-        context_.learn_lead(view->record.leader, view->record.term);
+        context_.observe_leader(view->record.leader, view->record.term);
         watch(stop, *view);
         continue;
       }
-      context_.learn_lead({}, view->record.term);
-      context_.standby.noticed();
+      context_.observe_leader({}, view->record.term);
+      context_.standby.on_leadership_free();
       // Its own earlier life's lease keeps siblings out as well: they can't go first.
-      if (view->holder_mark == Revision{} && context_.standby.yields(records_whole(), view->record.term)) {
-        pause(stop, constants::kStandbyYield);
+      if (view->holder_mark == Revision{} && context_.standby.should_yield(has_all_records(), view->record.term)) {
+        sleep_unless_stopped(stop, constants::kStandbyYield);
         continue;
       }
       if (gives_way()) {
-        pause(stop, constants::kStateRetryPause);
+        sleep_unless_stopped(stop, constants::kStateRetryPause);
         continue;
       }
-      if (take(*view)) hold(stop);
+      if (try_acquire(*view)) hold_leadership(stop);
     } catch (const wire::Malformed& error) {
       spdlog::error("leadership records cannot be read: {}", error.what());
-      pause(stop, constants::kStateRetryPause);
+      sleep_unless_stopped(stop, constants::kStateRetryPause);
     }
   }
   // An orderly end lets another node lead at once.
-  if (lease_.number != 0) (void)client_.revoke(lease_, call_limit());
+  if (lease_.number != 0) (void)client_.revoke(lease_, store_call_deadline());
 }
 
-bool LeaderDuty::records_whole() {
+bool LeaderElector::has_all_records() {
   if (!context_.settings.operators.shared_records) return true;  // nobody knows them before
   const std::lock_guard lock(context_.shared.mutex);
   return context_.shared.ledger.whole();
 }
 
-bool LeaderDuty::gives_way() {
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+bool LeaderElector::gives_way() {
+  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
   return context_.engine.gives_way(now());
 }
 
@@ -78,23 +78,23 @@
 static_assert(constants::kLeaderWatchHold < constants::kPeerSilence &&
               constants::kPeerSilence < constants::kStateSilence);
 
-void LeaderDuty::watch(const std::stop_token& stop, const state::LeadView& view) {
+void LeaderElector::watch(const std::stop_token& stop, const state::LeadView& view) {
   Revision from = std::max(view.holder_mark, view.term_mark);
   while (!stop.stop_requested()) {
     const state::FollowResult news = client_.follow(state::kLeadPrefix, from, constants::kLeaderWatchHold,
-                                                    call_limit() + constants::kLeaderWatchHold);
+                                                    store_call_deadline() + constants::kLeaderWatchHold);
     if (news.answer != Answer::ok) {
-      pause(stop, constants::kStateRetryPause);
+      sleep_unless_stopped(stop, constants::kStateRetryPause);
       return;
     }
-    context_.heard_state();
+    context_.on_store_answered();
     from = news.revision;
     if (!news.events.empty()) return;
   }
 }
 
-bool LeaderDuty::take(const state::LeadView& view) {
-  const auto lease = client_.grant(constants::kLeaderLease, call_limit());
+bool LeaderElector::try_acquire(const state::LeadView& view) {
+  const auto lease = client_.grant(constants::kLeaderLease, store_call_deadline());
   if (!lease) return false;
   lease_ = *lease;
   const NodeName& self = context_.settings.name;
@@ -103,26 +103,26 @@
   const plan::Instant asked = now();
   const std::int64_t until = state::others_until(view, wall_ms(), control::fence_span(context_.settings).count(),
                                                  static_cast<std::int64_t>(context_.settings.skew_ms));
-  state::TxnResult result = client_.txn(state::take_lead_txn(view, self, lease_, until), call_limit());
+  state::TxnResult result = client_.txn(state::take_lead_txn(view, self, lease_, until), store_call_deadline());
   if (result.answer == Answer::none) {
-    const auto there = look();
+    const auto there = read_leadership();
     // An earlier life may have taken the same term just before it ended, by a lease that nobody renews.
     if (there && there->record.term == term && there->record.leader == self && there->holder_lease == lease_.number) {
       result.answer = Answer::ok;
       result.revision = there->term_mark;
     }
   }
-  if (result.answer == Answer::ok && load(result.revision, term, until, asked)) return true;
-  (void)client_.revoke(lease_, call_limit());
+  if (result.answer == Answer::ok && load_records(result.revision, term, until, asked)) return true;
+  (void)client_.revoke(lease_, store_call_deadline());
   lease_ = {};
   return false;
 }
 
-bool LeaderDuty::read(Shared::Picture& picture, plan::Instant& renewed) {
+bool LeaderElector::read_records(SharedRecords::Picture& picture, plan::Instant& renewed) {
   // The lease goes on while a day's records are read: with a slow state service that takes longer than it lasts.
   const auto renew = [&] {
     const plan::Instant sent = now();
-    if (client_.touch(lease_, call_limit()) == Answer::ok) renewed = sent;
+    if (client_.touch(lease_, store_call_deadline()) == Answer::ok) renewed = sent;
   };
   state::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit, renew);
   if (live.answer != Answer::ok) return false;
@@ -140,25 +140,26 @@
   return true;
 }
 
-bool LeaderDuty::load(Revision term_mark, Term term, std::int64_t others_until_wall_ms, plan::Instant began) {
+bool LeaderElector::load_records(Revision term_mark, Term term, std::int64_t others_until_wall_ms,
+                                 plan::Instant began) {
   plan::Instant renewed = began;
-  Shared::Picture picture;
+  SharedRecords::Picture picture;
   // A node that follows the records has them: all up to its own term, after which no older leader's write can come.
-  std::optional<Shared::Picture> known;
+  std::optional<SharedRecords::Picture> known;
   if (context_.settings.operators.shared_records) {
     known = context_.shared.picture(term_mark, net::Clock::now() + constants::kLedgerTakeover);
   }
   if (known) {
     picture = std::move(*known);
-  } else if (!read(picture, renewed)) {
+  } else if (!read_records(picture, renewed)) {
     return false;
   }
   if (!picture.term) {
-    const state::GetResult record = client_.get(state::kTermKey, call_limit());
+    const state::GetResult record = client_.get(state::kTermKey, store_call_deadline());
     if (record.answer != Answer::ok) return false;
     picture.term = record.entry;
   }
-  const auto hints = context_.standby.take(now());
+  const auto hints = context_.standby.take_snapshot(now());
   // The steady clock last: what passes between the two counts as longer, not shorter, for older leaders.
   const std::int64_t wall = wall_ms();
   const plan::Instant at = now();
@@ -193,36 +194,36 @@
     return false;
   }
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
     context_.engine.lead(takeover, began);
     context_.engine.on_dues(std::move(dues));  // its first pass ranks as the records say
     context_.engine.confirm_lease(renewed);
     if (hints) context_.engine.hint(*hints, now());
     context_.follow_from = picture.revision;
   }
-  context_.standby.led(term, began, knew, hints);
-  context_.standby_signal.raise();
-  context_.learn_lead(context_.settings.name, term);
+  context_.standby.on_leadership_acquired(term, began, knew, hints);
+  context_.standby_signal.signal();
+  context_.observe_leader(context_.settings.name, term);
   context_.budget.set_share(constants::kLeaderShare);
-  context_.led.notify_all();
-  context_.plan_signal.raise();
+  context_.became_leader.notify_all();
+  context_.plan_signal.signal();
   return true;
 }
 
-void LeaderDuty::hold(const std::stop_token& stop) {
+void LeaderElector::hold_leadership(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
       if (!context_.engine.leading()) break;
     }
     const plan::Instant sent = now();
-    const Answer answer = client_.touch(lease_, call_limit());
+    const Answer answer = client_.touch(lease_, store_call_deadline());
     if (answer == Answer::ok) {
-      context_.heard_state();
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+      context_.on_store_answered();
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
       context_.engine.confirm_lease(sent);
     } else if (answer == Answer::not_found) {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
       context_.engine.resign("its lease has ended");
       break;
     }
@@ -230,10 +231,10 @@
     context_.lead_signal.wait(stop, answer == Answer::ok ? constants::kLeaderRenew : constants::kStateRetryPause);
   }
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
     context_.engine.resign("this node stops leading");
   }
-  (void)client_.revoke(lease_, call_limit());
+  (void)client_.revoke(lease_, store_call_deadline());
   lease_ = {};
   const auto nodes = static_cast<double>(std::max<std::size_t>(2, context_.settings.nodes));
   context_.budget.set_share((1 - constants::kLeaderShare) / (nodes - 1));
--- a/src/node/leader_elector.h
+++ b/src/node/leader_elector.h
@@ -7,22 +7,22 @@
 namespace foxshunt::node {
 
 // Watches who leads, takes the lead when nobody does, and holds it.
-class LeaderDuty {
+class LeaderElector {
  public:
-  explicit LeaderDuty(Context& context);
+  explicit LeaderElector(Context& context);
   void run(const std::stop_token& stop);
 
  private:
   // Nothing when the state service did not answer.
-  std::optional<state::LeadView> look();
+  std::optional<state::LeadView> read_leadership();
   void watch(const std::stop_token& stop, const state::LeadView& view);
-  bool take(const state::LeadView& view);
+  bool try_acquire(const state::LeadView& view);
   // `began`: when the lead was asked for.
-  bool load(Revision term_mark, Term term, std::int64_t others_until_wall_ms, plan::Instant began);
-  bool read(Shared::Picture& picture, plan::Instant& renewed);
-  void hold(const std::stop_token& stop);
+  bool load_records(Revision term_mark, Term term, std::int64_t others_until_wall_ms, plan::Instant began);
+  bool read_records(SharedRecords::Picture& picture, plan::Instant& renewed);
+  void hold_leadership(const std::stop_token& stop);
   bool gives_way();
-  bool records_whole();
+  bool has_all_records();
 
   Context& context_;
   state::Client client_;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -2,7 +2,7 @@
 
 namespace foxshunt::node {
 
-void Tallies::answered(Kind kind, int status, RecentPeak::Clock::duration after) {
+void Metrics::answered(Kind kind, int status, RecentPeak::Clock::duration after) {
   Requests& requests = requests_[static_cast<std::size_t>(kind)];
   ++requests.all;
   if (status == 503 || status == 429) {
@@ -11,20 +11,20 @@
     ++requests.bad;
   }
   const std::lock_guard lock(mutex_);
-  answers_[static_cast<std::size_t>(kind)].note(after, RecentPeak::Clock::now());
+  answers_[static_cast<std::size_t>(kind)].record(after, RecentPeak::Clock::now());
 }
 
-void Tallies::planned(RecentPeak::Clock::duration took) {
+void Metrics::planned(RecentPeak::Clock::duration took) {
   const std::lock_guard lock(mutex_);
-  passes_.note(took, RecentPeak::Clock::now());
+  passes_.record(took, RecentPeak::Clock::now());
 }
 
-std::chrono::milliseconds Tallies::slowest(Kind kind) {
+std::chrono::milliseconds Metrics::slowest(Kind kind) {
   const std::lock_guard lock(mutex_);
   return answers_[static_cast<std::size_t>(kind)].longest(RecentPeak::Clock::now());
 }
 
-std::chrono::milliseconds Tallies::longest_pass() {
+std::chrono::milliseconds Metrics::longest_pass() {
   const std::lock_guard lock(mutex_);
   return passes_.longest(RecentPeak::Clock::now());
 }
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -12,7 +12,7 @@
 namespace foxshunt::node {
 
 // Counted as it happens; reading them costs the node next to nothing.
-class Tallies {
+class Metrics {
  public:
   enum class Kind : std::uint8_t { report, user };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -78,11 +78,11 @@
         pools_(
             context_, [this] { return context_.shared.catalog.in_force(); }, pools::opener(window_times)),
         peers_(context_),
-        zone_rights_(context_.settings),
-        ask_(context_, zone_rights_),
+        held_delegation_(context_.settings),
+        ask_(context_, held_delegation_),
         standby_(context_),
-        relay_(context_, zone_rights_),
-        server_(address_of(settings.bind, "bind"), limits_of(settings).all,
+        relay_(context_, held_delegation_),
+        server_(address_of(settings.bind, "bind"), connection_limits_for(settings).all,
                 [this](const HttpRequest& request) { return handle(request); }) {
     start(leader_);
     start(follow_);
@@ -99,7 +99,7 @@
     start(ask_);
     if (settings.operators.standby) start(standby_);
     if (!settings.peer_listen.empty()) {
-      peer_server_.emplace(address_of(settings.peer_listen, "peer_listen"), limits_of(settings).siblings,
+      peer_server_.emplace(address_of(settings.peer_listen, "peer_listen"), connection_limits_for(settings).siblings,
                            [this](const HttpRequest& request) { return handle_sibling(request); });
     }
     started_ = true;
@@ -115,8 +115,8 @@
     return *address;
   }
 
-  template <typename Duty>
-  void start(Duty& duty) {
+  template <typename LockPriority>
+  void start(LockPriority& duty) {
     duties_.emplace_back([&duty](const std::stop_token& stop) { duty.run(stop); });
   }
 
@@ -125,7 +125,7 @@
     const HttpResponse answer = answer_to(request);
     const bool report = request.path == "/checkin";
     if (report || request.path.starts_with("/api/")) {
-      context_.tallies.answered(report ? Tallies::Kind::report : Tallies::Kind::user, answer.status,
+      context_.metrics.answered(report ? Metrics::Kind::report : Metrics::Kind::user, answer.status,
                                 net::Clock::now() - began);
     }
     return answer;
@@ -138,45 +138,46 @@
     if (request.method == "POST" && path == "/checkin") return check_in(request.body, false);
     if (request.method == "GET" && path == "/up") return front_.up();
     if (request.method == "GET" && path == "/counters") {
-      return started_ ? counters_answer(context_, server_) : come_back("the node is starting");
+      return started_ ? counters_response(context_, server_) : retry_later("the node is starting");
     }
-    if (request.method == "GET" && path == "/pools") return pools_.pools_answer();
-    if (request.method == "GET" && path == "/accounts") return pools_.accounts_answer();
-    if (request.method == "GET" && path == "/zones") return zones_answer(context_, zone_rights_);
-    if (request.method == "GET" && path == "/standby") return standby_answer(context_);
+    if (request.method == "GET" && path == "/pools") return pools_.pools_response();
+    if (request.method == "GET" && path == "/accounts") return pools_.accounts_response();
+    if (request.method == "GET" && path == "/zones") return zones_response(context_, held_delegation_);
+    if (request.method == "GET" && path == "/standby") return standby_response(context_);
     if (path.starts_with("/catalog")) return catalog_.handle(request);
     if (path.starts_with("/calendar")) return calendar(request);
-    if (request.method == "GET" && path == "/queue") return queue_answer(context_, request);
-    if (request.method == "GET" && path.starts_with(kPlan)) return plan_answer(context_, path.substr(kPlan.size()));
+    if (request.method == "GET" && path == "/queue") return queue_response(context_, request);
+    if (request.method == "GET" && path.starts_with(kPlan))
+      return plan_explanation_response(context_, path.substr(kPlan.size()));
     if (request.method == "POST" && path == kJobs) return front_.submit(request.body);
     if (path.starts_with(kJobs) && path.size() > kJobs.size() + 1 && path[kJobs.size()] == '/') {
       const std::string rest = path.substr(kJobs.size() + 1);
       if (request.method == "GET") return front_.status(rest);
       if (request.method == "POST" && rest.ends_with("/abort")) return front_.abort(rest.substr(0, rest.size() - 6));
     }
-    return plain_error(404, "no such path");
+    return error_response(404, "no such path");
   }
 
   HttpResponse calendar(const HttpRequest& request) {
     static constexpr std::string_view kDays = "/calendar/";
     if (!context_.settings.operators.shared_records) {
-      return plain_error(409, "shared-records is off in the operators' settings");
+      return error_response(409, "shared-records is off in the operators' settings");
     }
     const calendar::Keeper& keeper = context_.shared.calendar;
-    if (request.method == "POST" && request.path == "/calendar") return calendar_order(context_, keeper, request.body);
+    if (request.method == "POST" && request.path == "/calendar") return change_calendar(context_, keeper, request.body);
     if (request.method == "GET" && request.path.starts_with(kDays)) {
-      return calendar_answer(context_, keeper, request.path.substr(kDays.size()));
+      return calendar_response(context_, keeper, request.path.substr(kDays.size()));
     }
-    return plain_error(404, "no such path");
+    return error_response(404, "no such path");
   }
 
   HttpResponse handle_sibling(const HttpRequest& request) {
     if (request.method == "POST" && request.path == "/relay") return check_in(request.body, true);
     if (request.method == "POST" && request.path == "/grant") {
-      return answer_ask(context_, zone_rights_, request.body);
+      return answer_delegation_request(context_, held_delegation_, request.body);
     }
-    if (request.method == "POST" && request.path == "/standby") return answer_standby(context_, request.body);
-    return tell_lead(context_, request);
+    if (request.method == "POST" && request.path == "/standby") return answer_standby_request(context_, request.body);
+    return leader_response(context_, request);
   }
 
   // `relayed`: by a sibling, to which this node is the leader; it is not passed on once more.
@@ -186,59 +187,60 @@
       report = wire::report_from(wire::decode(body));
     } catch (const wire::Malformed& error) {
       spdlog::warn("malformed report: {}", error.what());
-      return plain_error(400, error.what());
+      return error_response(400, error.what());
     }
     std::optional<std::vector<wire::Command>> commands;
     Term term;
     bool plan = false;
     bool writes = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::reports));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::reports));
       commands = context_.engine.on_report(report, now());
       term = context_.engine.term();
       plan = context_.engine.plan_wanted();
       writes = context_.engine.writes_wanted();
     }
     if (!commands) return relayed ? send_to({}) : relay_.answer(report, body);
-    if (writes) context_.write_signal.raise();
-    if (plan) context_.plan_signal.raise();
+    if (writes) context_.write_signal.signal();
+    if (plan) context_.plan_signal.signal();
     // The outcome of a task is answered when it is durable, and with it what may start in its place; by the next
     // report the machine would have been idle for a whole interval.
     if (writes || plan) {
-      std::unique_lock lock(context_.engine_mutex.of(Duty::reports));
+      std::unique_lock lock(context_.engine_mutex.handle(LockPriority::reports));
       if (!context_.engine.settled(report)) {
-        context_.engine_moved.wait_for(lock, constants::kReportSettle, [&] { return context_.engine.settled(report); });
+        context_.progress_made.wait_for(lock, constants::kReportSettle,
+                                        [&] { return context_.engine.settled(report); });
         const auto later = context_.engine.later_commands(report, now());
         if (!later || (guards::kept(guards::Guard::answer_term) && context_.engine.term() != term))
-          return come_back("it may not act for the controllers now");
+          return retry_later("it may not act for the controllers now");
         for (const wire::Command& command : *later) {
           if (std::ranges::find(*commands, command) == commands->end()) commands->push_back(command);
         }
       }
     }
-    context_.standby.reached(standby::Phase::heard);
+    context_.standby.on_phase_reached(standby::Phase::heard);
     const auto runs = std::ranges::count(*commands, wire::CommandKind::run, &wire::Command::kind);
-    if (runs > 0) context_.standby.started(static_cast<std::uint64_t>(runs));
+    if (runs > 0) context_.standby.on_tasks_started(static_cast<std::uint64_t>(runs));
     return {.status = 200, .body = wire::encode(wire::report_answer(term, *commands)), .retry_after_s = {}};
   }
 
   Context context_;
-  Front front_;
-  CatalogDoor catalog_;
-  LeaderDuty leader_;
-  FollowDuty follow_;
-  WriteDuty write_;
-  PlanDuty plan_;
-  CloudDuty cloud_;
-  HaltDuty halt_;
-  LedgerDuty ledger_;
-  KeepDuty keep_;
-  PoolDuty pools_;
-  PeerDuty peers_;
-  ZoneRights zone_rights_;
-  AskDuty ask_;
-  StandbyDuty standby_;
-  Relay relay_;
+  RequestHandler front_;
+  CatalogRequestHandler catalog_;
+  LeaderElector leader_;
+  RecordWatcher follow_;
+  RecordWriter write_;
+  SchedulerLoop plan_;
+  CloudLoop cloud_;
+  StopSender halt_;
+  CacheWatcher ledger_;
+  RecordControllerLoop keep_;
+  WarmPoolLoop pools_;
+  PeerProber peers_;
+  HeldDelegation held_delegation_;
+  DelegationClient ask_;
+  StandbySubscriber standby_;
+  HeartbeatRelay relay_;
   std::vector<std::jthread> duties_;
   std::atomic<bool> started_{false};  // requests come before the server's constructor has ended
   net::HttpServer server_;
--- a/src/node/operator_requests.cpp
+++ b/src/node/operator_requests.cpp
@@ -35,8 +35,8 @@
 
 }  // namespace
 
-net::HttpResponse counters_answer(Context& context, const net::HttpServer& server) {
-  Tallies& tallies = context.tallies;
+net::HttpResponse counters_response(Context& context, const net::HttpServer& server) {
+  Metrics& metrics = context.metrics;
   const net::Clock::duration up = net::Clock::now() - context.began;
   wire::Value::Map body{
       {"node", context.settings.name.text()},
@@ -55,29 +55,29 @@
     body.emplace_back("health", health::name_of(context.health.assess(now())));
   }
   for (const auto& [kind, name] :
-       {std::pair{Tallies::Kind::report, "reports"}, std::pair{Tallies::Kind::user, "users_requests"}}) {
-    const Tallies::Requests& requests = tallies.of(kind);
+       {std::pair{Metrics::Kind::report, "reports"}, std::pair{Metrics::Kind::user, "users_requests"}}) {
+    const Metrics::Requests& requests = metrics.of(kind);
     body.emplace_back(name, requests.all.load());
     body.emplace_back(std::string(name) + "_refused", requests.refused.load());
     body.emplace_back(std::string(name) + "_bad", requests.bad.load());
-    body.emplace_back(std::string(name) + "_slowest_ms", count_ms(tallies.slowest(kind)));
+    body.emplace_back(std::string(name) + "_slowest_ms", count_ms(metrics.slowest(kind)));
   }
-  body.emplace_back("reports_relayed", tallies.relayed.load());
-  body.emplace_back("reports_granted", tallies.granted.load());
-  constexpr std::array<const char*, kDuties> kNames{"lease", "reports",  "records", "writes",
-                                                    "cloud", "planning", "counting"};
+  body.emplace_back("reports_relayed", metrics.relayed.load());
+  body.emplace_back("reports_granted", metrics.granted.load());
+  constexpr std::array<const char*, kLockPriorities> kNames{"lease", "reports",  "records", "writes",
+                                                            "cloud", "planning", "counting"};
   const auto waits = context.engine_mutex.longest_waits();
-  for (std::size_t duty = 0; duty < kDuties; ++duty) {
+  for (std::size_t duty = 0; duty < kLockPriorities; ++duty) {
     body.emplace_back(std::string("wait_") + kNames[duty] + "_ms", count_ms(waits[duty]));
   }
   if (context.settings.operators.standby) {
-    for (auto& [name, value] : context.standby.told()) {
+    for (auto& [name, value] : context.standby.status()) {
       if (value.as_text() == nullptr) body.emplace_back("standby_" + name, std::move(value));
     }
   }
   if (context.settings.operators.shared_records) {
     const std::lock_guard lock(context.shared.mutex);
-    const Shared& shared = context.shared;
+    const SharedRecords& shared = context.shared;
     const calendar::Counts& calendar = shared.calendar.counts();
     body.emplace_back("ledger_revision", shared.ledger.revision().number());
     body.emplace_back("ledger_records", std::uint64_t{shared.ledger.size()});
@@ -92,7 +92,7 @@
     body.emplace_back("calendar_missed", calendar.missed);
     body.emplace_back("calendar_waived", calendar.waived);
   }
-  const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
+  const std::lock_guard lock(context.engine_mutex.handle(LockPriority::metrics));
   const control::Engine& engine = context.engine;
   body.emplace_back("leads", engine.leading());
   if (engine.leading()) {
@@ -114,25 +114,25 @@
     body.emplace_back("passes", done.passes);
     body.emplace_back("passes_portions", done.portions);
     body.emplace_back("passes_jobs", done.jobs_planned);
-    body.emplace_back("passes_longest_ms", count_ms(tallies.longest_pass()));
+    body.emplace_back("passes_longest_ms", count_ms(metrics.longest_pass()));
     body.emplace_back("tasks_started", done.placed);
   }
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
-net::HttpResponse plan_answer(Context& context, const std::string& job) {
-  if (!wire::is_job_id(job)) return plain_error(404, "no such job");
+net::HttpResponse plan_explanation_response(Context& context, const std::string& job) {
+  if (!wire::is_job_id(job)) return error_response(404, "no such job");
   {
-    const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
+    const std::lock_guard lock(context.engine_mutex.handle(LockPriority::metrics));
     if (context.engine.leading()) {
       const auto why = context.engine.explain(JobId(job), now());
-      if (!why) return plain_error(404, "no such job is known to the leader");
+      if (!why) return error_response(404, "no such job is known to the leader");
       return {.status = 200, .body = wire::encode(wire::Value::Map{{"id", job}, {"plan", *why}}), .retry_after_s = {}};
     }
   }
   const std::lock_guard lock(context.view_mutex);
-  if (context.leader.empty()) return come_back("nobody leads now");
-  return plain_error(421, "only the leader plans: " + context.leader.text());
+  if (context.leader.empty()) return retry_later("nobody leads now");
+  return error_response(421, "only the leader plans: " + context.leader.text());
 }
 
 }  // namespace foxshunt::node
--- a/src/node/operator_requests.h
+++ b/src/node/operator_requests.h
@@ -8,7 +8,7 @@
 
 namespace foxshunt::node {
 
-[[nodiscard]] net::HttpResponse counters_answer(Context& context, const net::HttpServer& server);
-[[nodiscard]] net::HttpResponse plan_answer(Context& context, const std::string& job);
+[[nodiscard]] net::HttpResponse counters_response(Context& context, const net::HttpServer& server);
+[[nodiscard]] net::HttpResponse plan_explanation_response(Context& context, const std::string& job);
 
 }  // namespace foxshunt::node
--- a/src/node/peer_prober.cpp
+++ b/src/node/peer_prober.cpp
@@ -9,8 +9,8 @@
 
 namespace foxshunt::node {
 
-net::HttpResponse tell_lead(Context& context, const net::HttpRequest& request) {
-  if (request.method != "GET" || request.path != "/lead") return plain_error(404, "no such path");
+net::HttpResponse leader_response(Context& context, const net::HttpRequest& request) {
+  if (request.method != "GET" || request.path != "/lead") return error_response(404, "no such path");
   wire::Value word;
   {
     const std::lock_guard lock(context.view_mutex);
@@ -21,7 +21,7 @@
   return {.status = 200, .body = wire::encode(word), .retry_after_s = {}};
 }
 
-PeerDuty::PeerDuty(Context& context) : context_(context) {
+PeerProber::PeerProber(Context& context) : context_(context) {
   for (const config::Sibling& sibling : context.settings.siblings) {
     if (const auto address = net::parse_address(sibling.endpoint)) {
       siblings_.push_back({.name = sibling.name, .client = {*address, constants::kPeerCallLimit}});
@@ -29,7 +29,7 @@
   }
 }
 
-void PeerDuty::ask(Link& sibling) {
+void PeerProber::ask(Link& sibling) {
   const plan::Instant asked = now();
   const auto answer = sibling.client.call({.method = "GET", .path = "/lead", .body = {}},
                                           net::Clock::now() + constants::kPeerCallLimit);
@@ -48,14 +48,14 @@
     const std::lock_guard lock(context_.health_mutex);
     context_.health.on_contact(sibling.name, contact, asked);
   }
-  if (word.leader.empty() || !context_.learn_lead(word.leader, word.term)) return;
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+  if (word.leader.empty() || !context_.observe_leader(word.leader, word.term)) return;
+  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
   context_.engine.hear_of(word.term);
 }
 
-void PeerDuty::run(const std::stop_token& stop) {
-  while (pause(stop, constants::kPeerEvery)) {
-    if (context_.state_silent_for() < constants::kPeerSilence) continue;
+void PeerProber::run(const std::stop_token& stop) {
+  while (sleep_unless_stopped(stop, constants::kPeerEvery)) {
+    if (context_.store_silent_for() < constants::kPeerSilence) continue;
     for (Link& sibling : siblings_) ask(sibling);
   }
 }
--- a/src/node/peer_prober.h
+++ b/src/node/peer_prober.h
@@ -10,14 +10,14 @@
 namespace foxshunt::node {
 
 // Answers siblings with the leader and term that this node knows of, and its own contact with the state service.
-net::HttpResponse tell_lead(Context& context, const net::HttpRequest& request);
+net::HttpResponse leader_response(Context& context, const net::HttpRequest& request);
 
 // Asks the siblings when the state service is silent. A higher term ends this node's lead at once, so that workers
 // turn to the successor instead of waiting for this node's fence. Whether siblings are served decides whether this node
 // is out alone (health check); nothing else follows from what a sibling says.
-class PeerDuty {
+class PeerProber {
  public:
-  explicit PeerDuty(Context& context);
+  explicit PeerProber(Context& context);
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/priority_mutex.cpp
+++ b/src/node/priority_mutex.cpp
@@ -4,50 +4,51 @@
 
 namespace foxshunt::node {
 
-DutyMutex::DutyMutex() {
-  for (std::size_t rank = 0; rank < kDuties; ++rank) {
-    doors_[rank].mutex_ = this;
-    doors_[rank].rank_ = rank;
+PriorityMutex::PriorityMutex() {
+  for (std::size_t rank = 0; rank < kLockPriorities; ++rank) {
+    handles_[rank].mutex_ = this;
+    handles_[rank].rank_ = rank;
   }
 }
 
-bool DutyMutex::behind(std::size_t rank) const {
+bool PriorityMutex::is_outranked(std::size_t rank) const {
   return std::any_of(waiting_.begin(), waiting_.begin() + static_cast<std::ptrdiff_t>(rank),
                      [](std::size_t count) { return count > 0; });
 }
 
-void DutyMutex::Door::lock() {
+void PriorityMutex::LockHandle::lock() {
   std::unique_lock lock(mutex_->mutex_);
-  if (mutex_->taken_ || mutex_->behind(rank_)) {
+  if (mutex_->is_locked_ || mutex_->is_outranked(rank_)) {
     const auto since = RecentPeak::Clock::now();
     ++mutex_->waiting_[rank_];
-    turn_.wait(lock, [this] { return !mutex_->taken_ && !mutex_->behind(rank_); });
+    my_turn_.wait(lock, [this] { return !mutex_->is_locked_ && !mutex_->is_outranked(rank_); });
     --mutex_->waiting_[rank_];
     const auto now = RecentPeak::Clock::now();
-    mutex_->waits_[rank_].note(now - since, now);
+    mutex_->waits_[rank_].record(now - since, now);
   }
-  mutex_->taken_ = true;
+  mutex_->is_locked_ = true;
 }
 
-void DutyMutex::Door::unlock() {
+void PriorityMutex::LockHandle::unlock() {
   const std::lock_guard lock(mutex_->mutex_);
-  mutex_->taken_ = false;
-  for (std::size_t rank = 0; rank < kDuties; ++rank) {
+  mutex_->is_locked_ = false;
+  for (std::size_t rank = 0; rank < kLockPriorities; ++rank) {
     if (mutex_->waiting_[rank] == 0) continue;
-    mutex_->doors_[rank].turn_.notify_one();
+    mutex_->handles_[rank].my_turn_.notify_one();
     return;
   }
 }
 
-bool DutyMutex::awaited_by(Duty duty) {
+bool PriorityMutex::is_awaited_by(LockPriority priority) {
   const std::lock_guard lock(mutex_);
-  return waiting_[static_cast<std::size_t>(duty)] > 0;
+  return waiting_[static_cast<std::size_t>(priority)] > 0;
 }
 
-std::array<std::chrono::milliseconds, kDuties> DutyMutex::longest_waits() {
+std::array<std::chrono::milliseconds, kLockPriorities> PriorityMutex::longest_waits() {
   const std::lock_guard lock(mutex_);
-  std::array<std::chrono::milliseconds, kDuties> longest{};
-  for (std::size_t rank = 0; rank < kDuties; ++rank) longest[rank] = waits_[rank].longest(RecentPeak::Clock::now());
+  std::array<std::chrono::milliseconds, kLockPriorities> longest{};
+  for (std::size_t rank = 0; rank < kLockPriorities; ++rank)
+    longest[rank] = waits_[rank].longest(RecentPeak::Clock::now());
   return longest;
 }
 
--- a/src/node/priority_mutex.h
+++ b/src/node/priority_mutex.h
@@ -13,39 +13,39 @@
 namespace foxshunt::node {
 
 // In the order in which they matter when a node is behind.
-enum class Duty : std::uint8_t { lease, reports, records, writes, cloud, planning, counting };
-inline constexpr std::size_t kDuties = 7;
+enum class LockPriority : std::uint8_t { lease, reports, records, writes, cloud, scheduling, metrics };
+inline constexpr std::size_t kLockPriorities = 7;
 
-class DutyMutex {
+class PriorityMutex {
  public:
   // One duty's way in; a BasicLockable.
-  class Door {
+  class LockHandle {
    public:
     void lock();
     void unlock();
 
    private:
-    friend class DutyMutex;
-    DutyMutex* mutex_ = nullptr;
+    friend class PriorityMutex;
+    PriorityMutex* mutex_ = nullptr;
     std::size_t rank_ = 0;
-    std::condition_variable turn_;
+    std::condition_variable my_turn_;
   };
 
-  DutyMutex();
-  Door& of(Duty duty) { return doors_[static_cast<std::size_t>(duty)]; }
-  [[nodiscard]] bool awaited_by(Duty duty);
+  PriorityMutex();
+  LockHandle& handle(LockPriority priority) { return handles_[static_cast<std::size_t>(priority)]; }
+  [[nodiscard]] bool is_awaited_by(LockPriority priority);
   // The longest that each duty has waited of late.
-  [[nodiscard]] std::array<std::chrono::milliseconds, kDuties> longest_waits();
+  [[nodiscard]] std::array<std::chrono::milliseconds, kLockPriorities> longest_waits();
 
  private:
   // Whether somebody more urgent waits.
-  [[nodiscard]] bool behind(std::size_t rank) const;
+  [[nodiscard]] bool is_outranked(std::size_t rank) const;
 
   std::mutex mutex_;  // held for a few instructions only
-  bool taken_ = false;
-  std::array<std::size_t, kDuties> waiting_{};
-  std::array<RecentPeak, kDuties> waits_;
-  std::array<Door, kDuties> doors_;
+  bool is_locked_ = false;
+  std::array<std::size_t, kLockPriorities> waiting_{};
+  std::array<RecentPeak, kLockPriorities> waits_;
+  std::array<LockHandle, kLockPriorities> handles_;
 };
 
 }  // namespace foxshunt::node
--- a/src/node/queue_requests.cpp
+++ b/src/node/queue_requests.cpp
@@ -17,18 +17,18 @@
 
 }  // namespace
 
-net::HttpResponse queue_answer(Context& context, const net::HttpRequest& request) {
+net::HttpResponse queue_response(Context& context, const net::HttpRequest& request) {
   classes::QueueAsk ask{.class_name = text_of(request, "class"), .team = text_of(request, "team")};
   if (const std::string from = text_of(request, "from"); !from.empty()) {
     const auto [end, error] = std::from_chars(from.data(), from.data() + from.size(), ask.from);
-    if (error != std::errc() || end != from.data() + from.size()) return plain_error(400, "from: must be a place");
+    if (error != std::errc() || end != from.data() + from.size()) return error_response(400, "from: must be a place");
   }
   if (!context.settings.operators.shared_records) {
-    return plain_error(409, "shared-records is off in the operators' settings");
+    return error_response(409, "shared-records is off in the operators' settings");
   }
-  Shared& shared = context.shared;
+  SharedRecords& shared = context.shared;
   const std::lock_guard lock(shared.mutex);
-  if (!shared.ledger.whole()) return come_back("the records are not known yet");
+  if (!shared.ledger.whole()) return retry_later("the records are not known yet");
   const std::shared_ptr<const catalog::Set> in_force = shared.catalog.in_force();
   const catalog::Set& set = *in_force;
   const classes::Table table(set);
--- a/src/node/queue_requests.h
+++ b/src/node/queue_requests.h
@@ -7,6 +7,6 @@
 namespace foxshunt::node {
 
 // GET /queue?class=C&team=T&from=N, of any node that follows the records.
-[[nodiscard]] net::HttpResponse queue_answer(Context& context, const net::HttpRequest& request);
+[[nodiscard]] net::HttpResponse queue_response(Context& context, const net::HttpRequest& request);
 
 }  // namespace foxshunt::node
--- a/src/node/rate_limited_log.h
+++ b/src/node/rate_limited_log.h
@@ -9,16 +9,16 @@
 namespace foxshunt::node {
 
 // Lets a warning through once a minute.
-class Seldom {
+class RateLimitedLog {
  public:
-  [[nodiscard]] bool due(std::chrono::steady_clock::time_point now) {
-    if (next_ && now < *next_) return false;
-    next_ = now + constants::kWarnEvery;
+  [[nodiscard]] bool should_log(std::chrono::steady_clock::time_point now) {
+    if (next_at_ && now < *next_at_) return false;
+    next_at_ = now + constants::kWarnEvery;
     return true;
   }
 
  private:
-  std::optional<std::chrono::steady_clock::time_point> next_;
+  std::optional<std::chrono::steady_clock::time_point> next_at_;
 };
 
 }  // namespace foxshunt::node
--- a/src/node/recent_peak.h
+++ b/src/node/recent_peak.h
@@ -12,27 +12,27 @@
  public:
   using Clock = std::chrono::steady_clock;
 
-  void note(Clock::duration span, Clock::time_point now) {
-    turn(now);
-    current_ = std::max(current_, span);
+  void record(Clock::duration span, Clock::time_point now) {
+    roll_window(now);
+    current_peak_ = std::max(current_peak_, span);
   }
   [[nodiscard]] std::chrono::milliseconds longest(Clock::time_point now) {
-    turn(now);
-    return std::chrono::ceil<std::chrono::milliseconds>(std::max(current_, earlier_));
+    roll_window(now);
+    return std::chrono::ceil<std::chrono::milliseconds>(std::max(current_peak_, previous_peak_));
   }
 
  private:
-  void turn(Clock::time_point now) {
-    const auto passed = now - began_;
+  void roll_window(Clock::time_point now) {
+    const auto passed = now - window_start_;
     if (passed < constants::kPeakWindow) return;
-    earlier_ = passed < 2 * constants::kPeakWindow ? current_ : Clock::duration{};
-    current_ = {};
-    began_ = now;
+    previous_peak_ = passed < 2 * constants::kPeakWindow ? current_peak_ : Clock::duration{};
+    current_peak_ = {};
+    window_start_ = now;
   }
 
-  Clock::time_point began_{};
-  Clock::duration current_{};
-  Clock::duration earlier_{};
+  Clock::time_point window_start_{};
+  Clock::duration current_peak_{};
+  Clock::duration previous_peak_{};
 };
 
 }  // namespace foxshunt::node
--- a/src/node/record_controller_loop.cpp
+++ b/src/node/record_controller_loop.cpp
@@ -12,34 +12,34 @@
 
 using state::Answer;
 
-KeepDuty::KeepDuty(Context& context)
+RecordControllerLoop::RecordControllerLoop(Context& context)
     : context_(context), client_(context.state_address, context.budget, state::Urgency::user) {}
 
-void KeepDuty::run(const std::stop_token& stop) {
-  while (context_.wait_to_lead(stop)) {
+void RecordControllerLoop::run(const std::stop_token& stop) {
+  while (context_.wait_until_leader(stop)) {
     read_ends();
     tell_plan();
     tell_types();
-    while (!stop.stop_requested() && write_one()) pause(stop, constants::kKeepPause);
+    while (!stop.stop_requested() && write_one()) sleep_unless_stopped(stop, constants::kKeepPause);
     context_.keep_signal.wait(stop, constants::kKeepEvery);
   }
 }
 
-void KeepDuty::read_ends() {
-  Shared& shared = context_.shared;
+void RecordControllerLoop::read_ends() {
+  SharedRecords& shared = context_.shared;
   std::optional<std::string> key;
   {
     const std::lock_guard lock(shared.mutex);
     key = shared.calendar.next_read();
   }
   if (!key) return;
-  const state::GetResult found = client_.get(*key, call_limit());
+  const state::GetResult found = client_.get(*key, store_call_deadline());
   const std::lock_guard lock(shared.mutex);
   shared.calendar.on_read(*key, found);
 }
 
-void KeepDuty::tell_types() {
-  Shared& shared = context_.shared;
+void RecordControllerLoop::tell_types() {
+  SharedRecords& shared = context_.shared;
   {
     const std::lock_guard lock(shared.mutex);
     if (!shared.catalog_founder.wants_types()) return;
@@ -53,8 +53,8 @@
   shared.catalog_founder.learn_types(names);
 }
 
-void KeepDuty::tell_plan() {
-  Shared& shared = context_.shared;
+void RecordControllerLoop::tell_plan() {
+  SharedRecords& shared = context_.shared;
   {
     const std::lock_guard lock(shared.mutex);
     if (shared.calendar.occurrences().empty()) return;
@@ -68,7 +68,7 @@
   std::map<JobId, plan::Instant> ends;
   std::map<JobId, foresight::Prospect> prospects;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::metrics));
     context_.engine.on_dues(std::move(dues));
     if (context_.engine.planning()) return;
     ends = context_.engine.planned_ends();
@@ -78,14 +78,14 @@
   shared.calendar.planned(calendar::plans_of(ends, prospects, moment));
 }
 
-bool KeepDuty::write_one() {
+bool RecordControllerLoop::write_one() {
   Revision term_mark;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::metrics));
     if (!context_.engine.may_start(now())) return false;
     term_mark = context_.engine.term_mark();
   }
-  Shared& shared = context_.shared;
+  SharedRecords& shared = context_.shared;
   ledger::Keeper* keeper = nullptr;
   std::optional<state::Txn> txn;
   {
@@ -100,10 +100,10 @@
   if (!txn) return false;
   state::Txn guarded = *txn;
   guarded.conditions.push_back({.key = state::kTermKey, .mark = term_mark});
-  const state::TxnResult result = client_.txn(guarded, call_limit());
+  const state::TxnResult result = client_.txn(guarded, store_call_deadline());
   if (result.answer == Answer::conflict &&
       std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::lease));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
     context_.engine.on_term_conflict(term_mark);
   }
   const std::lock_guard lock(shared.mutex);
--- a/src/node/record_controller_loop.h
+++ b/src/node/record_controller_loop.h
@@ -7,9 +7,9 @@
 namespace foxshunt::node {
 
 // Lets the keepers write while this node leads.
-class KeepDuty {
+class RecordControllerLoop {
  public:
-  explicit KeepDuty(Context& context);
+  explicit RecordControllerLoop(Context& context);
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/record_watcher.cpp
+++ b/src/node/record_watcher.cpp
@@ -8,40 +8,40 @@
 
 using state::Answer;
 
-FollowDuty::FollowDuty(Context& context)
+RecordWatcher::RecordWatcher(Context& context)
     : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
 
-void FollowDuty::run(const std::stop_token& stop) {
+void RecordWatcher::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     Revision from;
     Term term;
     bool leading = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::records));
       leading = context_.engine.leading();
       from = context_.follow_from;
       term = context_.engine.term();
     }
     if (!leading) {
-      if (!context_.wait_to_lead(stop)) return;
+      if (!context_.wait_until_leader(stop)) return;
       continue;
     }
     const plan::Instant sent = now();
-    const state::FollowResult news =
-        client_.follow(state::kLivePrefix, from, constants::kFollowHold, call_limit() + constants::kFollowHold);
+    const state::FollowResult news = client_.follow(state::kLivePrefix, from, constants::kFollowHold,
+                                                    store_call_deadline() + constants::kFollowHold);
     if (news.answer == Answer::too_old) {
       reload(stop, term);
       continue;
     }
     if (news.answer != Answer::ok) {
-      pause(stop, constants::kStateRetryPause);
+      sleep_unless_stopped(stop, constants::kStateRetryPause);
       continue;
     }
-    context_.heard_state();
+    context_.on_store_answered();
     const plan::Instant at = now();
     const std::int64_t wall = wall_ms();
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::records));
       if (!context_.engine.leading() || context_.engine.term() != term) continue;
       for (const state::Event& event : news.events) {
         const auto id = state::job_of_key(event.key);
@@ -56,27 +56,27 @@
       context_.follow_from = news.revision;
     }
     if (!news.events.empty()) {
-      context_.plan_signal.raise();
-      context_.write_signal.raise();
+      context_.plan_signal.signal();
+      context_.write_signal.signal();
     }
   }
 }
 
 // The watch is too far behind: what is there now is compared with what is known.
-void FollowDuty::reload(const std::stop_token& stop, Term term) {
+void RecordWatcher::reload(const std::stop_token& stop, Term term) {
   const plan::Instant sent = now();
   const state::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit);
   if (live.answer != Answer::ok) {
-    pause(stop, constants::kStateRetryPause);
+    sleep_unless_stopped(stop, constants::kStateRetryPause);
     return;
   }
   const plan::Instant at = now();
   const std::int64_t wall = wall_ms();
-  const std::lock_guard lock(context_.engine_mutex.of(Duty::records));
+  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::records));
   if (!context_.engine.on_job_list(term, live.entries, wall, at)) return;
   context_.engine.confirm_reading(sent);
   context_.follow_from = live.revision;
-  context_.plan_signal.raise();
+  context_.plan_signal.signal();
 }
 
 }  // namespace foxshunt::node
--- a/src/node/record_watcher.h
+++ b/src/node/record_watcher.h
@@ -7,9 +7,9 @@
 namespace foxshunt::node {
 
 // Reads the changes of records while leading.
-class FollowDuty {
+class RecordWatcher {
  public:
-  explicit FollowDuty(Context& context);
+  explicit RecordWatcher(Context& context);
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -8,45 +8,45 @@
 
 using state::Answer;
 
-WriteDuty::WriteDuty(Context& context)
+RecordWriter::RecordWriter(Context& context)
     : context_(context), client_(context.state_address, context.budget, state::Urgency::duty) {}
 
-void WriteDuty::reload_jobs() {
+void RecordWriter::reload_jobs() {
   while (true) {
     std::optional<jobs::Reload> reload;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::writes));
       reload = context_.engine.next_reload();
     }
     if (!reload) return;
-    const state::GetResult found = client_.get(reload->key(), call_limit());
-    if (!answered(found.answer)) return;
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
+    const state::GetResult found = client_.get(reload->key(), store_call_deadline());
+    if (!is_answered(found.answer)) return;
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::writes));
     context_.engine.on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt,
                                 now());
   }
 }
 
-void WriteDuty::run(const std::stop_token& stop) {
-  while (context_.wait_to_lead(stop)) {
+void RecordWriter::run(const std::stop_token& stop) {
+  while (context_.wait_until_leader(stop)) {
     reload_jobs();
     std::optional<control::WriteBatch> batch;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::writes));
       batch = context_.engine.begin_write(now());
     }
     if (!batch) {
-      if (context_.write_signal.wait(stop, constants::kWriteLook)) pause(stop, constants::kWritePause);
+      if (context_.write_signal.wait(stop, constants::kWriteLook)) sleep_unless_stopped(stop, constants::kWritePause);
       continue;
     }
-    const state::TxnResult result = client_.txn(batch->txn, call_limit());
-    if (answered(result.answer)) context_.heard_state();
+    const state::TxnResult result = client_.txn(batch->txn, store_call_deadline());
+    if (is_answered(result.answer)) context_.on_store_answered();
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::writes));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::writes));
       context_.engine.end_write(*batch, result, now());
     }
-    context_.engine_moved.notify_all();
-    if (!answered(result.answer)) pause(stop, constants::kStateRetryPause);
+    context_.progress_made.notify_all();
+    if (!is_answered(result.answer)) sleep_unless_stopped(stop, constants::kStateRetryPause);
   }
 }
 
--- a/src/node/record_writer.h
+++ b/src/node/record_writer.h
@@ -7,9 +7,9 @@
 namespace foxshunt::node {
 
 // Writes what the engine wants durable.
-class WriteDuty {
+class RecordWriter {
  public:
-  explicit WriteDuty(Context& context);
+  explicit RecordWriter(Context& context);
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -10,29 +10,29 @@
 
 using net::HttpResponse;
 
-Front::Front(Context& context)
+RequestHandler::RequestHandler(Context& context)
     : context_(context), clients_(constants::kFrontClients, [&context] {
         return std::make_unique<state::Client>(context.state_address, context.budget, state::Urgency::user);
       }) {}
 
-user_api::Known Front::known() {
+user_api::Known RequestHandler::known() {
   const std::lock_guard lock(context_.view_mutex);
   return {.settings = context_.settings, .finals = finals_, .types = context_.types, .wall_ms = wall_ms()};
 }
 
-HttpResponse Front::serve(user_api::Request request) {
+HttpResponse RequestHandler::serve(user_api::Request request) {
   const net::Deadline until = net::Clock::now() + constants::kFrontCallLimit;
   if (const auto* reply = request.reply()) return http(*reply);
-  const Clients::Loan loan(clients_);
-  if (loan.get() == nullptr) return come_back("too many requests under way");
+  const Clients::Lease lease(clients_);
+  if (lease.get() == nullptr) return retry_later("too many requests under way");
   while (request.reply() == nullptr) {
     if (const auto* read = std::get_if<user_api::Request::Read>(&request.step())) {
-      const state::GetResult found = loan.get()->get(read->key, until);
-      if (found.answer == state::Answer::ok || found.answer == state::Answer::not_found) context_.heard_state();
+      const state::GetResult found = lease.get()->get(read->key, until);
+      if (found.answer == state::Answer::ok || found.answer == state::Answer::not_found) context_.on_store_answered();
       request.on_read(found);
     } else {
-      const state::TxnResult result = loan.get()->txn(std::get<state::Txn>(request.step()), until);
-      if (result.answer == state::Answer::ok) context_.heard_state();
+      const state::TxnResult result = lease.get()->txn(std::get<state::Txn>(request.step()), until);
+      if (result.answer == state::Answer::ok) context_.on_store_answered();
       request.on_written(result);
     }
   }
@@ -44,13 +44,17 @@
   return http(*request.reply());
 }
 
-HttpResponse Front::submit(const std::string& body) { return serve(user_api::Request::submission(known(), body)); }
+HttpResponse RequestHandler::submit(const std::string& body) {
+  return serve(user_api::Request::submission(known(), body));
+}
 
-HttpResponse Front::status(const std::string& id) { return serve(user_api::Request::question(known(), id)); }
+HttpResponse RequestHandler::status(const std::string& id) { return serve(user_api::Request::question(known(), id)); }
 
-HttpResponse Front::abort(const std::string& id) { return serve(user_api::Request::cancellation(known(), id)); }
+HttpResponse RequestHandler::abort(const std::string& id) {
+  return serve(user_api::Request::cancellation(known(), id));
+}
 
-HttpResponse Front::up() {
+HttpResponse RequestHandler::up() {
   health::Verdict verdict{};
   plan::Millis silent{};
   {
@@ -63,7 +67,7 @@
     spdlog::log(out ? spdlog::level::warn : spdlog::level::info, "up={} health={} was={} state_silent_ms={}",
                 out ? "no" : "yes", health::name_of(verdict), health::name_of(before), silent.count());
   }
-  if (!health::healthy(verdict)) return come_back("this node can't reach the state service");
+  if (!health::healthy(verdict)) return retry_later("this node can't reach the state service");
   return {.status = 200, .body = {}, .retry_after_s = {}};
 }
 
--- a/src/node/request_handler.h
+++ b/src/node/request_handler.h
@@ -12,9 +12,9 @@
 
 namespace foxshunt::node {
 
-class Front {
+class RequestHandler {
  public:
-  explicit Front(Context& context);
+  explicit RequestHandler(Context& context);
 
   [[nodiscard]] net::HttpResponse submit(const std::string& body);
   [[nodiscard]] net::HttpResponse status(const std::string& id);
@@ -23,7 +23,7 @@
 
  private:
   // State clients, each for one request; they are few, so that users can't take all sockets.
-  using Clients = Pool<state::Client>;
+  using Clients = ClientPool<state::Client>;
 
   [[nodiscard]] user_api::Known known();
   net::HttpResponse serve(user_api::Request request);
--- a/src/node/scheduler_loop.cpp
+++ b/src/node/scheduler_loop.cpp
@@ -11,20 +11,20 @@
 
 namespace foxshunt::node {
 
-void PlanDuty::run(const std::stop_token& stop) {
-  while (context_.wait_to_lead(stop)) {
+void SchedulerLoop::run(const std::stop_token& stop) {
+  while (context_.wait_until_leader(stop)) {
     context_.plan_signal.wait(stop, constants::kHousekeepEvery);
     bool wanted = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::scheduling));
       context_.engine.tick(now());
       wanted = context_.engine.plan_wanted();
-      if (!context_.engine.leading()) context_.lead_signal.raise();
+      if (!context_.engine.leading()) context_.lead_signal.signal();
     }
     // Reports, records and the lease take their turn between portions.
     const auto began = net::Clock::now();
     for (bool ended = !wanted; !ended && !stop.stop_requested();) {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::scheduling));
       ended = context_.engine.plan_some(now(), constants::kPlacesPerPortion);
     }
     bool writes = false;
@@ -33,7 +33,7 @@
     bool placed = false;
     control::Census census;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::planning));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::scheduling));
       writes = context_.engine.writes_wanted();
       cloud = context_.engine.cloud_wanted();
       std::ranges::move(context_.engine.due_halts(now()), std::back_inserter(context_.halts));
@@ -42,26 +42,26 @@
       placed = context_.engine.counters().placed > 0;
     }
     if (wanted) {
-      context_.standby.reached(standby::Phase::planned);
-      if (placed) context_.standby.reached(standby::Phase::placed);
+      context_.standby.on_phase_reached(standby::Phase::planned);
+      if (placed) context_.standby.on_phase_reached(standby::Phase::placed);
     }
     context_.standby.log_takeover();
-    if (census.unwritten_oldest > constants::kBehind && late_write_.due(net::Clock::now())) {
+    if (census.unwritten_oldest > constants::kBehind && late_write_.should_log(net::Clock::now())) {
       spdlog::warn("behind: {} records are to be written, the oldest for {:.1f} s", census.unwritten,
                    control::to_seconds(census.unwritten_oldest));
     }
-    if (writes) context_.write_signal.raise();
-    if (cloud) context_.cloud_signal.raise();
-    if (halts) context_.halt_signal.raise();
+    if (writes) context_.write_signal.signal();
+    if (cloud) context_.cloud_signal.signal();
+    if (halts) context_.halt_signal.signal();
     if (!wanted) continue;
     const auto ended_at = net::Clock::now();
-    context_.tallies.planned(ended_at - began);
-    if (ended_at - began > constants::kBehind && late_pass_.due(ended_at)) {
+    context_.metrics.planned(ended_at - began);
+    if (ended_at - began > constants::kBehind && late_pass_.should_log(ended_at)) {
       spdlog::warn("behind: a planning pass took {:.1f} s; placements are late",
                    std::chrono::duration<double>(ended_at - began).count());
     }
-    context_.engine_moved.notify_all();
-    pause(stop, constants::kPlanPause);
+    context_.progress_made.notify_all();
+    sleep_unless_stopped(stop, constants::kPlanPause);
   }
 }
 
--- a/src/node/scheduler_loop.h
+++ b/src/node/scheduler_loop.h
@@ -7,15 +7,15 @@
 namespace foxshunt::node {
 
 // Plans, and keeps house.
-class PlanDuty {
+class SchedulerLoop {
  public:
-  explicit PlanDuty(Context& context) : context_(context) {}
+  explicit SchedulerLoop(Context& context) : context_(context) {}
   void run(const std::stop_token& stop);
 
  private:
   Context& context_;
-  Seldom late_pass_;
-  Seldom late_write_;
+  RateLimitedLog late_pass_;
+  RateLimitedLog late_write_;
 };
 
 }  // namespace foxshunt::node
--- a/src/node/shared_records.cpp
+++ b/src/node/shared_records.cpp
@@ -16,9 +16,9 @@
 
 ledger::Moment moment() { return {.wall_ms = wall_ms(), .steady = net::Clock::now()}; }
 
-Shared::Shared(const config::Settings& settings)
+SharedRecords::SharedRecords(const config::Settings& settings)
     : ledger(kept_prefixes()),
-      catalog_founder(founding_of(settings), write_limits_of(settings)),
+      catalog_founder(founding_of(settings), catalog_write_limits_of(settings)),
       calendar([this] { return catalog.in_force(); },
                {.value_bytes = static_cast<std::size_t>(settings.state_value_kb * 1024),
                 .skew_ms = static_cast<std::int64_t>(settings.skew_ms)}) {
@@ -33,7 +33,7 @@
   keepers.push_back(&calendar);
 }
 
-std::optional<Shared::Picture> Shared::picture(Revision least, net::Deadline until) {
+std::optional<SharedRecords::Picture> SharedRecords::picture(Revision least, net::Deadline until) {
   std::unique_lock lock(mutex);
   if (!moved.wait_until(lock, until, [&] { return ledger.whole() && ledger.revision() >= least; })) {
     return std::nullopt;
@@ -53,7 +53,7 @@
   return picture;
 }
 
-std::map<JobId, int> slack_of(const Shared& shared) {
+std::map<JobId, int> slack_of(const SharedRecords& shared) {
   std::map<JobId, int> slack;
   for (const JobId& id : shared.calendar.listed()) {
     if (const auto step = shared.calendar.slack_step(id)) slack.emplace(id, *step);
--- a/src/node/shared_records.h
+++ b/src/node/shared_records.h
@@ -26,10 +26,10 @@
 struct Context;
 
 // Everything in it is used with `mutex` held, which is never held across I/O.
-struct Shared {
-  explicit Shared(const config::Settings& settings);
-  Shared(const Shared&) = delete;
-  Shared& operator=(const Shared&) = delete;
+struct SharedRecords {
+  explicit SharedRecords(const config::Settings& settings);
+  SharedRecords(const SharedRecords&) = delete;
+  SharedRecords& operator=(const SharedRecords&) = delete;
 
   std::mutex mutex;
   std::condition_variable_any moved;  // the ledger has heard of something
@@ -62,7 +62,7 @@
 };
 
 // What the calendar's records leave each job until its deadline there, in steps; with the mutex held.
-[[nodiscard]] std::map<JobId, int> slack_of(const Shared& shared);
+[[nodiscard]] std::map<JobId, int> slack_of(const SharedRecords& shared);
 
 // The prefixes of the keys that the ledger keeps.
 [[nodiscard]] std::vector<std::string> kept_prefixes();
--- a/src/node/standby_requests.h
+++ b/src/node/standby_requests.h
@@ -9,7 +9,7 @@
 namespace foxshunt::node {
 
 // POST /standby of siblings, and GET /standby for operators.
-[[nodiscard]] net::HttpResponse answer_standby(Context& context, const std::string& body);
-[[nodiscard]] net::HttpResponse standby_answer(Context& context);
+[[nodiscard]] net::HttpResponse answer_standby_request(Context& context, const std::string& body);
+[[nodiscard]] net::HttpResponse standby_response(Context& context);
 
 }  // namespace foxshunt::node
--- a/src/node/standby_state.cpp
+++ b/src/node/standby_state.cpp
@@ -25,45 +25,47 @@
 
 }  // namespace
 
-Standby::Standby(const config::Settings& settings)
-    : on_(settings.operators.standby),
-      alone_(settings.siblings.empty()),
+StandbyState::StandbyState(const config::Settings& settings)
+    : is_enabled_(settings.operators.standby),
+      has_no_siblings_(settings.siblings.empty()),
       teller_(std::max<std::uint64_t>(1, fresh_life())),
       listener_(settings.name) {}
 
 // ---- takeovers ----
 
-void Standby::sign() {
+void StandbyState::on_leader_seen() {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   phases_.sign(at);
 }
 
-void Standby::noticed() {
+void StandbyState::on_leadership_free() {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   phases_.noticed(at);
 }
 
-std::optional<standby::Picture> Standby::take(plan::Instant at) {
-  if (!on_) return std::nullopt;
+std::optional<standby::Picture> StandbyState::take_snapshot(plan::Instant at) {
+  if (!is_enabled_) return std::nullopt;
   const std::lock_guard lock(mutex_);
   return listener_.picture(at);
 }
 
-void Standby::led(Term term, plan::Instant took, plan::Instant knew, const std::optional<standby::Picture>& hints) {
+void StandbyState::on_leadership_acquired(Term term, plan::Instant took, plan::Instant knew,
+                                          const std::optional<standby::Picture>& hints) {
   const std::lock_guard lock(mutex_);
   phases_.led(term, took, knew, hints ? std::optional(hints->starts_s) : std::nullopt);
   if (hints) phases_.hinted(hints->facts.size(), hints->starts_s);
-  hints_wanted_until_.reset();
+  soft_state_wanted_until_.reset();
   // Before the first term nobody knew anything.
-  if (on_ && !alone_ && !hints && term.number() > 1) hints_wanted_until_ = knew + constants::kStandbyLate;
-  watching_ = true;
+  if (is_enabled_ && !has_no_siblings_ && !hints && term.number() > 1)
+    soft_state_wanted_until_ = knew + constants::kStandbyLate;
+  is_watching_failover_ = true;
 }
 
-bool Standby::yields(bool records_whole, Term term) {
+bool StandbyState::should_yield(bool records_whole, Term term) {
   // Nobody has anything to tell before the first term.
-  if (!on_ || alone_ || term == Term{}) return false;
+  if (!is_enabled_ || has_no_siblings_ || term == Term{}) return false;
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   const auto age = listener_.age(at);
@@ -77,53 +79,54 @@
   return true;
 }
 
-void Standby::reached(Phase phase) {
-  if (!watching_) return;
+void StandbyState::on_phase_reached(Phase phase) {
+  if (!is_watching_failover_) return;
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   phases_.reached(phase, at);
 }
 
-void Standby::started(std::uint64_t tasks) {
+void StandbyState::on_tasks_started(std::uint64_t tasks) {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   phases_.started(tasks, at);
 }
 
-void Standby::log_takeover() {
-  if (!watching_) return;
+void StandbyState::log_takeover() {
+  if (!is_watching_failover_) return;
   std::optional<std::string> line;
   {
     const std::lock_guard lock(mutex_);
     line = phases_.line(now());
-    if (line) watching_ = false;
+    if (line) is_watching_failover_ = false;
   }
   if (line) spdlog::info("{}", *line);
 }
 
 // ---- words ----
 
-std::optional<net::HttpResponse> Standby::answer(Context& context, const std::string& body) {
-  if (!on_) return std::nullopt;
+std::optional<net::HttpResponse> StandbyState::answer(Context& context, const std::string& body) {
+  if (!is_enabled_) return std::nullopt;
   standby::Ask ask;
   try {
     ask = standby::ask_from(wire::decode(body));
   } catch (const wire::Malformed& error) {
     const std::lock_guard lock(mutex_);
-    if (warned_.due(net::Clock::now())) spdlog::warn("standby: malformed ask of a sibling: {}", error.what());
-    return plain_error(400, error.what());
+    if (warning_log_.should_log(net::Clock::now()))
+      spdlog::warn("standby: malformed ask of a sibling: {}", error.what());
+    return error_response(400, error.what());
   }
   const plan::Instant at = now();
   bool look = false;
   {
     const std::lock_guard lock(mutex_);
     // What it tells before it has its own hints would replace better ones that siblings hold.
-    if (hints_wanted_until_ && at < *hints_wanted_until_) return come_back("it has just begun to lead");
+    if (soft_state_wanted_until_ && at < *soft_state_wanted_until_) return retry_later("it has just begun to lead");
     look = teller_.wants_picture(at);
   }
   std::optional<standby::Picture> picture;
   if (look) {
-    const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
+    const std::lock_guard lock(context.engine_mutex.handle(LockPriority::metrics));
     if (context.engine.leading()) picture = context.engine.soft_state(at);
   }
   std::optional<standby::Word> word;
@@ -137,17 +140,17 @@
     if (picture) teller_.show(std::move(*picture));
     word = teller_.tell(ask, now());
   }
-  if (!word) return come_back("there is nothing to tell now");
+  if (!word) return retry_later("there is nothing to tell now");
   return net::HttpResponse{.status = 200, .body = wire::encode(standby::to_value(*word)), .retry_after_s = {}};
 }
 
-standby::Ask Standby::next_ask(const NodeName& of, std::optional<Term> least) {
+standby::Ask StandbyState::next_ask(const NodeName& of, std::optional<Term> least) {
   const std::lock_guard lock(mutex_);
   if (least) listener_.hear_of(*least);
   return listener_.next_ask(of);
 }
 
-bool Standby::on_answer(const NodeName& of, const net::HttpResponse& answer) {
+bool StandbyState::on_answer(const NodeName& of, const net::HttpResponse& answer) {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   if (answer.status != 200) {
@@ -157,43 +160,43 @@
   }
   const auto why = listener_.on_answer(answer.body, at);
   if (!why) return !listener_.caught_up();
-  trouble_ = *why;
-  if (warned_.due(net::Clock::now())) {
+  last_refusal_ = *why;
+  if (warning_log_.should_log(net::Clock::now())) {
     spdlog::warn("standby: a word of {} is refused, all is asked for again: {}", of.text(), *why);
   }
   return false;
 }
 
-bool Standby::caught_up() {
+bool StandbyState::is_caught_up() {
   const std::lock_guard lock(mutex_);
   return listener_.caught_up();
 }
 
-bool Standby::holds() {
+bool StandbyState::has_snapshot() {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   return listener_.picture(at).has_value();
 }
 
-bool Standby::wants_hints() {
+bool StandbyState::wants_soft_state() {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
-  return hints_wanted_until_ && at < *hints_wanted_until_;
+  return soft_state_wanted_until_ && at < *soft_state_wanted_until_;
 }
 
-void Standby::hinted(const standby::Picture& picture) {
+void StandbyState::on_soft_state_applied(const standby::Picture& picture) {
   const std::lock_guard lock(mutex_);
-  hints_wanted_until_.reset();
+  soft_state_wanted_until_.reset();
   phases_.hinted(picture.facts.size(), picture.starts_s);
 }
 
-Value::Map Standby::told() {
+Value::Map StandbyState::status() {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
   const auto age = listener_.age(at);
   const standby::Listener::Counts& heard = listener_.counts();
   const standby::Teller::Counts& told = teller_.counts();
-  Value::Map body{{"on", on_},
+  Value::Map body{{"on", is_enabled_},
                   {"holds", listener_.holds()},
                   {"caught_up", listener_.caught_up()},
                   {"age_ms", age ? count_ms(*age) : 0},
@@ -205,7 +208,7 @@
                   {"refused", heard.refused},
                   {"wholes", heard.wholes},
                   {"unanswered", unanswered_},
-                  {"trouble", trouble_},
+                  {"trouble", last_refusal_},
                   {"told_words", told.words},
                   {"told_facts", told.facts},
                   {"told_wholes", told.wholes},
--- a/src/node/standby_state.h
+++ b/src/node/standby_state.h
@@ -20,23 +20,24 @@
 struct Context;
 
 // What one node tells and holds.
-class Standby {
+class StandbyState {
  public:
-  explicit Standby(const config::Settings& settings);
+  explicit StandbyState(const config::Settings& settings);
 
   // ---- takeovers ----
   // A sign of life of whoever leads; that the lead is free.
-  void sign();
-  void noticed();
+  void on_leader_seen();
+  void on_leadership_free();
   // This node has begun to lead: what it holds of the leader before, if that is not too old.
-  [[nodiscard]] std::optional<standby::Picture> take(plan::Instant at);
-  void led(Term term, plan::Instant took, plan::Instant knew, const std::optional<standby::Picture>& hints);
+  [[nodiscard]] std::optional<standby::Picture> take_snapshot(plan::Instant at);
+  void on_leadership_acquired(Term term, plan::Instant took, plan::Instant knew,
+                              const std::optional<standby::Picture>& hints);
   // Whether it should let a sibling take the lead first, as it knows less than one that has listened: once for each time
   // that the lead is free, so that it is never without a leader for it.
-  [[nodiscard]] bool yields(bool records_whole, Term term);
+  [[nodiscard]] bool should_yield(bool records_whole, Term term);
   // What happened on the way to the former rate of starts; costs next to nothing once that is over.
-  void reached(standby::Phase phase);
-  void started(std::uint64_t tasks);
+  void on_phase_reached(standby::Phase phase);
+  void on_tasks_started(std::uint64_t tasks);
   void log_takeover();
 
   // ---- words ----
@@ -44,28 +45,28 @@
   [[nodiscard]] standby::Ask next_ask(const NodeName& of, std::optional<Term> least);
   // Whether there is more to ask for at once.
   bool on_answer(const NodeName& of, const net::HttpResponse& answer);
-  [[nodiscard]] bool caught_up();
-  [[nodiscard]] bool holds();
+  [[nodiscard]] bool is_caught_up();
+  [[nodiscard]] bool has_snapshot();
   // While a new leader has no hints: whether siblings may still have some.
-  [[nodiscard]] bool wants_hints();
-  void hinted(const standby::Picture& picture);
+  [[nodiscard]] bool wants_soft_state();
+  void on_soft_state_applied(const standby::Picture& picture);
 
-  [[nodiscard]] wire::Value::Map told();
+  [[nodiscard]] wire::Value::Map status();
 
  private:
-  const bool on_;
-  const bool alone_;
+  const bool is_enabled_;
+  const bool has_no_siblings_;
   std::mutex mutex_;  // taken after the engine's if both are
   standby::Teller teller_;
   standby::Listener listener_;
   standby::Phases phases_;
-  std::atomic<bool> watching_{false};
-  std::optional<plan::Instant> hints_wanted_until_;
+  std::atomic<bool> is_watching_failover_{false};
+  std::optional<plan::Instant> soft_state_wanted_until_;
   std::optional<plan::Instant> yielded_;
   std::uint64_t yields_ = 0;
   std::uint64_t unanswered_ = 0;
-  std::string trouble_;  // the latest
-  Seldom warned_;
+  std::string last_refusal_;  // the latest
+  RateLimitedLog warning_log_;
 };
 
 }  // namespace foxshunt::node
--- a/src/node/standby_subscriber.cpp
+++ b/src/node/standby_subscriber.cpp
@@ -5,7 +5,7 @@
 
 namespace foxshunt::node {
 
-StandbyDuty::StandbyDuty(Context& context) : context_(context) {
+StandbySubscriber::StandbySubscriber(Context& context) : context_(context) {
   for (const config::Sibling& sibling : context.settings.siblings) {
     if (const auto address = net::parse_address(sibling.endpoint)) {
       siblings_.try_emplace(sibling.name, *address, constants::kPeerCallLimit);
@@ -13,7 +13,7 @@
   }
 }
 
-bool StandbyDuty::ask(const NodeName& sibling, std::optional<Term> least, const std::stop_token& stop) {
+bool StandbySubscriber::ask(const NodeName& sibling, std::optional<Term> least, const std::stop_token& stop) {
   const auto link = siblings_.find(sibling);
   if (link == siblings_.end()) return false;
   while (!stop.stop_requested()) {
@@ -22,31 +22,31 @@
         link->second.call({.method = "POST", .path = "/standby", .body = wire::encode(standby::to_value(ask))},
                           net::Clock::now() + constants::kStandbyCallLimit);
     if (!answer) return false;
-    if (answer->status == 200 && least) context_.standby.sign();
-    if (!context_.standby.on_answer(sibling, *answer)) return answer->status == 200 && context_.standby.caught_up();
-    pause(stop, constants::kStandbyMorePause);
+    if (answer->status == 200 && least) context_.standby.on_leader_seen();
+    if (!context_.standby.on_answer(sibling, *answer)) return answer->status == 200 && context_.standby.is_caught_up();
+    sleep_unless_stopped(stop, constants::kStandbyMorePause);
   }
   return false;
 }
 
-void StandbyDuty::look_for_hints(const std::stop_token& stop) {
+void StandbySubscriber::look_for_hints(const std::stop_token& stop) {
   for (const auto& [sibling, unused] : siblings_) {
     if (!ask(sibling, {}, stop)) continue;
     const plan::Instant at = now();
-    const auto picture = context_.standby.take(at);
+    const auto picture = context_.standby.take_snapshot(at);
     if (!picture) continue;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::metrics));
       if (!context_.engine.leading() || picture->term >= context_.engine.term()) continue;
       context_.engine.hint(*picture, at);
     }
-    context_.standby.hinted(*picture);
-    context_.plan_signal.raise();
+    context_.standby.on_soft_state_applied(*picture);
+    context_.plan_signal.signal();
     return;
   }
 }
 
-void StandbyDuty::run(const std::stop_token& stop) {
+void StandbySubscriber::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     NodeName leader;
     Term term;
@@ -55,11 +55,11 @@
       leader = context_.leader;
       term = context_.term;
     }
-    if (context_.standby.wants_hints()) {
+    if (context_.standby.wants_soft_state()) {
       look_for_hints(stop);
     } else if (siblings_.contains(leader)) {
       (void)ask(leader, term, stop);
-    } else if (leader.empty() && !context_.standby.holds()) {
+    } else if (leader.empty() && !context_.standby.has_snapshot()) {
       // A process that has just begun: it may soon lead.
       for (const auto& [sibling, unused] : siblings_) {
         if (ask(sibling, {}, stop)) break;
--- a/src/node/standby_subscriber.h
+++ b/src/node/standby_subscriber.h
@@ -10,9 +10,9 @@
 
 namespace foxshunt::node {
 
-class StandbyDuty {
+class StandbySubscriber {
  public:
-  explicit StandbyDuty(Context& context);
+  explicit StandbySubscriber(Context& context);
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/stop_sender.cpp
+++ b/src/node/stop_sender.cpp
@@ -16,7 +16,7 @@
 
 namespace foxshunt::node {
 
-void HaltDuty::send(const control::DirectHalt& halt) {
+void StopSender::send(const control::DirectHalt& halt) {
   const auto address = net::parse_address(halt.address);
   if (!address) return;
   net::HttpClient client(*address, constants::kHaltCallLimit);
@@ -29,7 +29,7 @@
                 answer ? std::to_string(answer->status) : "no answer");
 }
 
-void HaltDuty::run(const std::stop_token& stop) {
+void StopSender::run(const std::stop_token& stop) {
   struct Sender {
     std::atomic<bool> done{false};
     std::jthread thread;
@@ -44,7 +44,7 @@
     std::vector<control::DirectHalt> due;
     Term term;
     {
-      const std::lock_guard lock(context_.engine_mutex.of(Duty::reports));
+      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::reports));
       due = std::exchange(context_.halts, {});
       term = context_.engine.term();
     }
--- a/src/node/stop_sender.h
+++ b/src/node/stop_sender.h
@@ -6,9 +6,9 @@
 namespace foxshunt::node {
 
 // Tells workers directly to stop tasks, one thread a worker, so that a silent one delays no other.
-class HaltDuty {
+class StopSender {
  public:
-  explicit HaltDuty(Context& context) : context_(context) {}
+  explicit StopSender(Context& context) : context_(context) {}
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/store_calls.h
+++ b/src/node/store_calls.h
@@ -7,9 +7,9 @@
 
 namespace foxshunt::node {
 
-inline net::Deadline call_limit() { return net::Clock::now() + constants::kStateCallLimit; }
+inline net::Deadline store_call_deadline() { return net::Clock::now() + constants::kStateCallLimit; }
 
-inline bool answered(state::Answer answer) {
+inline bool is_answered(state::Answer answer) {
   return answer == state::Answer::ok || answer == state::Answer::not_found || answer == state::Answer::conflict;
 }
 
--- a/src/node/warm_pool_loop.cpp
+++ b/src/node/warm_pool_loop.cpp
@@ -9,7 +9,7 @@
 
 using wire::Value;
 
-PoolDuty::PoolDuty(Context& context, InForce in_force, pools::OpenNow open_now)
+WarmPoolLoop::WarmPoolLoop(Context& context, InForce in_force, pools::OpenNow open_now)
     : context_(context),
       in_force_(std::move(in_force)),
       keeper_(std::move(open_now),
@@ -19,22 +19,22 @@
   context_.shared.keepers.push_back(&keeper_);
 }
 
-void PoolDuty::run(const std::stop_token& stop) {
+void WarmPoolLoop::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     look();
-    pause(stop, constants::kPoolLook);
+    sleep_unless_stopped(stop, constants::kPoolLook);
   }
 }
 
-void PoolDuty::declare() {
+void WarmPoolLoop::declare() {
   if (const auto set = in_force_(); set && set != declared_) {
     keeper_.declare(*set);
     declared_ = set;
   }
 }
 
-void PoolDuty::look() {
-  Shared& shared = context_.shared;
+void WarmPoolLoop::look() {
+  SharedRecords& shared = context_.shared;
   std::optional<pools::Steer> steer;
   {
     const std::lock_guard lock(shared.mutex);
@@ -50,7 +50,7 @@
   bool plan = false;
   bool cloud = false;
   {
-    const std::lock_guard lock(context_.engine_mutex.of(Duty::counting));
+    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::metrics));
     control::Engine& engine = context_.engine;
     if (steer) engine.steer(std::move(*steer));
     if (engine.leading()) {
@@ -59,14 +59,14 @@
       cloud = engine.cloud_wanted();
     }
   }
-  if (plan) context_.plan_signal.raise();
-  if (cloud) context_.cloud_signal.raise();
+  if (plan) context_.plan_signal.signal();
+  if (cloud) context_.cloud_signal.signal();
   if (!seen) return;
   const std::lock_guard lock(shared.mutex);
   keeper_.observe(std::move(*seen), {.wall_ms = wall_ms(), .steady = net::Clock::now()});
 }
 
-Value::Map PoolDuty::frame() const {
+Value::Map WarmPoolLoop::frame() const {
   const ledger::Ledger& ledger = context_.shared.ledger;
   return Value::Map{{"node", context_.settings.name.text()},
                     {"revision", ledger.revision().number()},
@@ -75,7 +75,7 @@
                     {"digest", keeper_.digest()}};
 }
 
-net::HttpResponse PoolDuty::pools_answer() {
+net::HttpResponse WarmPoolLoop::pools_response() {
   const std::lock_guard lock(context_.shared.mutex);
   declare();  // whoever has just applied a set asks for its pools
   Value::Map body = frame();
@@ -101,7 +101,7 @@
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
-net::HttpResponse PoolDuty::accounts_answer() {
+net::HttpResponse WarmPoolLoop::accounts_response() {
   const std::lock_guard lock(context_.shared.mutex);
   declare();
   Value::Map body = frame();
--- a/src/node/warm_pool_loop.h
+++ b/src/node/warm_pool_loop.h
@@ -11,27 +11,27 @@
 
 namespace foxshunt::node {
 
-class PoolDuty {
+class WarmPoolLoop {
  public:
-  // The set in force; null before one is known. Called with the mutex of `Shared` held.
+  // The set in force; null before one is known. Called with the mutex of `SharedRecords` held.
   using InForce = std::function<std::shared_ptr<const catalog::Set>()>;
 
-  // Joins the keepers of `Shared`, which it has to outlive.
-  PoolDuty(Context& context, InForce in_force, pools::OpenNow open_now);
+  // Joins the keepers of `SharedRecords`, which it has to outlive.
+  WarmPoolLoop(Context& context, InForce in_force, pools::OpenNow open_now);
   void run(const std::stop_token& stop);
 
   // GET /pools and GET /accounts: on any node, from its records.
-  [[nodiscard]] net::HttpResponse pools_answer();
-  [[nodiscard]] net::HttpResponse accounts_answer();
+  [[nodiscard]] net::HttpResponse pools_response();
+  [[nodiscard]] net::HttpResponse accounts_response();
 
  private:
   void look();
-  void declare();  // the set in force, if the keeper does not have it yet; with the mutex of `Shared` held
+  void declare();  // the set in force, if the keeper does not have it yet; with the mutex of `SharedRecords` held
   [[nodiscard]] wire::Value::Map frame() const;
 
   Context& context_;
   InForce in_force_;
-  pools::Keeper keeper_;                          // with the mutex of `Shared`
+  pools::Keeper keeper_;                          // with the mutex of `SharedRecords`
   std::shared_ptr<const catalog::Set> declared_;  // the same
   std::uint64_t steered_ = 0;                     // the keeper's changes() that the engine knows
 };
--- a/src/node/zone_requests.cpp
+++ b/src/node/zone_requests.cpp
@@ -8,32 +8,34 @@
 
 using wire::Value;
 
-net::HttpResponse answer_ask(Context& context, ZoneRights& rights, const std::string& body) {
+net::HttpResponse answer_delegation_request(Context& context, HeldDelegation& held_delegation,
+                                            const std::string& body) {
   zone::Ask ask;
   try {
     ask = zone::ask_from(wire::decode(body));
   } catch (const wire::Malformed& error) {
-    rights.malformed("a sibling", error.what());
-    return plain_error(400, error.what());
+    held_delegation.log_malformed("a sibling", error.what());
+    return error_response(400, error.what());
   }
   std::optional<zone::Grant> grant;
   {
-    const std::lock_guard lock(context.engine_mutex.of(Duty::lease));
+    const std::lock_guard lock(context.engine_mutex.handle(LockPriority::lease));
     grant = context.engine.on_ask(ask, now());
   }
-  if (!grant) return come_back("nothing can be granted: it does not lead in that term, or the word is stale");
+  if (!grant) return retry_later("nothing can be granted: it does not lead in that term, or the word is stale");
   return {.status = 200, .body = wire::encode(zone::to_value(*grant)), .retry_after_s = {}};
 }
 
-net::HttpResponse zones_answer(Context& context, const ZoneRights& rights) {
+net::HttpResponse zones_response(Context& context, const HeldDelegation& held_delegation) {
   NodeName leader;
   {
     const std::lock_guard lock(context.view_mutex);
     leader = context.leader;
   }
-  Value::Map body{{"node", context.settings.name.text()}, {"leader", leader.text()}, {"holds", rights.told()}};
+  Value::Map body{
+      {"node", context.settings.name.text()}, {"leader", leader.text()}, {"holds", held_delegation.status()}};
   const plan::Instant at = now();
-  const std::lock_guard lock(context.engine_mutex.of(Duty::counting));
+  const std::lock_guard lock(context.engine_mutex.handle(LockPriority::metrics));
   body.emplace_back("leads", context.engine.leading());
   if (!context.engine.leading()) return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
   Value::List zones;
--- a/src/node/zone_requests.h
+++ b/src/node/zone_requests.h
@@ -8,8 +8,9 @@
 namespace foxshunt::node {
 
 // Answers a sibling's word: with a grant while this node leads.
-[[nodiscard]] net::HttpResponse answer_ask(Context& context, ZoneRights& rights, const std::string& body);
+[[nodiscard]] net::HttpResponse answer_delegation_request(Context& context, HeldDelegation& held_delegation,
+                                                          const std::string& body);
 // GET /zones, for operators.
-[[nodiscard]] net::HttpResponse zones_answer(Context& context, const ZoneRights& rights);
+[[nodiscard]] net::HttpResponse zones_response(Context& context, const HeldDelegation& held_delegation);
 
 }  // namespace foxshunt::node
--- a/tests/smoke/smoke_test.cpp
+++ b/tests/smoke/smoke_test.cpp
@@ -349,7 +349,7 @@
   settings.state_rps = settings.state_write_rps = 100;
   settings.teams = {{.name = "red"}};
   node::Context context(settings);
-  node::Front front(context);
+  node::RequestHandler front(context);
   const std::string body = wire::encode(wire::to_value(job("j-000001", 1)));
   EXPECT_EQ(front.submit(body).status, 503);
   state.put(state::kTypesKey,
@@ -429,8 +429,8 @@
   config::Settings settings;
   settings.ram_mb = kRamMb;
   settings.max_connections = 700;
-  const int bound = node::limits_of(settings).all.connections;
-  const int users_share = node::limits_of(settings).all.unreserved;
+  const int bound = node::connection_limits_for(settings).all.connections;
+  const int users_share = node::connection_limits_for(settings).all.unreserved;
   const auto connect = [&] { return std::make_unique<net::HttpClient>(cluster.address(0), std::chrono::seconds(5)); };
   std::vector<std::unique_ptr<net::HttpClient>> users;
   int taken = 0;
@@ -477,7 +477,7 @@
   config::Settings settings;
   settings.ram_mb = size.ram_mb;
   settings.max_connections = size.sockets;
-  const net::ServerLimits limits = node::limits_of(settings).all;
+  const net::ServerLimits limits = node::connection_limits_for(settings).all;
   Cluster cluster(1, true, size);
   cluster.start(0);
   ASSERT_TRUE(cluster.wait_until_up(0));
--- a/tests/smoke/takeover_test.cpp
+++ b/tests/smoke/takeover_test.cpp
@@ -34,11 +34,11 @@
   settings.state_write_rps = 1000;
   settings.teams = {{.name = "red", .cpus = 8, .cpus_max = 16, .gpus = 0, .gpus_max = 0}};
   node::Context context(settings);
-  node::LeaderDuty duty(context);
+  node::LeaderElector duty(context);
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
-  ASSERT_TRUE(context.wait_to_lead({}));
+  ASSERT_TRUE(context.wait_until_leader({}));
   {
-    const std::lock_guard lock(context.engine_mutex.of(node::Duty::counting));
+    const std::lock_guard lock(context.engine_mutex.handle(node::LockPriority::metrics));
     EXPECT_EQ(context.engine.jobs().size(), kJobs);
   }
   const std::vector<std::string> asked = state.asked();
@@ -72,10 +72,10 @@
   settings.state_rps = 1000;
   settings.state_write_rps = 1000;
   node::Context context(settings);
-  node::LeaderDuty duty(context);
+  node::LeaderElector duty(context);
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
-  ASSERT_TRUE(context.wait_to_lead({}));
-  const std::lock_guard lock(context.engine_mutex.of(node::Duty::counting));
+  ASSERT_TRUE(context.wait_until_leader({}));
+  const std::lock_guard lock(context.engine_mutex.handle(node::LockPriority::metrics));
   EXPECT_EQ(context.engine.term(), Term(2));
 }
 
--- a/tests/unit/connection_limits_test.cpp
+++ b/tests/unit/connection_limits_test.cpp
@@ -7,11 +7,11 @@
 namespace foxshunt::node {
 namespace {
 
-NodeLimits of(double ram_mb, int sockets) {
+ConnectionLimits of(double ram_mb, int sockets) {
   config::Settings settings;
   settings.ram_mb = ram_mb;
   settings.max_connections = sockets;
-  return limits_of(settings);
+  return connection_limits_for(settings);
 }
 
 TEST(Limits, MemoryBoundsSmallNodes) {
@@ -24,7 +24,7 @@
 TEST(Limits, ThreadsBoundLargeNodes) {
   constexpr int kWorkersOfALargeFleet = 1260;
   for (const auto& [ram_mb, sockets] : {std::pair{188.0, 2263}, {188.0, 2356}, {512.0, 10'000}}) {
-    const NodeLimits limits = of(ram_mb, sockets);
+    const ConnectionLimits limits = of(ram_mb, sockets);
     const int others = constants::kOwnThreads + static_cast<int>(constants::kHaltsAtOnce) + constants::kThreadReserve;
     EXPECT_EQ(limits.all.connections + limits.siblings.connections + others, constants::kThreadsMost);
     EXPECT_GE(limits.all.connections - limits.all.unreserved, kWorkersOfALargeFleet);
--- a/tests/unit/peer_prober_test.cpp
+++ b/tests/unit/peer_prober_test.cpp
@@ -27,16 +27,16 @@
 
 TEST(Peers, TellsWhatTheNodeKnows) {
   Context context(settings_with(""));
-  EXPECT_TRUE(context.learn_lead(NodeName("node-2"), Term(4)));
-  EXPECT_FALSE(context.learn_lead(NodeName("node-1"), Term(3)));
-  const net::HttpResponse answer = tell_lead(context, {.method = "GET", .path = "/lead", .body = {}});
+  EXPECT_TRUE(context.observe_leader(NodeName("node-2"), Term(4)));
+  EXPECT_FALSE(context.observe_leader(NodeName("node-1"), Term(3)));
+  const net::HttpResponse answer = leader_response(context, {.method = "GET", .path = "/lead", .body = {}});
   ASSERT_EQ(answer.status, 200);
   const state::TermRecord record = state::term_from(wire::decode(answer.body));
   EXPECT_EQ(record.term, Term(4));
   EXPECT_EQ(record.leader, NodeName("node-2"));
   EXPECT_TRUE(health::contact_from(wire::decode(answer.body)));
-  EXPECT_EQ(tell_lead(context, {.method = "POST", .path = "/lead", .body = "x"}).status, 404);
-  EXPECT_EQ(tell_lead(context, {.method = "GET", .path = "/api/jobs/j-000001", .body = {}}).status, 404);
+  EXPECT_EQ(leader_response(context, {.method = "POST", .path = "/lead", .body = "x"}).status, 404);
+  EXPECT_EQ(leader_response(context, {.method = "GET", .path = "/api/jobs/j-000001", .body = {}}).status, 404);
 }
 
 TEST(Peers, BelievesALaterTermOnly) {
@@ -48,8 +48,8 @@
     return net::HttpResponse{.status = 200, .body = words[std::min(asked++, words.size() - 1)], .retry_after_s = {}};
   });
   Context context(settings_with(sibling.address().text()));
-  ASSERT_TRUE(context.learn_lead(NodeName("node-2"), Term(5)));
-  PeerDuty duty(context);
+  ASSERT_TRUE(context.observe_leader(NodeName("node-2"), Term(5)));
+  PeerProber duty(context);
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
   while (asked < words.size()) {
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
--- a/tests/unit/priority_mutex_test.cpp
+++ b/tests/unit/priority_mutex_test.cpp
@@ -10,80 +10,82 @@
 namespace foxshunt::node {
 namespace {
 
-TEST(DutyMutex, TheMostUrgentOfThoseWhoWaitIsNext) {
-  DutyMutex mutex;
-  std::vector<Duty> order;
+TEST(PriorityMutex, TheMostUrgentOfThoseWhoWaitIsNext) {
+  PriorityMutex mutex;
+  std::vector<LockPriority> order;
   std::vector<std::jthread> waiting;
   {
-    const std::lock_guard held(mutex.of(Duty::cloud));
-    for (const Duty duty : {Duty::planning, Duty::records, Duty::lease, Duty::reports}) {
-      waiting.emplace_back([&mutex, &order, duty] {
-        const std::lock_guard lock(mutex.of(duty));
-        order.push_back(duty);
+    const std::lock_guard held(mutex.handle(LockPriority::cloud));
+    for (const LockPriority priority :
+         {LockPriority::scheduling, LockPriority::records, LockPriority::lease, LockPriority::reports}) {
+      waiting.emplace_back([&mutex, &order, priority] {
+        const std::lock_guard lock(mutex.handle(priority));
+        order.push_back(priority);
       });
-      while (!mutex.awaited_by(duty)) std::this_thread::yield();
+      while (!mutex.is_awaited_by(priority)) std::this_thread::yield();
     }
   }
   waiting.clear();
-  EXPECT_EQ(order, (std::vector{Duty::lease, Duty::reports, Duty::records, Duty::planning}));
+  EXPECT_EQ(order,
+            (std::vector{LockPriority::lease, LockPriority::reports, LockPriority::records, LockPriority::scheduling}));
 }
 
 // A pass gives the engine back between its portions: whoever waits gets it there, not only at the end of the pass.
-TEST(DutyMutex, WhoGivesItBackDoesNotGetItBeforeAMoreUrgentOne) {
-  DutyMutex mutex;
+TEST(PriorityMutex, WhoGivesItBackDoesNotGetItBeforeAMoreUrgentOne) {
+  PriorityMutex mutex;
   bool reported = false;
   std::jthread report;
   {
-    const std::lock_guard first(mutex.of(Duty::planning));
+    const std::lock_guard first(mutex.handle(LockPriority::scheduling));
     report = std::jthread([&] {
-      const std::lock_guard lock(mutex.of(Duty::reports));
+      const std::lock_guard lock(mutex.handle(LockPriority::reports));
       reported = true;
     });
-    while (!mutex.awaited_by(Duty::reports)) std::this_thread::yield();
+    while (!mutex.is_awaited_by(LockPriority::reports)) std::this_thread::yield();
   }
-  const std::lock_guard second(mutex.of(Duty::planning));
+  const std::lock_guard second(mutex.handle(LockPriority::scheduling));
   EXPECT_TRUE(reported);
 }
 
-TEST(DutyMutex, ManyThreadsShareIt) {
-  DutyMutex mutex;
+TEST(PriorityMutex, ManyThreadsShareIt) {
+  PriorityMutex mutex;
   std::uint64_t count = 0;
   {
     std::vector<std::jthread> threads;
-    for (std::size_t i = 0; i < kDuties * 2; ++i) {
-      threads.emplace_back([&mutex, &count, duty = static_cast<Duty>(i % kDuties)] {
+    for (std::size_t i = 0; i < kLockPriorities * 2; ++i) {
+      threads.emplace_back([&mutex, &count, priority = static_cast<LockPriority>(i % kLockPriorities)] {
         for (int turn = 0; turn < 2000; ++turn) {
-          const std::lock_guard lock(mutex.of(duty));
+          const std::lock_guard lock(mutex.handle(priority));
           ++count;
         }
       });
     }
   }
-  EXPECT_EQ(count, kDuties * 2 * 2000);
+  EXPECT_EQ(count, kLockPriorities * 2 * 2000);
 }
 
-TEST(DutyMutex, TellsTheLongestWait) {
+TEST(PriorityMutex, TellsTheLongestWait) {
   using std::chrono::milliseconds;
-  DutyMutex mutex;
+  PriorityMutex mutex;
   std::jthread report;
   {
-    const std::lock_guard held(mutex.of(Duty::planning));
-    report = std::jthread([&mutex] { const std::lock_guard lock(mutex.of(Duty::reports)); });
-    while (!mutex.awaited_by(Duty::reports)) std::this_thread::yield();
+    const std::lock_guard held(mutex.handle(LockPriority::scheduling));
+    report = std::jthread([&mutex] { const std::lock_guard lock(mutex.handle(LockPriority::reports)); });
+    while (!mutex.is_awaited_by(LockPriority::reports)) std::this_thread::yield();
   }
   report.join();
-  EXPECT_GT(mutex.longest_waits()[static_cast<std::size_t>(Duty::reports)], milliseconds(0));
-  EXPECT_EQ(mutex.longest_waits()[static_cast<std::size_t>(Duty::lease)], milliseconds(0));
+  EXPECT_GT(mutex.longest_waits()[static_cast<std::size_t>(LockPriority::reports)], milliseconds(0));
+  EXPECT_EQ(mutex.longest_waits()[static_cast<std::size_t>(LockPriority::lease)], milliseconds(0));
 }
 
 TEST(RecentPeak, ForgetsWhatIsLongAgo) {
   using std::chrono::milliseconds;
   const RecentPeak::Clock::time_point start{std::chrono::hours(1)};
   RecentPeak peak;
-  peak.note(milliseconds(40), start);
-  peak.note(milliseconds(7), start + constants::kPeakWindow / 2);
+  peak.record(milliseconds(40), start);
+  peak.record(milliseconds(7), start + constants::kPeakWindow / 2);
   EXPECT_EQ(peak.longest(start + constants::kPeakWindow / 2), milliseconds(40));
-  peak.note(milliseconds(9), start + constants::kPeakWindow);
+  peak.record(milliseconds(9), start + constants::kPeakWindow);
   EXPECT_EQ(peak.longest(start + constants::kPeakWindow), milliseconds(40));
   EXPECT_EQ(peak.longest(start + 2 * constants::kPeakWindow), milliseconds(9));
   EXPECT_EQ(peak.longest(start + 5 * constants::kPeakWindow), milliseconds(0));
