--- a/src/node/cache_watcher.cpp
+++ b/src/node/cache_watcher.cpp
@@ -35,8 +35,8 @@
     context.shared.told = set;
   }
   calendar::warm(*set);  // reads zone files, while nobody waits for them
-  const std::lock_guard lock(context.engine_mutex.handle(LockPriority::records));
-  context.engine.on_catalog(*set, wall_ms(), now());
+  const std::lock_guard lock(context.controller.mutex.handle(LockPriority::records));
+  context.controller.engine.on_catalog(*set, wall_ms(), now());
 }
 
 }  // namespace
@@ -110,7 +110,7 @@
     }
     shared.moved.notify_all();
     publish_catalog(context_);
-    if (!news.events.empty()) context_.keep_signal.signal();
+    if (!news.events.empty()) context_.wakeups.record_controllers.signal();
     if (net::Clock::now() - compared_ > constants::kLedgerCompareEvery && !compare(stop)) return;
     // Changes that come together are read together: a watch that wakes for each costs more than what it tells.
     if (!news.events.empty()) sleep_unless_stopped(stop, constants::kLedgerPause);
--- a/src/node/catalog_requests.cpp
+++ b/src/node/catalog_requests.cpp
@@ -212,9 +212,9 @@
 
   catalog::Known judged_by = catalog_constraints_of(context_.settings);
   {
-    const std::lock_guard lock(context_.view_mutex);
-    if (!context_.types.empty()) judged_by.types.emplace();
-    for (const wire::MachineType& type : context_.types) judged_by.types->insert(type.name);
+    const std::lock_guard lock(context_.cluster_view.mutex);
+    if (!context_.cluster_view.types.empty()) judged_by.types.emplace();
+    for (const wire::MachineType& type : context_.cluster_view.types) judged_by.types->insert(type.name);
   }
   if (wanted.back || wanted.from) {
     std::optional<Edition> edition;
--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -23,33 +23,38 @@
       state_address(address_or_throw(from.state, "outside.state")),
       cloud_address(address_or_throw(from.cloud, "outside.cloud")),
       budget(from.state_rps, from.state_write_rps, 1.0 / static_cast<double>(std::max<std::size_t>(1, from.nodes))),
-      engine(from),
+      controller(from),
       shared(from),
       standby(from),
       health(now(), from.siblings.size()) {}
 
 bool Context::wait_until_leader(const std::stop_token& stop) {
-  std::unique_lock lock(engine_mutex.handle(LockPriority::scheduling));
-  return became_leader.wait(lock, stop, [this] { return engine.leading(); });
+  std::unique_lock lock(controller.mutex.handle(LockPriority::scheduling));
+  return controller.became_leader.wait(lock, stop, [this] { return controller.engine.leading(); });
 }
 
 void Context::on_store_answered() {
-  const std::lock_guard lock(health_mutex);
-  health.on_state(now());
+  const std::lock_guard lock(health.mutex);
+  health.check.on_state(now());
 }
 
 plan::Millis Context::store_silent_for() {
-  const std::lock_guard lock(health_mutex);
-  return health.silent_for(now());
+  const std::lock_guard lock(health.mutex);
+  return health.check.silent_for(now());
 }
 
 bool Context::observe_leader(const NodeName& of, Term in) {
-  const std::lock_guard lock(view_mutex);
-  if (in < term) return false;
-  if (of != leader && !of.empty()) spdlog::info("{} leads in term {}", of.text(), in.number());
-  leader = of;
-  term = in;
+  const std::lock_guard lock(cluster_view.mutex);
+  if (in < cluster_view.term) return false;
+  if (of != cluster_view.leader && !of.empty()) spdlog::info("{} leads in term {}", of.text(), in.number());
+  cluster_view.leader = of;
+  cluster_view.term = in;
   return true;
 }
 
+KnownLeader Context::known_leader() {
+  const std::lock_guard lock(cluster_view.mutex);
+  return {.leader = cluster_view.leader, .term = cluster_view.term};
+}
+
 }  // namespace foxshunt::node
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -1,9 +1,16 @@
-// What the duties of one node share.
+/// What the loops of one node share, in groups: each mutex stands beside what it guards.
+///
+/// Lock order: ControllerState::mutex, then SharedRecords::mutex or the mutex inside StandbyState, then ClusterView::mutex
+/// or HealthState::mutex. Hardly any code holds two; none holds one across I/O.
+///
+/// Threads: Node owns the thread of each loop and joins it (node.cpp); StopSender owns the threads that it starts for
+/// single machines; the HTTP servers own those of their connections. A loop ends when its stop token is set.
 #pragma once
 
 #include <condition_variable>
 #include <mutex>
 #include <stop_token>
+#include <vector>
 
 #include "config/settings.h"
 #include "control/engine.h"
@@ -18,49 +25,81 @@
 
 namespace foxshunt::node {
 
+/// The controller's decisions and what is handed over together with them. All members are used with `mutex` held.
+struct ControllerState {
+  explicit ControllerState(const config::Settings& settings) : engine(settings) {}
+
+  PriorityMutex mutex;
+  std::condition_variable_any progress_made;  ///< a write or a planning pass has ended
+  std::condition_variable_any became_leader;  ///< this node has begun to lead
+  control::Engine engine;
+  std::vector<control::DirectHalt> halts;  ///< to be sent to workers directly
+  Revision follow_from;                    ///< up to here the leader knows the records
+};
+
+/// How one loop wakes another before its interval is over. Each event is synchronised in itself.
+struct Wakeups {
+  AutoResetEvent leader_elector;  ///< leadership may be over
+  AutoResetEvent scheduler;
+  AutoResetEvent record_writer;
+  AutoResetEvent cloud_loop;
+  AutoResetEvent stop_sender;
+  AutoResetEvent record_controllers;
+  AutoResetEvent standby_subscriber;
+};
+
+/// Who leads and in which term, as this node knows it.
+struct KnownLeader {
+  NodeName leader;  ///< empty: nobody
+  Term term;
+};
+
+/// What a node knows of the cluster without leading it. All members are used with `mutex` held.
+struct ClusterView {
+  std::mutex mutex;
+  NodeName leader;  ///< as last read; empty: none
+  Term term;
+  std::vector<wire::MachineType> types;  ///< submissions are checked against them
+};
+
+/// This node's own contact with the state service. `check` is used with `mutex` held.
+struct HealthState {
+  HealthState(plan::Instant now, std::size_t siblings) : check(now, siblings) {}
+
+  std::mutex mutex;
+  health::HealthCheck check;
+};
+
+/// Owned by Node; outlives all loops and request handlers.
 struct Context {
+  /// Throws config::BadSettings when an address can't be read.
   explicit Context(const config::Settings& from);
 
-  config::Settings settings;
-  net::Address state_address;
-  net::Address cloud_address;
-  state::RateBudget budget;
+  const config::Settings settings;
+  const net::Address state_address;
+  const net::Address cloud_address;
+  state::RateBudget budget;  ///< synchronised in itself
   const net::Clock::time_point began = net::Clock::now();
-  Metrics metrics;
-
-  PriorityMutex engine_mutex;                 // never held across I/O
-  std::condition_variable_any progress_made;  // with engine_mutex: a write or a planning pass has ended
-  control::Engine engine;
-  AutoResetEvent lead_signal;  // the lead may be over
-  AutoResetEvent plan_signal;
-  AutoResetEvent write_signal;
-  AutoResetEvent cloud_signal;
-  AutoResetEvent halt_signal;
-  AutoResetEvent keep_signal;
-  AutoResetEvent standby_signal;
-  std::vector<control::DirectHalt> halts;     // with engine_mutex: to be sent
-  std::condition_variable_any became_leader;  // with engine_mutex: this node has begun to lead
-  Revision follow_from;                       // with engine_mutex: up to here the leader knows the records
-
-  SharedRecords shared;  // the records, as this node knows them; its own mutex, taken after engine_mutex if both are
-
-  StandbyState standby;  // its own mutex as well
-
-  std::mutex view_mutex;
-  NodeName leader;  // as last read; empty: none
-  Term term;
-  std::vector<wire::MachineType> types;  // for judging submissions
+  Metrics metrics;  ///< synchronised in itself
 
-  std::mutex health_mutex;
-  health::HealthCheck health;
+  ControllerState controller;
+  Wakeups wakeups;
+  SharedRecords shared;
+  StandbyState standby;
+  ClusterView cluster_view;
+  HealthState health;
 
-  // The leader's duties of a node that does not lead wait here, so that it costs nothing. False when a stop is asked for.
+  /// Blocks a leader's loop until this node leads, so that it costs a follower nothing. False when a stop is asked for.
   bool wait_until_leader(const std::stop_token& stop);
 
+  /// The state service has answered just now.
   void on_store_answered();
+  /// The time since the state service last answered.
   [[nodiscard]] plan::Millis store_silent_for();
-  // Takes note of who leads; false if a later term is known already.
+  /// Takes note of who leads; false if a later term is known already.
   bool observe_leader(const NodeName& of, Term in);
+  /// Who leads, as last observed.
+  [[nodiscard]] KnownLeader known_leader();
 };
 
 }  // namespace foxshunt::node
--- a/src/node/delegation_client.cpp
+++ b/src/node/delegation_client.cpp
@@ -18,9 +18,9 @@
 void DelegationClient::ask(net::HttpClient& leader, Term term) {
   {
     // Asking in a term says that this node does not act in an older one.
-    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-    context_.engine.hear_of(term);
-    if (context_.engine.leading()) return;
+    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+    context_.controller.engine.hear_of(term);
+    if (context_.controller.engine.leading()) return;
   }
   const zone::Ask ask = held_delegation_.next_ask(term);
   const plan::Instant asked = now();
@@ -43,13 +43,7 @@
   if (!sleep_unless_stopped(stop, skew)) return;
   held_delegation_.begin(static_cast<std::uint64_t>(wall_ms()));
   do {
-    NodeName leader;
-    Term term;
-    {
-      const std::lock_guard lock(context_.view_mutex);
-      leader = context_.leader;
-      term = context_.term;
-    }
+    const auto [leader, term] = context_.known_leader();
     const auto sibling = siblings_.find(leader);
     if (sibling == siblings_.end()) {
       held_delegation_.on_contact_lost();
--- a/src/node/heartbeat_relay.cpp
+++ b/src/node/heartbeat_relay.cpp
@@ -43,13 +43,7 @@
 }
 
 HttpResponse HeartbeatRelay::answer(const wire::Report& report, const std::string& body) {
-  NodeName leader;
-  Term term;
-  {
-    const std::lock_guard lock(context_.view_mutex);
-    leader = context_.leader;
-    term = context_.term;
-  }
+  const auto [leader, term] = context_.known_leader();
   if (leader.empty() || leader == context_.settings.name)
     return answer_by_held_delegation(report, true).value_or(send_to({}));
   bool passes = false;
--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -69,8 +69,8 @@
 }
 
 bool LeaderElector::gives_way() {
-  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-  return context_.engine.gives_way(now());
+  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+  return context_.controller.engine.gives_way(now());
 }
 
 // A follower that serves no users hears of the state service by this watch alone. When it was held for longer than
@@ -194,45 +194,46 @@
     return false;
   }
   {
-    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-    context_.engine.lead(takeover, began);
-    context_.engine.on_dues(std::move(dues));  // its first pass ranks as the records say
-    context_.engine.confirm_lease(renewed);
-    if (hints) context_.engine.hint(*hints, now());
-    context_.follow_from = picture.revision;
+    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+    context_.controller.engine.lead(takeover, began);
+    context_.controller.engine.on_dues(std::move(dues));  // its first pass ranks as the records say
+    context_.controller.engine.confirm_lease(renewed);
+    if (hints) context_.controller.engine.hint(*hints, now());
+    context_.controller.follow_from = picture.revision;
   }
   context_.standby.on_leadership_acquired(term, began, knew, hints);
-  context_.standby_signal.signal();
+  context_.wakeups.standby_subscriber.signal();
   context_.observe_leader(context_.settings.name, term);
   context_.budget.set_share(constants::kLeaderShare);
-  context_.became_leader.notify_all();
-  context_.plan_signal.signal();
+  context_.controller.became_leader.notify_all();
+  context_.wakeups.scheduler.signal();
   return true;
 }
 
 void LeaderElector::hold_leadership(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     {
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-      if (!context_.engine.leading()) break;
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+      if (!context_.controller.engine.leading()) break;
     }
     const plan::Instant sent = now();
     const Answer answer = client_.touch(lease_, store_call_deadline());
     if (answer == Answer::ok) {
       context_.on_store_answered();
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-      context_.engine.confirm_lease(sent);
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+      context_.controller.engine.confirm_lease(sent);
     } else if (answer == Answer::not_found) {
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-      context_.engine.resign("its lease has ended");
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+      context_.controller.engine.resign("its lease has ended");
       break;
     }
     // No confirmation may be an outage, in which leases don't end: the engine's fence bounds how long.
-    context_.lead_signal.wait(stop, answer == Answer::ok ? constants::kLeaderRenew : constants::kStateRetryPause);
+    context_.wakeups.leader_elector.wait(stop,
+                                         answer == Answer::ok ? constants::kLeaderRenew : constants::kStateRetryPause);
   }
   {
-    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-    context_.engine.resign("this node stops leading");
+    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+    context_.controller.engine.resign("this node stops leading");
   }
   (void)client_.revoke(lease_, store_call_deadline());
   lease_ = {};
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -194,24 +194,24 @@
     bool plan = false;
     bool writes = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::reports));
-      commands = context_.engine.on_report(report, now());
-      term = context_.engine.term();
-      plan = context_.engine.plan_wanted();
-      writes = context_.engine.writes_wanted();
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::reports));
+      commands = context_.controller.engine.on_report(report, now());
+      term = context_.controller.engine.term();
+      plan = context_.controller.engine.plan_wanted();
+      writes = context_.controller.engine.writes_wanted();
     }
     if (!commands) return relayed ? send_to({}) : relay_.answer(report, body);
-    if (writes) context_.write_signal.signal();
-    if (plan) context_.plan_signal.signal();
+    if (writes) context_.wakeups.record_writer.signal();
+    if (plan) context_.wakeups.scheduler.signal();
     // The outcome of a task is answered when it is durable, and with it what may start in its place; by the next
     // report the machine would have been idle for a whole interval.
     if (writes || plan) {
-      std::unique_lock lock(context_.engine_mutex.handle(LockPriority::reports));
-      if (!context_.engine.settled(report)) {
-        context_.progress_made.wait_for(lock, constants::kReportSettle,
-                                        [&] { return context_.engine.settled(report); });
-        const auto later = context_.engine.later_commands(report, now());
-        if (!later || (guards::kept(guards::Guard::answer_term) && context_.engine.term() != term))
+      std::unique_lock lock(context_.controller.mutex.handle(LockPriority::reports));
+      if (!context_.controller.engine.settled(report)) {
+        context_.controller.progress_made.wait_for(lock, constants::kReportSettle,
+                                                   [&] { return context_.controller.engine.settled(report); });
+        const auto later = context_.controller.engine.later_commands(report, now());
+        if (!later || (guards::kept(guards::Guard::answer_term) && context_.controller.engine.term() != term))
           return retry_later("it may not act for the controllers now");
         for (const wire::Command& command : *later) {
           if (std::ranges::find(*commands, command) == commands->end()) commands->push_back(command);
--- a/src/node/operator_requests.cpp
+++ b/src/node/operator_requests.cpp
@@ -50,9 +50,9 @@
       {"connections_refused", server.refused_connections()},
   };
   {
-    const std::lock_guard lock(context.health_mutex);
-    body.emplace_back("state_silent_ms", count_ms(context.health.silent_for(now())));
-    body.emplace_back("health", health::name_of(context.health.assess(now())));
+    const std::lock_guard lock(context.health.mutex);
+    body.emplace_back("state_silent_ms", count_ms(context.health.check.silent_for(now())));
+    body.emplace_back("health", health::name_of(context.health.check.assess(now())));
   }
   for (const auto& [kind, name] :
        {std::pair{Metrics::Kind::report, "reports"}, std::pair{Metrics::Kind::user, "users_requests"}}) {
@@ -66,7 +66,7 @@
   body.emplace_back("reports_granted", metrics.granted.load());
   constexpr std::array<const char*, kLockPriorities> kNames{"lease", "reports",  "records", "writes",
                                                             "cloud", "planning", "counting"};
-  const auto waits = context.engine_mutex.longest_waits();
+  const auto waits = context.controller.mutex.longest_waits();
   for (std::size_t duty = 0; duty < kLockPriorities; ++duty) {
     body.emplace_back(std::string("wait_") + kNames[duty] + "_ms", count_ms(waits[duty]));
   }
@@ -92,8 +92,8 @@
     body.emplace_back("calendar_missed", calendar.missed);
     body.emplace_back("calendar_waived", calendar.waived);
   }
-  const std::lock_guard lock(context.engine_mutex.handle(LockPriority::metrics));
-  const control::Engine& engine = context.engine;
+  const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
+  const control::Engine& engine = context.controller.engine;
   body.emplace_back("leads", engine.leading());
   if (engine.leading()) {
     const plan::Instant at = now();
@@ -123,16 +123,16 @@
 net::HttpResponse plan_explanation_response(Context& context, const std::string& job) {
   if (!wire::is_job_id(job)) return error_response(404, "no such job");
   {
-    const std::lock_guard lock(context.engine_mutex.handle(LockPriority::metrics));
-    if (context.engine.leading()) {
-      const auto why = context.engine.explain(JobId(job), now());
+    const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
+    if (context.controller.engine.leading()) {
+      const auto why = context.controller.engine.explain(JobId(job), now());
       if (!why) return error_response(404, "no such job is known to the leader");
       return {.status = 200, .body = wire::encode(wire::Value::Map{{"id", job}, {"plan", *why}}), .retry_after_s = {}};
     }
   }
-  const std::lock_guard lock(context.view_mutex);
-  if (context.leader.empty()) return retry_later("nobody leads now");
-  return error_response(421, "only the leader plans: " + context.leader.text());
+  const std::lock_guard lock(context.cluster_view.mutex);
+  if (context.cluster_view.leader.empty()) return retry_later("nobody leads now");
+  return error_response(421, "only the leader plans: " + context.cluster_view.leader.text());
 }
 
 }  // namespace foxshunt::node
--- a/src/node/peer_prober.cpp
+++ b/src/node/peer_prober.cpp
@@ -13,11 +13,11 @@
   if (request.method != "GET" || request.path != "/lead") return error_response(404, "no such path");
   wire::Value word;
   {
-    const std::lock_guard lock(context.view_mutex);
-    word = state::to_value(state::TermRecord{.term = context.term, .leader = context.leader});
+    const std::lock_guard lock(context.cluster_view.mutex);
+    word = state::to_value(state::TermRecord{.term = context.cluster_view.term, .leader = context.cluster_view.leader});
   }
-  const std::lock_guard lock(context.health_mutex);
-  health::write_contact(*word.as_map(), context.health.contact(now()));
+  const std::lock_guard lock(context.health.mutex);
+  health::write_contact(*word.as_map(), context.health.check.contact(now()));
   return {.status = 200, .body = wire::encode(word), .retry_after_s = {}};
 }
 
@@ -45,12 +45,12 @@
     return;
   }
   {
-    const std::lock_guard lock(context_.health_mutex);
-    context_.health.on_contact(sibling.name, contact, asked);
+    const std::lock_guard lock(context_.health.mutex);
+    context_.health.check.on_contact(sibling.name, contact, asked);
   }
   if (word.leader.empty() || !context_.observe_leader(word.leader, word.term)) return;
-  const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-  context_.engine.hear_of(word.term);
+  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+  context_.controller.engine.hear_of(word.term);
 }
 
 void PeerProber::run(const std::stop_token& stop) {
--- a/src/node/record_controller_loop.cpp
+++ b/src/node/record_controller_loop.cpp
@@ -21,7 +21,7 @@
     tell_plan();
     tell_types();
     while (!stop.stop_requested() && write_one()) sleep_unless_stopped(stop, constants::kKeepPause);
-    context_.keep_signal.wait(stop, constants::kKeepEvery);
+    context_.wakeups.record_controllers.wait(stop, constants::kKeepEvery);
   }
 }
 
@@ -46,8 +46,8 @@
   }
   std::set<std::string> names;
   {
-    const std::lock_guard lock(context_.view_mutex);
-    for (const wire::MachineType& type : context_.types) names.insert(type.name);
+    const std::lock_guard lock(context_.cluster_view.mutex);
+    for (const wire::MachineType& type : context_.cluster_view.types) names.insert(type.name);
   }
   const std::lock_guard lock(shared.mutex);
   shared.catalog_founder.learn_types(names);
@@ -68,11 +68,11 @@
   std::map<JobId, plan::Instant> ends;
   std::map<JobId, foresight::Prospect> prospects;
   {
-    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::metrics));
-    context_.engine.on_dues(std::move(dues));
-    if (context_.engine.planning()) return;
-    ends = context_.engine.planned_ends();
-    prospects = context_.engine.prospects(moment.at);
+    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::metrics));
+    context_.controller.engine.on_dues(std::move(dues));
+    if (context_.controller.engine.planning()) return;
+    ends = context_.controller.engine.planned_ends();
+    prospects = context_.controller.engine.prospects(moment.at);
   }
   const std::lock_guard lock(shared.mutex);
   shared.calendar.planned(calendar::plans_of(ends, prospects, moment));
@@ -81,9 +81,9 @@
 bool RecordControllerLoop::write_one() {
   Revision term_mark;
   {
-    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::metrics));
-    if (!context_.engine.may_start(now())) return false;
-    term_mark = context_.engine.term_mark();
+    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::metrics));
+    if (!context_.controller.engine.may_start(now())) return false;
+    term_mark = context_.controller.engine.term_mark();
   }
   SharedRecords& shared = context_.shared;
   ledger::Keeper* keeper = nullptr;
@@ -103,8 +103,8 @@
   const state::TxnResult result = client_.txn(guarded, store_call_deadline());
   if (result.answer == Answer::conflict &&
       std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
-    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::lease));
-    context_.engine.on_term_conflict(term_mark);
+    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
+    context_.controller.engine.on_term_conflict(term_mark);
   }
   const std::lock_guard lock(shared.mutex);
   keeper->on_written(*txn, result);
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -16,8 +16,8 @@
       }) {}
 
 user_api::Known RequestHandler::known() {
-  const std::lock_guard lock(context_.view_mutex);
-  return {.settings = context_.settings, .finals = finals_, .types = context_.types, .wall_ms = wall_ms()};
+  const std::lock_guard lock(context_.cluster_view.mutex);
+  return {.settings = context_.settings, .finals = finals_, .types = context_.cluster_view.types, .wall_ms = wall_ms()};
 }
 
 HttpResponse RequestHandler::serve(user_api::Request request) {
@@ -38,8 +38,8 @@
   }
   {
     // A fresh process judges its first job without waiting for the duty that reads them.
-    const std::lock_guard lock(context_.view_mutex);
-    if (context_.types.empty()) context_.types = request.types();
+    const std::lock_guard lock(context_.cluster_view.mutex);
+    if (context_.cluster_view.types.empty()) context_.cluster_view.types = request.types();
   }
   return http(*request.reply());
 }
@@ -58,9 +58,9 @@
   health::Verdict verdict{};
   plan::Millis silent{};
   {
-    const std::lock_guard lock(context_.health_mutex);
-    verdict = context_.health.assess(now());
-    silent = context_.health.silent_for(now());
+    const std::lock_guard lock(context_.health.mutex);
+    verdict = context_.health.check.assess(now());
+    silent = context_.health.check.silent_for(now());
   }
   if (const auto before = verdict_.exchange(verdict); before != verdict) {
     const bool out = !health::healthy(verdict);
--- a/src/node/scheduler_loop.cpp
+++ b/src/node/scheduler_loop.cpp
@@ -13,19 +13,19 @@
 
 void SchedulerLoop::run(const std::stop_token& stop) {
   while (context_.wait_until_leader(stop)) {
-    context_.plan_signal.wait(stop, constants::kHousekeepEvery);
+    context_.wakeups.scheduler.wait(stop, constants::kHousekeepEvery);
     bool wanted = false;
     {
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::scheduling));
-      context_.engine.tick(now());
-      wanted = context_.engine.plan_wanted();
-      if (!context_.engine.leading()) context_.lead_signal.signal();
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::scheduling));
+      context_.controller.engine.tick(now());
+      wanted = context_.controller.engine.plan_wanted();
+      if (!context_.controller.engine.leading()) context_.wakeups.leader_elector.signal();
     }
     // Reports, records and the lease take their turn between portions.
     const auto began = net::Clock::now();
     for (bool ended = !wanted; !ended && !stop.stop_requested();) {
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::scheduling));
-      ended = context_.engine.plan_some(now(), constants::kPlacesPerPortion);
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::scheduling));
+      ended = context_.controller.engine.plan_some(now(), constants::kPlacesPerPortion);
     }
     bool writes = false;
     bool cloud = false;
@@ -33,13 +33,13 @@
     bool placed = false;
     control::Census census;
     {
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::scheduling));
-      writes = context_.engine.writes_wanted();
-      cloud = context_.engine.cloud_wanted();
-      std::ranges::move(context_.engine.due_halts(now()), std::back_inserter(context_.halts));
-      halts = !context_.halts.empty();
-      if (wanted) census = context_.engine.census(now());
-      placed = context_.engine.counters().placed > 0;
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::scheduling));
+      writes = context_.controller.engine.writes_wanted();
+      cloud = context_.controller.engine.cloud_wanted();
+      std::ranges::move(context_.controller.engine.due_halts(now()), std::back_inserter(context_.controller.halts));
+      halts = !context_.controller.halts.empty();
+      if (wanted) census = context_.controller.engine.census(now());
+      placed = context_.controller.engine.counters().placed > 0;
     }
     if (wanted) {
       context_.standby.on_phase_reached(standby::Phase::planned);
@@ -50,9 +50,9 @@
       spdlog::warn("behind: {} records are to be written, the oldest for {:.1f} s", census.unwritten,
                    control::to_seconds(census.unwritten_oldest));
     }
-    if (writes) context_.write_signal.signal();
-    if (cloud) context_.cloud_signal.signal();
-    if (halts) context_.halt_signal.signal();
+    if (writes) context_.wakeups.record_writer.signal();
+    if (cloud) context_.wakeups.cloud_loop.signal();
+    if (halts) context_.wakeups.stop_sender.signal();
     if (!wanted) continue;
     const auto ended_at = net::Clock::now();
     context_.metrics.planned(ended_at - began);
@@ -60,7 +60,7 @@
       spdlog::warn("behind: a planning pass took {:.1f} s; placements are late",
                    std::chrono::duration<double>(ended_at - began).count());
     }
-    context_.progress_made.notify_all();
+    context_.controller.progress_made.notify_all();
     sleep_unless_stopped(stop, constants::kPlanPause);
   }
 }
--- a/src/node/standby_requests.cpp
+++ b/src/node/standby_requests.cpp
@@ -11,13 +11,7 @@
 }
 
 net::HttpResponse standby_response(Context& context) {
-  NodeName leader;
-  Term term;
-  {
-    const std::lock_guard lock(context.view_mutex);
-    leader = context.leader;
-    term = context.term;
-  }
+  const auto [leader, term] = context.known_leader();
   Value::Map body{{"node", context.settings.name.text()}, {"leader", leader.text()}, {"term", term.number()}};
   for (auto& entry : context.standby.status()) body.push_back(std::move(entry));
   if (context.settings.operators.shared_records) {
@@ -25,8 +19,8 @@
     body.emplace_back("records_whole", context.shared.ledger.whole());
     body.emplace_back("records_revision", context.shared.ledger.revision().number());
   }
-  const std::lock_guard lock(context.engine_mutex.handle(LockPriority::metrics));
-  body.emplace_back("leads", context.engine.leading());
+  const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
+  body.emplace_back("leads", context.controller.engine.leading());
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
--- a/src/node/standby_state.cpp
+++ b/src/node/standby_state.cpp
@@ -126,8 +126,8 @@
   }
   std::optional<standby::Picture> picture;
   if (look) {
-    const std::lock_guard lock(context.engine_mutex.handle(LockPriority::metrics));
-    if (context.engine.leading()) picture = context.engine.soft_state(at);
+    const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
+    if (context.controller.engine.leading()) picture = context.controller.engine.soft_state(at);
   }
   std::optional<standby::Word> word;
   {
--- a/src/node/standby_subscriber.cpp
+++ b/src/node/standby_subscriber.cpp
@@ -36,25 +36,19 @@
     const auto picture = context_.standby.take_snapshot(at);
     if (!picture) continue;
     {
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::metrics));
-      if (!context_.engine.leading() || picture->term >= context_.engine.term()) continue;
-      context_.engine.hint(*picture, at);
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::metrics));
+      if (!context_.controller.engine.leading() || picture->term >= context_.controller.engine.term()) continue;
+      context_.controller.engine.hint(*picture, at);
     }
     context_.standby.on_soft_state_applied(*picture);
-    context_.plan_signal.signal();
+    context_.wakeups.scheduler.signal();
     return;
   }
 }
 
 void StandbySubscriber::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
-    NodeName leader;
-    Term term;
-    {
-      const std::lock_guard lock(context_.view_mutex);
-      leader = context_.leader;
-      term = context_.term;
-    }
+    const auto [leader, term] = context_.known_leader();
     if (context_.standby.wants_soft_state()) {
       look_for_hints(stop);
     } else if (siblings_.contains(leader)) {
@@ -65,7 +59,7 @@
         if (ask(sibling, {}, stop)) break;
       }
     }
-    context_.standby_signal.wait(stop, constants::kStandbyEvery);
+    context_.wakeups.standby_subscriber.wait(stop, constants::kStandbyEvery);
   }
 }
 
--- a/src/node/stop_sender.cpp
+++ b/src/node/stop_sender.cpp
@@ -37,16 +37,16 @@
   std::map<MachineId, std::unique_ptr<Sender>> senders;
   std::deque<control::DirectHalt> waiting;  // the oldest first, one a machine
   while (!stop.stop_requested()) {
-    context_.halt_signal.wait(stop, !waiting.empty()  ? constants::kTick
-                                    : senders.empty() ? constants::kForGood
-                                                      : constants::kHaltCallLimit);
+    context_.wakeups.stop_sender.wait(stop, !waiting.empty()  ? constants::kTick
+                                            : senders.empty() ? constants::kForGood
+                                                              : constants::kHaltCallLimit);
     std::erase_if(senders, [](const auto& entry) { return entry.second->done.load(); });
     std::vector<control::DirectHalt> due;
     Term term;
     {
-      const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::reports));
-      due = std::exchange(context_.halts, {});
-      term = context_.engine.term();
+      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::reports));
+      due = std::exchange(context_.controller.halts, {});
+      term = context_.controller.engine.term();
     }
     for (control::DirectHalt& halt : due) {
       if (senders.contains(halt.machine)) continue;
--- a/src/node/warm_pool_loop.cpp
+++ b/src/node/warm_pool_loop.cpp
@@ -50,8 +50,8 @@
   bool plan = false;
   bool cloud = false;
   {
-    const std::lock_guard lock(context_.engine_mutex.handle(LockPriority::metrics));
-    control::Engine& engine = context_.engine;
+    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::metrics));
+    control::Engine& engine = context_.controller.engine;
     if (steer) engine.steer(std::move(*steer));
     if (engine.leading()) {
       seen = engine.sight_pools(now());
@@ -59,8 +59,8 @@
       cloud = engine.cloud_wanted();
     }
   }
-  if (plan) context_.plan_signal.signal();
-  if (cloud) context_.cloud_signal.signal();
+  if (plan) context_.wakeups.scheduler.signal();
+  if (cloud) context_.wakeups.cloud_loop.signal();
   if (!seen) return;
   const std::lock_guard lock(shared.mutex);
   keeper_.observe(std::move(*seen), {.wall_ms = wall_ms(), .steady = net::Clock::now()});
--- a/tests/unit/peer_prober_test.cpp
+++ b/tests/unit/peer_prober_test.cpp
@@ -53,13 +53,13 @@
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
   while (asked < words.size()) {
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    const std::lock_guard lock(context.view_mutex);
-    ASSERT_EQ(context.term, Term(asked < words.size() ? 5U : context.term.number()));
+    const std::lock_guard lock(context.cluster_view.mutex);
+    ASSERT_EQ(context.cluster_view.term, Term(asked < words.size() ? 5U : context.cluster_view.term.number()));
   }
   while (asked < words.size() + 1) std::this_thread::sleep_for(std::chrono::milliseconds(20));
-  const std::lock_guard lock(context.view_mutex);
-  EXPECT_EQ(context.term, Term(6));
-  EXPECT_EQ(context.leader, NodeName("node-1"));
+  const std::lock_guard lock(context.cluster_view.mutex);
+  EXPECT_EQ(context.cluster_view.term, Term(6));
+  EXPECT_EQ(context.cluster_view.leader, NodeName("node-1"));
 }
 
 }  // namespace
