--- a/src/node/cache_watcher.cpp
+++ b/src/node/cache_watcher.cpp
@@ -35,8 +35,8 @@
     context.shared.told = set;
   }
   calendar::warm(*set);  // reads zone files, while nobody waits for them
-  const std::lock_guard lock(context.controller.mutex.handle(LockPriority::records));
-  context.controller.engine.on_catalog(*set, wall_ms(), now());
+  const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::records));
+  context.control_state.engine.on_catalog(*set, wall_ms(), now());
 }
 
 }  // namespace
--- a/src/node/cloud_loop.cpp
+++ b/src/node/cloud_loop.cpp
@@ -62,8 +62,8 @@
     const std::lock_guard lock(context_.cluster_view.mutex);
     context_.cluster_view.types = types;
   }
-  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::cloud));
-  context_.controller.engine.on_types(types);
+  const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
+  context_.control_state.engine.on_types(types);
   engine_knows_types_ = !types.empty();
 }
 
@@ -105,8 +105,8 @@
     }
   }
   next_list_ = net::Clock::now() + constants::kListEvery;
-  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::cloud));
-  context_.controller.engine.on_machine_list(machines, now());
+  const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
+  context_.control_state.engine.on_machine_list(machines, now());
 }
 
 void CloudLoop::rent() {
@@ -114,22 +114,22 @@
   if (context_.standby.wants_soft_state()) return;
   std::optional<wire::RentRequest> request;
   {
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::cloud));
-    request = context_.controller.engine.next_rental(now());
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
+    request = context_.control_state.engine.next_rental(now());
   }
   if (!request) return;
   const wire::Value body = wire::to_value(*request);
   const Answer answer = call("POST", "/machines", &body);
   const std::string* why = answer.body["error"].as_text();
-  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::cloud));
+  const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
   if (answer.status == 200) {
     try {
-      context_.controller.engine.on_rented(*request, wire::machine_names_from(answer.body), now());
+      context_.control_state.engine.on_rented(*request, wire::machine_names_from(answer.body), now());
     } catch (const wire::Malformed& error) {
       spdlog::warn("cloud: rental {}: {}", request->request, error.what());
     }
   } else if ((answer.status == 503 && why != nullptr && *why == "no capacity") || answer.status == 400) {
-    context_.controller.engine.on_rent_refused(*request, now());
+    context_.control_state.engine.on_rent_refused(*request, now());
   }
   // Otherwise the rental may have been carried out: the same request is sent again until its answer is known.
 }
@@ -137,15 +137,15 @@
 void CloudLoop::give_back() {
   std::vector<MachineId> names;
   {
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::cloud));
-    names = context_.controller.engine.next_returns(now());
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
+    names = context_.control_state.engine.next_returns(now());
   }
   if (names.empty()) return;
   const wire::Value body = wire::machine_names(names);
   const Answer answer = call("POST", "/machines/return", &body);
   if (answer.status != 200) return;
-  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::cloud));
-  context_.controller.engine.on_returned(names, now());
+  const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
+  context_.control_state.engine.on_returned(names, now());
   context_.wakeups.scheduler.signal();
 }
 
@@ -156,9 +156,9 @@
     bool leading = false;
     bool wanted = false;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::cloud));
-      leading = context_.controller.engine.leading();
-      wanted = leading && context_.controller.engine.cloud_wanted();
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
+      leading = context_.control_state.engine.leading();
+      wanted = leading && context_.control_state.engine.cloud_wanted();
     }
     if (!leading && known) {
       if (!context_.wait_until_leader(stop)) return;
--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -23,14 +23,14 @@
       state_address(address_or_throw(from.state, "outside.state")),
       cloud_address(address_or_throw(from.cloud, "outside.cloud")),
       budget(from.state_rps, from.state_write_rps, 1.0 / static_cast<double>(std::max<std::size_t>(1, from.nodes))),
-      controller(from),
+      control_state(from),
       shared(from),
       standby(from),
       health(now(), from.siblings.size()) {}
 
 bool Context::wait_until_leader(const std::stop_token& stop) {
-  std::unique_lock lock(controller.mutex.handle(LockPriority::scheduling));
-  return controller.became_leader.wait(lock, stop, [this] { return controller.engine.leading(); });
+  std::unique_lock lock(control_state.mutex.handle(LockPriority::scheduling));
+  return control_state.became_leader.wait(lock, stop, [this] { return control_state.engine.leading(); });
 }
 
 void Context::on_store_answered() {
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -82,7 +82,7 @@
   const net::Clock::time_point began = net::Clock::now();
   Metrics metrics;  ///< synchronised in itself
 
-  ControllerState controller;
+  ControllerState control_state;
   Wakeups wakeups;
   SharedRecords shared;
   StandbyState standby;
--- a/src/node/delegation_client.cpp
+++ b/src/node/delegation_client.cpp
@@ -18,9 +18,9 @@
 void DelegationClient::ask(net::HttpClient& leader, Term term) {
   {
     // Asking in a term says that this node does not act in an older one.
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-    context_.controller.engine.hear_of(term);
-    if (context_.controller.engine.leading()) return;
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+    context_.control_state.engine.hear_of(term);
+    if (context_.control_state.engine.leading()) return;
   }
   const zone::Ask ask = held_delegation_.next_ask(term);
   const plan::Instant asked = now();
--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -69,8 +69,8 @@
 }
 
 bool LeaderElector::gives_way() {
-  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-  return context_.controller.engine.gives_way(now());
+  const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+  return context_.control_state.engine.gives_way(now());
 }
 
 // A follower that serves no users hears of the state service by this watch alone. When it was held for longer than
@@ -118,7 +118,7 @@
   return false;
 }
 
-bool LeaderElector::read_records(SharedRecords::Picture& picture, plan::Instant& renewed) {
+bool LeaderElector::read_records(SharedRecords::Snapshot& picture, plan::Instant& renewed) {
   // The lease goes on while a day's records are read: with a slow state service that takes longer than it lasts.
   const auto renew = [&] {
     const plan::Instant sent = now();
@@ -143,9 +143,9 @@
 bool LeaderElector::load_records(Revision term_mark, Term term, std::int64_t others_until_wall_ms,
                                  plan::Instant began) {
   plan::Instant renewed = began;
-  SharedRecords::Picture picture;
+  SharedRecords::Snapshot picture;
   // A node that follows the records has them: all up to its own term, after which no older leader's write can come.
-  std::optional<SharedRecords::Picture> known;
+  std::optional<SharedRecords::Snapshot> known;
   if (context_.settings.operators.shared_records) {
     known = context_.shared.picture(term_mark, net::Clock::now() + constants::kLedgerTakeover);
   }
@@ -194,18 +194,18 @@
     return false;
   }
   {
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-    context_.controller.engine.lead(takeover, began);
-    context_.controller.engine.on_dues(std::move(dues));  // its first pass ranks as the records say
-    context_.controller.engine.confirm_lease(renewed);
-    if (hints) context_.controller.engine.hint(*hints, now());
-    context_.controller.follow_from = picture.revision;
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+    context_.control_state.engine.lead(takeover, began);
+    context_.control_state.engine.on_dues(std::move(dues));  // its first pass ranks as the records say
+    context_.control_state.engine.confirm_lease(renewed);
+    if (hints) context_.control_state.engine.hint(*hints, now());
+    context_.control_state.follow_from = picture.revision;
   }
   context_.standby.on_leadership_acquired(term, began, knew, hints);
   context_.wakeups.standby_subscriber.signal();
   context_.observe_leader(context_.settings.name, term);
   context_.budget.set_share(constants::kLeaderShare);
-  context_.controller.became_leader.notify_all();
+  context_.control_state.became_leader.notify_all();
   context_.wakeups.scheduler.signal();
   return true;
 }
@@ -213,18 +213,18 @@
 void LeaderElector::hold_leadership(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-      if (!context_.controller.engine.leading()) break;
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+      if (!context_.control_state.engine.leading()) break;
     }
     const plan::Instant sent = now();
     const Answer answer = client_.touch(lease_, store_call_deadline());
     if (answer == Answer::ok) {
       context_.on_store_answered();
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-      context_.controller.engine.confirm_lease(sent);
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+      context_.control_state.engine.confirm_lease(sent);
     } else if (answer == Answer::not_found) {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-      context_.controller.engine.resign("its lease has ended");
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+      context_.control_state.engine.resign("its lease has ended");
       break;
     }
     // No confirmation may be an outage, in which leases don't end: the engine's fence bounds how long.
@@ -232,8 +232,8 @@
                                          answer == Answer::ok ? constants::kLeaderRenew : constants::kStateRetryPause);
   }
   {
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-    context_.controller.engine.resign("this node stops leading");
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+    context_.control_state.engine.resign("this node stops leading");
   }
   (void)client_.revoke(lease_, store_call_deadline());
   lease_ = {};
--- a/src/node/leader_elector.h
+++ b/src/node/leader_elector.h
@@ -19,7 +19,7 @@
   bool try_acquire(const state::LeadView& view);
   // `began`: when the lead was asked for.
   bool load_records(Revision term_mark, Term term, std::int64_t others_until_wall_ms, plan::Instant began);
-  bool read_records(SharedRecords::Picture& picture, plan::Instant& renewed);
+  bool read_records(SharedRecords::Snapshot& picture, plan::Instant& renewed);
   void hold_leadership(const std::stop_token& stop);
   bool gives_way();
   bool has_all_records();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -194,11 +194,11 @@
     bool plan = false;
     bool writes = false;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::reports));
-      commands = context_.controller.engine.on_report(report, now());
-      term = context_.controller.engine.term();
-      plan = context_.controller.engine.plan_wanted();
-      writes = context_.controller.engine.writes_wanted();
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::reports));
+      commands = context_.control_state.engine.on_report(report, now());
+      term = context_.control_state.engine.term();
+      plan = context_.control_state.engine.plan_wanted();
+      writes = context_.control_state.engine.writes_wanted();
     }
     if (!commands) return relayed ? send_to({}) : relay_.answer(report, body);
     if (writes) context_.wakeups.record_writer.signal();
@@ -206,12 +206,12 @@
     // The outcome of a task is answered when it is durable, and with it what may start in its place; by the next
     // report the machine would have been idle for a whole interval.
     if (writes || plan) {
-      std::unique_lock lock(context_.controller.mutex.handle(LockPriority::reports));
-      if (!context_.controller.engine.settled(report)) {
-        context_.controller.progress_made.wait_for(lock, constants::kReportSettle,
-                                                   [&] { return context_.controller.engine.settled(report); });
-        const auto later = context_.controller.engine.later_commands(report, now());
-        if (!later || (guards::kept(guards::Guard::answer_term) && context_.controller.engine.term() != term))
+      std::unique_lock lock(context_.control_state.mutex.handle(LockPriority::reports));
+      if (!context_.control_state.engine.settled(report)) {
+        context_.control_state.progress_made.wait_for(lock, constants::kReportSettle,
+                                                      [&] { return context_.control_state.engine.settled(report); });
+        const auto later = context_.control_state.engine.later_commands(report, now());
+        if (!later || (guards::kept(guards::Guard::answer_term) && context_.control_state.engine.term() != term))
           return retry_later("it may not act for the controllers now");
         for (const wire::Command& command : *later) {
           if (std::ranges::find(*commands, command) == commands->end()) commands->push_back(command);
--- a/src/node/operator_requests.cpp
+++ b/src/node/operator_requests.cpp
@@ -66,7 +66,7 @@
   body.emplace_back("reports_granted", metrics.granted.load());
   constexpr std::array<const char*, kLockPriorities> kNames{"lease", "reports",  "records", "writes",
                                                             "cloud", "planning", "counting"};
-  const auto waits = context.controller.mutex.longest_waits();
+  const auto waits = context.control_state.mutex.longest_waits();
   for (std::size_t duty = 0; duty < kLockPriorities; ++duty) {
     body.emplace_back(std::string("wait_") + kNames[duty] + "_ms", count_ms(waits[duty]));
   }
@@ -92,8 +92,8 @@
     body.emplace_back("calendar_missed", calendar.missed);
     body.emplace_back("calendar_waived", calendar.waived);
   }
-  const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
-  const control::Engine& engine = context.controller.engine;
+  const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
+  const control::Engine& engine = context.control_state.engine;
   body.emplace_back("leads", engine.leading());
   if (engine.leading()) {
     const plan::Instant at = now();
@@ -123,9 +123,9 @@
 net::HttpResponse plan_explanation_response(Context& context, const std::string& job) {
   if (!wire::is_job_id(job)) return error_response(404, "no such job");
   {
-    const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
-    if (context.controller.engine.leading()) {
-      const auto why = context.controller.engine.explain(JobId(job), now());
+    const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
+    if (context.control_state.engine.leading()) {
+      const auto why = context.control_state.engine.explain(JobId(job), now());
       if (!why) return error_response(404, "no such job is known to the leader");
       return {.status = 200, .body = wire::encode(wire::Value::Map{{"id", job}, {"plan", *why}}), .retry_after_s = {}};
     }
--- a/src/node/peer_prober.cpp
+++ b/src/node/peer_prober.cpp
@@ -49,8 +49,8 @@
     context_.health.check.on_contact(sibling.name, contact, asked);
   }
   if (word.leader.empty() || !context_.observe_leader(word.leader, word.term)) return;
-  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-  context_.controller.engine.hear_of(word.term);
+  const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+  context_.control_state.engine.hear_of(word.term);
 }
 
 void PeerProber::run(const std::stop_token& stop) {
--- a/src/node/record_controller_loop.cpp
+++ b/src/node/record_controller_loop.cpp
@@ -68,11 +68,11 @@
   std::map<JobId, plan::Instant> ends;
   std::map<JobId, foresight::Prospect> prospects;
   {
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::metrics));
-    context_.controller.engine.on_dues(std::move(dues));
-    if (context_.controller.engine.planning()) return;
-    ends = context_.controller.engine.planned_ends();
-    prospects = context_.controller.engine.prospects(moment.at);
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
+    context_.control_state.engine.on_dues(std::move(dues));
+    if (context_.control_state.engine.planning()) return;
+    ends = context_.control_state.engine.planned_ends();
+    prospects = context_.control_state.engine.prospects(moment.at);
   }
   const std::lock_guard lock(shared.mutex);
   shared.calendar.planned(calendar::plans_of(ends, prospects, moment));
@@ -81,9 +81,9 @@
 bool RecordControllerLoop::write_one() {
   Revision term_mark;
   {
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::metrics));
-    if (!context_.controller.engine.may_start(now())) return false;
-    term_mark = context_.controller.engine.term_mark();
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
+    if (!context_.control_state.engine.may_start(now())) return false;
+    term_mark = context_.control_state.engine.term_mark();
   }
   SharedRecords& shared = context_.shared;
   ledger::Keeper* keeper = nullptr;
@@ -103,8 +103,8 @@
   const state::TxnResult result = client_.txn(guarded, store_call_deadline());
   if (result.answer == Answer::conflict &&
       std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::lease));
-    context_.controller.engine.on_term_conflict(term_mark);
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+    context_.control_state.engine.on_term_conflict(term_mark);
   }
   const std::lock_guard lock(shared.mutex);
   keeper->on_written(*txn, result);
--- a/src/node/record_watcher.cpp
+++ b/src/node/record_watcher.cpp
@@ -17,10 +17,10 @@
     Term term;
     bool leading = false;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::records));
-      leading = context_.controller.engine.leading();
-      from = context_.controller.follow_from;
-      term = context_.controller.engine.term();
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::records));
+      leading = context_.control_state.engine.leading();
+      from = context_.control_state.follow_from;
+      term = context_.control_state.engine.term();
     }
     if (!leading) {
       if (!context_.wait_until_leader(stop)) return;
@@ -41,19 +41,19 @@
     const plan::Instant at = now();
     const std::int64_t wall = wall_ms();
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::records));
-      if (!context_.controller.engine.leading() || context_.controller.engine.term() != term) continue;
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::records));
+      if (!context_.control_state.engine.leading() || context_.control_state.engine.term() != term) continue;
       for (const state::Event& event : news.events) {
         const auto id = state::job_of_key(event.key);
         if (!id) continue;
         if (event.data) {
-          context_.controller.engine.on_job_record(*id, *event.data, event.mark, wall, at);
+          context_.control_state.engine.on_job_record(*id, *event.data, event.mark, wall, at);
         } else {
-          context_.controller.engine.on_job_removed(*id, at);
+          context_.control_state.engine.on_job_removed(*id, at);
         }
       }
-      context_.controller.engine.confirm_reading(sent);
-      context_.controller.follow_from = news.revision;
+      context_.control_state.engine.confirm_reading(sent);
+      context_.control_state.follow_from = news.revision;
     }
     if (!news.events.empty()) {
       context_.wakeups.scheduler.signal();
@@ -72,10 +72,10 @@
   }
   const plan::Instant at = now();
   const std::int64_t wall = wall_ms();
-  const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::records));
-  if (!context_.controller.engine.on_job_list(term, live.entries, wall, at)) return;
-  context_.controller.engine.confirm_reading(sent);
-  context_.controller.follow_from = live.revision;
+  const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::records));
+  if (!context_.control_state.engine.on_job_list(term, live.entries, wall, at)) return;
+  context_.control_state.engine.confirm_reading(sent);
+  context_.control_state.follow_from = live.revision;
   context_.wakeups.scheduler.signal();
 }
 
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -15,14 +15,14 @@
   while (true) {
     std::optional<jobs::Reload> reload;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::writes));
-      reload = context_.controller.engine.next_reload();
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::writes));
+      reload = context_.control_state.engine.next_reload();
     }
     if (!reload) return;
     const state::GetResult found = client_.get(reload->key(), store_call_deadline());
     if (!is_answered(found.answer)) return;
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::writes));
-    context_.controller.engine.on_reloaded(
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::writes));
+    context_.control_state.engine.on_reloaded(
         *reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt, now());
   }
 }
@@ -32,8 +32,8 @@
     reload_jobs();
     std::optional<control::WriteBatch> batch;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::writes));
-      batch = context_.controller.engine.begin_write(now());
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::writes));
+      batch = context_.control_state.engine.begin_write(now());
     }
     if (!batch) {
       if (context_.wakeups.record_writer.wait(stop, constants::kWriteLook))
@@ -43,10 +43,10 @@
     const state::TxnResult result = client_.txn(batch->txn, store_call_deadline());
     if (is_answered(result.answer)) context_.on_store_answered();
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::writes));
-      context_.controller.engine.end_write(*batch, result, now());
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::writes));
+      context_.control_state.engine.end_write(*batch, result, now());
     }
-    context_.controller.progress_made.notify_all();
+    context_.control_state.progress_made.notify_all();
     if (!is_answered(result.answer)) sleep_unless_stopped(stop, constants::kStateRetryPause);
   }
 }
--- a/src/node/scheduler_loop.cpp
+++ b/src/node/scheduler_loop.cpp
@@ -16,16 +16,16 @@
     context_.wakeups.scheduler.wait(stop, constants::kHousekeepEvery);
     bool wanted = false;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::scheduling));
-      context_.controller.engine.tick(now());
-      wanted = context_.controller.engine.plan_wanted();
-      if (!context_.controller.engine.leading()) context_.wakeups.leader_elector.signal();
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::scheduling));
+      context_.control_state.engine.tick(now());
+      wanted = context_.control_state.engine.plan_wanted();
+      if (!context_.control_state.engine.leading()) context_.wakeups.leader_elector.signal();
     }
     // Reports, records and the lease take their turn between portions.
     const auto began = net::Clock::now();
     for (bool ended = !wanted; !ended && !stop.stop_requested();) {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::scheduling));
-      ended = context_.controller.engine.plan_some(now(), constants::kPlacesPerPortion);
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::scheduling));
+      ended = context_.control_state.engine.plan_some(now(), constants::kPlacesPerPortion);
     }
     bool writes = false;
     bool cloud = false;
@@ -33,13 +33,14 @@
     bool placed = false;
     control::Census census;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::scheduling));
-      writes = context_.controller.engine.writes_wanted();
-      cloud = context_.controller.engine.cloud_wanted();
-      std::ranges::move(context_.controller.engine.due_halts(now()), std::back_inserter(context_.controller.halts));
-      halts = !context_.controller.halts.empty();
-      if (wanted) census = context_.controller.engine.census(now());
-      placed = context_.controller.engine.counters().placed > 0;
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::scheduling));
+      writes = context_.control_state.engine.writes_wanted();
+      cloud = context_.control_state.engine.cloud_wanted();
+      std::ranges::move(context_.control_state.engine.due_halts(now()),
+                        std::back_inserter(context_.control_state.halts));
+      halts = !context_.control_state.halts.empty();
+      if (wanted) census = context_.control_state.engine.census(now());
+      placed = context_.control_state.engine.counters().placed > 0;
     }
     if (wanted) {
       context_.standby.on_phase_reached(standby::Phase::planned);
@@ -60,7 +61,7 @@
       spdlog::warn("behind: a planning pass took {:.1f} s; placements are late",
                    std::chrono::duration<double>(ended_at - began).count());
     }
-    context_.controller.progress_made.notify_all();
+    context_.control_state.progress_made.notify_all();
     sleep_unless_stopped(stop, constants::kPlanPause);
   }
 }
--- a/src/node/shared_records.cpp
+++ b/src/node/shared_records.cpp
@@ -33,12 +33,12 @@
   keepers.push_back(&calendar);
 }
 
-std::optional<SharedRecords::Picture> SharedRecords::picture(Revision least, net::Deadline until) {
+std::optional<SharedRecords::Snapshot> SharedRecords::picture(Revision least, net::Deadline until) {
   std::unique_lock lock(mutex);
   if (!moved.wait_until(lock, until, [&] { return ledger.whole() && ledger.revision() >= least; })) {
     return std::nullopt;
   }
-  Picture picture{.live = {}, .linger = {}, .parts = {}, .term = {}, .revision = ledger.revision()};
+  Snapshot picture{.live = {}, .linger = {}, .parts = {}, .term = {}, .revision = ledger.revision()};
   if (const ledger::Record* record = ledger.find(state::kTermKey)) {
     picture.term = state::Entry{.key = state::kTermKey, .data = record->data, .mark = record->mark};
   }
--- a/src/node/shared_records.h
+++ b/src/node/shared_records.h
@@ -51,14 +51,14 @@
 
   // The records of the prefixes as of one revision, not before `least`; nothing when the ledger does not come so far by
   // the deadline. A new leader asks with the revision of its term: no older leader's write can come after that.
-  struct Picture {
+  struct Snapshot {
     std::vector<state::Entry> live;
     std::vector<state::Entry> linger;
     std::vector<state::Entry> parts;
     std::optional<state::Entry> term;  // the term's own record, as of then
     Revision revision;
   };
-  [[nodiscard]] std::optional<Picture> picture(Revision least, net::Deadline until);
+  [[nodiscard]] std::optional<Snapshot> picture(Revision least, net::Deadline until);
 };
 
 // What the calendar's records leave each job until its deadline there, in steps; with the mutex held.
--- a/src/node/standby_requests.cpp
+++ b/src/node/standby_requests.cpp
@@ -19,8 +19,8 @@
     body.emplace_back("records_whole", context.shared.ledger.whole());
     body.emplace_back("records_revision", context.shared.ledger.revision().number());
   }
-  const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
-  body.emplace_back("leads", context.controller.engine.leading());
+  const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
+  body.emplace_back("leads", context.control_state.engine.leading());
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
--- a/src/node/standby_state.cpp
+++ b/src/node/standby_state.cpp
@@ -126,8 +126,8 @@
   }
   std::optional<standby::Picture> picture;
   if (look) {
-    const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
-    if (context.controller.engine.leading()) picture = context.controller.engine.soft_state(at);
+    const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
+    if (context.control_state.engine.leading()) picture = context.control_state.engine.soft_state(at);
   }
   std::optional<standby::Word> word;
   {
--- a/src/node/standby_subscriber.cpp
+++ b/src/node/standby_subscriber.cpp
@@ -36,9 +36,9 @@
     const auto picture = context_.standby.take_snapshot(at);
     if (!picture) continue;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::metrics));
-      if (!context_.controller.engine.leading() || picture->term >= context_.controller.engine.term()) continue;
-      context_.controller.engine.hint(*picture, at);
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
+      if (!context_.control_state.engine.leading() || picture->term >= context_.control_state.engine.term()) continue;
+      context_.control_state.engine.hint(*picture, at);
     }
     context_.standby.on_soft_state_applied(*picture);
     context_.wakeups.scheduler.signal();
--- a/src/node/stop_sender.cpp
+++ b/src/node/stop_sender.cpp
@@ -44,9 +44,9 @@
     std::vector<control::DirectHalt> due;
     Term term;
     {
-      const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::reports));
-      due = std::exchange(context_.controller.halts, {});
-      term = context_.controller.engine.term();
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::reports));
+      due = std::exchange(context_.control_state.halts, {});
+      term = context_.control_state.engine.term();
     }
     for (control::DirectHalt& halt : due) {
       if (senders.contains(halt.machine)) continue;
--- a/src/node/warm_pool_loop.cpp
+++ b/src/node/warm_pool_loop.cpp
@@ -50,8 +50,8 @@
   bool plan = false;
   bool cloud = false;
   {
-    const std::lock_guard lock(context_.controller.mutex.handle(LockPriority::metrics));
-    control::Engine& engine = context_.controller.engine;
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
+    control::Engine& engine = context_.control_state.engine;
     if (steer) engine.steer(std::move(*steer));
     if (engine.leading()) {
       seen = engine.sight_pools(now());
--- a/src/node/zone_requests.cpp
+++ b/src/node/zone_requests.cpp
@@ -19,8 +19,8 @@
   }
   std::optional<zone::Grant> grant;
   {
-    const std::lock_guard lock(context.controller.mutex.handle(LockPriority::lease));
-    grant = context.controller.engine.on_ask(ask, now());
+    const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::lease));
+    grant = context.control_state.engine.on_ask(ask, now());
   }
   if (!grant) return retry_later("nothing can be granted: it does not lead in that term, or the word is stale");
   return {.status = 200, .body = wire::encode(zone::to_value(*grant)), .retry_after_s = {}};
@@ -31,11 +31,11 @@
   Value::Map body{
       {"node", context.settings.name.text()}, {"leader", leader.text()}, {"holds", held_delegation.status()}};
   const plan::Instant at = now();
-  const std::lock_guard lock(context.controller.mutex.handle(LockPriority::metrics));
-  body.emplace_back("leads", context.controller.engine.leading());
-  if (!context.controller.engine.leading()) return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
+  const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
+  body.emplace_back("leads", context.control_state.engine.leading());
+  if (!context.control_state.engine.leading()) return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
   Value::List zones;
-  for (const auto& [name, standing] : context.controller.engine.zones().standings()) {
+  for (const auto& [name, standing] : context.control_state.engine.zones().standings()) {
     zones.push_back(Value::Map{{"zone", name},
                                {"state", context.settings.in_service(name) ? zone::name_of(standing.state)
                                                                            : std::string_view("out of service")},
@@ -47,7 +47,7 @@
                                {"leaving", standing.leaving}});
   }
   Value::List grants;
-  for (const zone::Book::Standing& standing : context.controller.engine.grants().standings()) {
+  for (const zone::Book::Standing& standing : context.control_state.engine.grants().standings()) {
     grants.push_back(Value::Map{{"node", standing.node.text()},
                                 {"zone", standing.zone},
                                 {"heard", standing.heard.has_value()},
--- a/tests/smoke/takeover_test.cpp
+++ b/tests/smoke/takeover_test.cpp
@@ -38,8 +38,8 @@
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
   ASSERT_TRUE(context.wait_until_leader({}));
   {
-    const std::lock_guard lock(context.controller.mutex.handle(node::LockPriority::metrics));
-    EXPECT_EQ(context.controller.engine.jobs().size(), kJobs);
+    const std::lock_guard lock(context.control_state.mutex.handle(node::LockPriority::metrics));
+    EXPECT_EQ(context.control_state.engine.jobs().size(), kJobs);
   }
   const std::vector<std::string> asked = state.asked();
   const auto list = [](const std::string& what) { return what.starts_with("list "); };
@@ -75,8 +75,8 @@
   node::LeaderElector duty(context);
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
   ASSERT_TRUE(context.wait_until_leader({}));
-  const std::lock_guard lock(context.controller.mutex.handle(node::LockPriority::metrics));
-  EXPECT_EQ(context.controller.engine.term(), Term(2));
+  const std::lock_guard lock(context.control_state.mutex.handle(node::LockPriority::metrics));
+  EXPECT_EQ(context.control_state.engine.term(), Term(2));
 }
 
 }  // namespace
