--- a/src/node/cache_watcher.cpp
+++ b/src/node/cache_watcher.cpp
@@ -142,8 +142,8 @@
   shared.comparison.begin();
   if (differ.empty()) return true;
   shared.differences += differ.size();
-  spdlog::error("ledger: differs from a cold read, which wins: keys={} first={} revision={}", differ.size(),
-                differ.front(), shared.ledger.revision().number());
+  spdlog::error("record_cache_differs keys={} first={} revision={}", differ.size(), differ.front(),
+                shared.ledger.revision().number());
   return false;
 }
 
--- a/src/node/catalog_requests.cpp
+++ b/src/node/catalog_requests.cpp
@@ -275,7 +275,7 @@
                                                          catalog_write_limits_of(context_.settings));
   switch (outcome.kind) {
     case catalog::Outcome::Kind::in_force:
-      spdlog::info("catalog applied version={} revision={} author=\"{}\" digest={}", outcome.ours.version.number(),
+      spdlog::info("catalog_applied version={} revision={} author=\"{}\" digest={}", outcome.ours.version.number(),
                    outcome.ours.mark.number(), outcome.ours.author, outcome.ours.digest);
       return held("in_force", outcome.ours, outcome.ours);
     case catalog::Outcome::Kind::replaced: return held("replaced", outcome.ours, *outcome.theirs);
--- a/src/node/catalog_settings.cpp
+++ b/src/node/catalog_settings.cpp
@@ -30,7 +30,7 @@
   const std::string& path = settings.operators.founding_catalog;
   if (path.empty()) return std::nullopt;
   if (!settings.operators.shared_records) {
-    spdlog::warn("founding set is not used: shared-records is off file=\"{}\"", path);
+    spdlog::warn("bootstrap_catalog_unused file=\"{}\" reason=\"shared-records is off\"", path);
     return std::nullopt;
   }
   catalog::Founding founding{.file = path, .text = {}, .known = catalog_constraints_of(settings)};
--- a/src/node/cloud_loop.cpp
+++ b/src/node/cloud_loop.cpp
@@ -31,15 +31,15 @@
     try {
       if (!answer->body.empty()) result.body = wire::decode(answer->body);
     } catch (const wire::Malformed& error) {
-      spdlog::warn("cloud: {} {}: malformed answer: {}", method, path, error.what());
+      spdlog::warn("malformed_cloud_answer method={} path={} error=\"{}\"", method, path, error.what());
       result.status = 0;
     }
   }
   const std::string* why = result.body["error"].as_text();
   const bool capacity = why != nullptr && *why == "no capacity";
   if (result.status != 200 && !capacity) {
-    spdlog::warn("cloud: {} {}: {}", method, path,
-                 result.status == 0 ? "no answer" : "status " + std::to_string(result.status));
+    spdlog::warn("cloud_call_failed method={} path={} status={}", method, path,
+                 result.status == 0 ? "none" : std::to_string(result.status));
     next_try_ = net::Clock::now() + constants::kCloudRetryPause;
   }
   return result;
@@ -53,7 +53,7 @@
     publish_types(wire::machine_types_from(kept.entry.data));
     published_ = true;
   } catch (const wire::Malformed& error) {
-    spdlog::error("record of machine types cannot be read: {}", error.what());
+    spdlog::error("machine_types_record_unreadable error=\"{}\"", error.what());
   }
 }
 
@@ -81,7 +81,7 @@
     }
     return true;
   } catch (const wire::Malformed& error) {
-    spdlog::warn("cloud: machine types: {}", error.what());
+    spdlog::warn("malformed_machine_types error=\"{}\"", error.what());
     return false;
   }
 }
@@ -100,7 +100,7 @@
       if (!page.more || page.machines.empty()) break;
       from = page.machines.back().id.text();
     } catch (const wire::Malformed& error) {
-      spdlog::warn("cloud: machines: {}", error.what());
+      spdlog::warn("malformed_machine_list error=\"{}\"", error.what());
       return;
     }
   }
@@ -126,7 +126,7 @@
     try {
       context_.control_state.engine.on_rented(*request, wire::machine_names_from(answer.body), now());
     } catch (const wire::Malformed& error) {
-      spdlog::warn("cloud: rental {}: {}", request->request, error.what());
+      spdlog::warn("malformed_scale_out_answer request={} error=\"{}\"", request->request, error.what());
     }
   } else if ((answer.status == 503 && why != nullptr && *why == "no capacity") || answer.status == 400) {
     context_.control_state.engine.on_rent_refused(*request, now());
--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -46,7 +46,8 @@
 bool Context::observe_leader(const NodeName& of, Term in) {
   const std::lock_guard lock(cluster_view.mutex);
   if (in < cluster_view.term) return false;
-  if (of != cluster_view.leader && !of.empty()) spdlog::info("{} leads in term {}", of.text(), in.number());
+  if (of != cluster_view.leader && !of.empty())
+    spdlog::info("leader_observed leader={} term={}", of.text(), in.number());
   cluster_view.leader = of;
   cluster_view.term = in;
   return true;
--- a/src/node/heartbeat_relay.cpp
+++ b/src/node/heartbeat_relay.cpp
@@ -55,7 +55,7 @@
   auto answer = forward(leader, body);
   if (answer && answer->status == 200) {
     if (context_.metrics.relayed++ == 0) {
-      spdlog::info("reports of workers that can't reach {} are passed on to it", leader.text());
+      spdlog::info("heartbeat_relay_started leader={}", leader.text());
     }
     return std::move(*answer);
   }
@@ -66,7 +66,8 @@
 std::optional<HttpResponse> HeartbeatRelay::answer_by_held_delegation(const wire::Report& report, bool leader_tried) {
   const auto term = held_delegation_.answerable_term(report, leader_tried);
   if (!term) return std::nullopt;
-  if (context_.metrics.granted++ == 0) spdlog::info("workers of {} are answered without the leader", report.zone);
+  if (context_.metrics.granted++ == 0)
+    spdlog::info("delegated_answers_started zone={} term={}", report.zone, term->number());
   return HttpResponse{.status = 200, .body = wire::encode(wire::report_answer(*term, {})), .retry_after_s = {}};
 }
 
--- a/src/node/held_delegation.cpp
+++ b/src/node/held_delegation.cpp
@@ -44,7 +44,8 @@
 
 void HeldDelegation::log_malformed(const std::string& from, const char* why) {
   const std::lock_guard lock(mutex_);
-  if (malformed_log_.should_log(net::Clock::now())) spdlog::warn("malformed word about zones from {}: {}", from, why);
+  if (malformed_log_.should_log(net::Clock::now()))
+    spdlog::warn("malformed_delegation_message from=\"{}\" error=\"{}\"", from, why);
 }
 
 Value::Map HeldDelegation::status() const {
--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -54,7 +54,7 @@
       }
       if (try_acquire(*view)) hold_leadership(stop);
     } catch (const wire::Malformed& error) {
-      spdlog::error("leadership records cannot be read: {}", error.what());
+      spdlog::error("leadership_record_unreadable error=\"{}\"", error.what());
       sleep_unless_stopped(stop, constants::kStateRetryPause);
     }
   }
@@ -190,7 +190,7 @@
                          ? plan::Instant{}
                          : began + control::fence_span(context_.settings) - constants::kClockRounding};
   if (const auto missing = control::not_ready(found, knew)) {
-    spdlog::warn("takeover of term {} is given up: check={}", term.number(), *missing);
+    spdlog::warn("failover_given_up term={} check={}", term.number(), *missing);
     return false;
   }
   {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -103,7 +103,7 @@
                            [this](const HttpRequest& request) { return handle_sibling(request); });
     }
     started_ = true;
-    spdlog::info("{} serves at {}", settings.name.text(), server_.address().text());
+    spdlog::info("serving node={} address={}", settings.name.text(), server_.address().text());
   }
 
   [[nodiscard]] std::string address() const { return server_.address().text(); }
@@ -186,7 +186,7 @@
     try {
       report = wire::report_from(wire::decode(body));
     } catch (const wire::Malformed& error) {
-      spdlog::warn("malformed report: {}", error.what());
+      spdlog::warn("malformed_heartbeat error=\"{}\"", error.what());
       return error_response(400, error.what());
     }
     std::optional<std::vector<wire::Command>> commands;
--- a/src/node/peer_prober.cpp
+++ b/src/node/peer_prober.cpp
@@ -41,7 +41,7 @@
     word = state::term_from(body);
     contact = health::contact_from(body);
   } catch (const wire::Malformed& error) {
-    spdlog::warn("sibling at {}: malformed word: {}", sibling.client.to().text(), error.what());
+    spdlog::warn("malformed_peer_answer from={} error=\"{}\"", sibling.client.to().text(), error.what());
     return;
   }
   {
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -64,8 +64,9 @@
   }
   if (const auto before = verdict_.exchange(verdict); before != verdict) {
     const bool out = !health::healthy(verdict);
-    spdlog::log(out ? spdlog::level::warn : spdlog::level::info, "up={} health={} was={} state_silent_ms={}",
-                out ? "no" : "yes", health::name_of(verdict), health::name_of(before), silent.count());
+    spdlog::log(out ? spdlog::level::warn : spdlog::level::info,
+                "health_changed up={} health={} was={} state_silent_ms={}", out ? "no" : "yes",
+                health::name_of(verdict), health::name_of(before), silent.count());
   }
   if (!health::healthy(verdict)) return retry_later("this node can't reach the state service");
   return {.status = 200, .body = {}, .retry_after_s = {}};
--- a/src/node/scheduler_loop.cpp
+++ b/src/node/scheduler_loop.cpp
@@ -48,7 +48,7 @@
     }
     context_.standby.log_takeover();
     if (census.unwritten_oldest > constants::kBehind && late_write_.should_log(net::Clock::now())) {
-      spdlog::warn("behind: {} records are to be written, the oldest for {:.1f} s", census.unwritten,
+      spdlog::warn("writes_behind records={} oldest_s={:.1f}", census.unwritten,
                    control::to_seconds(census.unwritten_oldest));
     }
     if (writes) context_.wakeups.record_writer.signal();
@@ -58,8 +58,7 @@
     const auto ended_at = net::Clock::now();
     context_.metrics.planned(ended_at - began);
     if (ended_at - began > constants::kBehind && late_pass_.should_log(ended_at)) {
-      spdlog::warn("behind: a planning pass took {:.1f} s; placements are late",
-                   std::chrono::duration<double>(ended_at - began).count());
+      spdlog::warn("planning_behind pass_s={:.1f}", std::chrono::duration<double>(ended_at - began).count());
     }
     context_.control_state.progress_made.notify_all();
     sleep_unless_stopped(stop, constants::kPlanPause);
--- a/src/node/standby_state.cpp
+++ b/src/node/standby_state.cpp
@@ -73,8 +73,7 @@
   if (yielded_ && at - *yielded_ < constants::kLeaderLease) return false;
   yielded_ = at;
   ++yields_;
-  spdlog::info("standby: far behind, a sibling may take the lead first: records={} picture_age_s={:.1f}",
-               records_whole ? "known" : "unknown",
+  spdlog::info("leadership_yielded records={} snapshot_age_s={:.1f}", records_whole ? "known" : "unknown",
                age ? std::chrono::duration<double>(*age).count() : std::numeric_limits<double>::infinity());
   return true;
 }
@@ -113,7 +112,7 @@
   } catch (const wire::Malformed& error) {
     const std::lock_guard lock(mutex_);
     if (warning_log_.should_log(net::Clock::now()))
-      spdlog::warn("standby: malformed ask of a sibling: {}", error.what());
+      spdlog::warn("malformed_standby_request error=\"{}\"", error.what());
     return error_response(400, error.what());
   }
   const plan::Instant at = now();
@@ -162,7 +161,7 @@
   if (!why) return !listener_.caught_up();
   last_refusal_ = *why;
   if (warning_log_.should_log(net::Clock::now())) {
-    spdlog::warn("standby: a word of {} is refused, all is asked for again: {}", of.text(), *why);
+    spdlog::warn("standby_message_refused from={} error=\"{}\"", of.text(), *why);
   }
   return false;
 }
--- a/src/node/stop_sender.cpp
+++ b/src/node/stop_sender.cpp
@@ -25,8 +25,8 @@
                                    .body = wire::encode(wire::direct_commands(halt.term, halt.session, halt.commands))},
                                   net::Clock::now() + constants::kHaltCallLimit);
   // What became of it is learnt from the worker's next report, which alone is proof.
-  spdlog::debug("machine {}: told directly to stop {} tasks: {}", halt.machine.text(), halt.commands.size(),
-                answer ? std::to_string(answer->status) : "no answer");
+  spdlog::debug("direct_stop_sent machine={} tasks={} status={}", halt.machine.text(), halt.commands.size(),
+                answer ? std::to_string(answer->status) : "none");
 }
 
 void StopSender::run(const std::stop_token& stop) {
@@ -70,7 +70,7 @@
           raw->done = true;
         });
       } catch (const std::system_error& error) {
-        spdlog::warn("no thread to tell machine {} directly: {}", machine.text(), error.what());
+        spdlog::warn("no_thread_for_direct_stop machine={} error=\"{}\"", machine.text(), error.what());
         continue;  // halts are repeated until proof
       }
       senders.emplace(machine, std::move(sender));
