--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -112,7 +112,9 @@
       result.revision = there->term_mark;
     }
   }
-  if (result.answer == Answer::ok && load_records(result.revision, term, until, asked)) return true;
+  const AcquiredTerm acquired{
+      .term = term, .term_mark = result.revision, .others_until_wall_ms = until, .asked = asked};
+  if (result.answer == Answer::ok && try_lead(acquired)) return true;
   (void)client_.revoke(lease_, store_call_deadline());
   lease_ = {};
   return false;
@@ -140,9 +142,7 @@
   return true;
 }
 
-bool LeaderElector::load_records(Revision term_mark, Term term, std::int64_t others_until_wall_ms,
-                                 plan::Instant began) {
-  plan::Instant renewed = began;
+std::optional<SharedRecords::Snapshot> LeaderElector::load_records(Revision term_mark, plan::Instant& renewed) {
   SharedRecords::Snapshot picture;
   // A node that follows the records has them: all up to its own term, after which no older leader's write can come.
   std::optional<SharedRecords::Snapshot> known;
@@ -152,13 +152,20 @@
   if (known) {
     picture = std::move(*known);
   } else if (!read_records(picture, renewed)) {
-    return false;
+    return std::nullopt;
   }
   if (!picture.term) {
     const state::GetResult record = client_.get(state::kTermKey, store_call_deadline());
-    if (record.answer != Answer::ok) return false;
+    if (record.answer != Answer::ok) return std::nullopt;
     picture.term = record.entry;
   }
+  return picture;
+}
+
+bool LeaderElector::try_lead(const AcquiredTerm& acquired) {
+  plan::Instant renewed = acquired.asked;
+  std::optional<SharedRecords::Snapshot> picture = load_records(acquired.term_mark, renewed);
+  if (!picture) return false;
   const auto hints = context_.standby.take_snapshot(now());
   // The steady clock last: what passes between the two counts as longer, not shorter, for older leaders.
   const std::int64_t wall = wall_ms();
@@ -168,48 +175,55 @@
     const std::lock_guard lock(context_.shared.mutex);
     dues = calendar::dues_of(context_.shared.calendar, {.at = at, .wall_ms = wall});
   }
-  control::Takeover takeover{.term = term,
-                             .term_mark = term_mark,
-                             .others_until = at + plan::Millis(std::max<std::int64_t>(0, others_until_wall_ms - wall)),
-                             .live = std::move(picture.live),
-                             .linger = std::move(picture.linger),
-                             .parts = std::move(picture.parts),
-                             .wall_ms = wall};
+  const std::int64_t older_leaders_ms = std::max<std::int64_t>(0, acquired.others_until_wall_ms - wall);
+  const control::Takeover takeover{.term = acquired.term,
+                                   .term_mark = acquired.term_mark,
+                                   .others_until = at + plan::Millis(older_leaders_ms),
+                                   .live = std::move(picture->live),
+                                   .linger = std::move(picture->linger),
+                                   .parts = std::move(picture->parts),
+                                   .wall_ms = wall};
   // The clock is looked at once more: the process may have stood still at any point above.
   const plan::Instant knew = now();
-  const control::Readiness found{
-      .self = context_.settings.name,
-      .term = term,
-      .term_mark = term_mark,
-      .record = state::term_from(picture.term->data),
-      .record_mark = picture.term->mark,
-      .records_at = picture.revision,
-      .lease_asked = renewed,
-      .others_until = takeover.others_until,
-      .fence_least = others_until_wall_ms == 0
-                         ? plan::Instant{}
-                         : began + control::fence_span(context_.settings) - constants::kClockRounding};
-  if (const auto missing = control::not_ready(found, knew)) {
-    spdlog::warn("failover_given_up term={} check={}", term.number(), *missing);
-    return false;
-  }
+  if (!is_ready(acquired, *picture, takeover.others_until, renewed, knew)) return false;
   {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
-    context_.control_state.engine.lead(takeover, began);
-    context_.control_state.engine.on_dues(std::move(dues));  // its first pass ranks as the records say
-    context_.control_state.engine.confirm_lease(renewed);
-    if (hints) context_.control_state.engine.hint(*hints, now());
-    context_.control_state.follow_from = picture.revision;
+    control::Engine& engine = context_.control_state.engine;
+    engine.lead(takeover, acquired.asked);
+    engine.on_dues(std::move(dues));  // its first pass ranks as the records say
+    engine.confirm_lease(renewed);
+    if (hints) engine.hint(*hints, now());
+    context_.control_state.follow_from = picture->revision;
   }
-  context_.standby.on_leadership_acquired(term, began, knew, hints);
+  context_.standby.on_leadership_acquired(acquired.term, acquired.asked, knew, hints);
   context_.wakeups.standby_subscriber.signal();
-  context_.observe_leader(context_.settings.name, term);
+  context_.observe_leader(context_.settings.name, acquired.term);
   context_.budget.set_share(constants::kLeaderShare);
   context_.control_state.became_leader.notify_all();
   context_.wakeups.scheduler.signal();
   return true;
 }
 
+bool LeaderElector::is_ready(const AcquiredTerm& acquired, const SharedRecords::Snapshot& picture,
+                             plan::Instant others_until, plan::Instant renewed, plan::Instant at) const {
+  const bool first_leader = acquired.others_until_wall_ms == 0;
+  const control::Readiness found{.self = context_.settings.name,
+                                 .term = acquired.term,
+                                 .term_mark = acquired.term_mark,
+                                 .record = state::term_from(picture.term->data),
+                                 .record_mark = picture.term->mark,
+                                 .records_at = picture.revision,
+                                 .lease_asked = renewed,
+                                 .others_until = others_until,
+                                 .fence_least = first_leader ? plan::Instant{}
+                                                             : acquired.asked + control::fence_span(context_.settings) -
+                                                                   constants::kClockRounding};
+  const auto missing = control::not_ready(found, at);
+  if (!missing) return true;
+  spdlog::warn("failover_given_up term={} check={}", acquired.term.number(), *missing);
+  return false;
+}
+
 void LeaderElector::hold_leadership(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     {
