--- a/src/node/context.h
+++ b/src/node/context.h
@@ -1,87 +1,105 @@
-// What the duties of one node share.
+/// What the loops of one node share, in groups: each mutex stands beside what it guards.
+///
+/// Lock order: ControllerState::mutex, then SharedRecords::mutex or the mutex inside StandbyState, then ClusterView::mutex
+/// or HealthState::mutex. Hardly any code holds two; none holds one across I/O.
+///
+/// Threads: Node owns the thread of each loop and joins it (node.cpp); StopSender owns the threads that it starts for
+/// single machines; the HTTP servers own those of their connections. A loop ends when its stop token is set.
 #pragma once
 
 #include <condition_variable>
 #include <mutex>
 #include <stop_token>
+#include <vector>
 
 #include "config/settings.h"
 #include "control/controller.h"
-#include "net/socket.h"
-#include "node/counters.h"
-#include "node/duty_mutex.h"
-#include "node/shared.h"
-#include "node/standby.h"
 #include "health/health.h"
+#include "net/socket.h"
+#include "node/auto_reset_event.h"
+#include "node/metrics.h"
+#include "node/priority_mutex.h"
+#include "node/shared_records.h"
+#include "node/standby_state.h"
 #include "kv/budget.h"
 
 namespace foxshunt::node {
 
-inline plan::Instant now() { return std::chrono::floor<plan::Millis>(net::Clock::now()); }
-inline std::int64_t wall_ms() {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
-
-// A flag that one duty raises and another waits for.
-class Signal {
- public:
-  void raise();
-  // Waits until it is raised, the time is over or a stop is asked for; then lowers it. Whether it was raised.
-  bool wait(const std::stop_token& stop, std::chrono::milliseconds most);
-
- private:
-  std::mutex mutex_;
-  std::condition_variable_any raised_;
-  bool up_ = false;
-};
+/// The controller's decisions and what is handed over together with them. All members are used with `mutex` held.
+struct ControllerState {
+  explicit ControllerState(const config::Settings& settings) : controller(settings) {}
 
-// Sleeps unless a stop is asked for; false then.
-bool pause(const std::stop_token& stop, std::chrono::milliseconds span);
+  PriorityMutex mutex;
+  std::condition_variable_any progress_made;  ///< a write or a planning pass has ended
+  std::condition_variable_any became_leader;  ///< this node has begun to lead
+  control::Controller controller;
+  std::vector<control::DirectHalt> halts;  ///< to be sent to workers directly
+  Revision follow_from;                    ///< up to here the leader knows the records
+};
 
-struct Context {
-  explicit Context(const config::Settings& from);
+/// How one loop wakes another before its interval is over. Each event is synchronised in itself.
+struct Wakeups {
+  AutoResetEvent leader_elector;  ///< leadership may be over
+  AutoResetEvent scheduler;
+  AutoResetEvent record_writer;
+  AutoResetEvent cloud_loop;
+  AutoResetEvent stop_sender;
+  AutoResetEvent record_controllers;
+  AutoResetEvent standby_subscriber;
+};
 
-  config::Settings settings;
-  net::Address state_address;
-  net::Address cloud_address;
-  kv::RateBudget budget;
-  const net::Clock::time_point began = net::Clock::now();
-  Tallies tallies;
+/// Who leads and in which term, as this node knows it.
+struct KnownLeader {
+  NodeName leader;  ///< empty: nobody
+  Term term;
+};
 
-  DutyMutex controller_mutex;                    // never held across I/O
-  std::condition_variable_any controller_moved;  // with controller_mutex: a write or a planning pass has ended
-  control::Controller controller;
-  Signal lead_signal;  // the lead may be over
-  Signal plan_signal;
-  Signal write_signal;
-  Signal cloud_signal;
-  Signal halt_signal;
-  Signal keep_signal;
-  Signal standby_signal;
-  std::vector<control::DirectHalt> halts;  // with controller_mutex: to be sent
-  std::condition_variable_any led;         // with controller_mutex: this node has begun to lead
-  Revision follow_from;                    // with controller_mutex: up to here the leader knows the records
-
-  Shared shared;  // the records, as this node knows them; its own mutex, taken after controller_mutex if both are
-
-  Standby standby;  // its own mutex as well
-
-  std::mutex view_mutex;
-  NodeName leader;  // as last read; empty: none
+/// What a node knows of the cluster without leading it. All members are used with `mutex` held.
+struct ClusterView {
+  std::mutex mutex;
+  NodeName leader;  ///< as last read; empty: none
   Term term;
-  std::vector<wire::MachineType> types;  // for judging submissions
+  std::vector<wire::MachineType> types;  ///< submissions are checked against them
+};
 
-  std::mutex health_mutex;
-  health::HealthCheck health;
+/// This node's own contact with the state service. `check` is used with `mutex` held.
+struct HealthState {
+  HealthState(plan::Instant now, std::size_t siblings) : check(now, siblings) {}
 
-  // The leader's duties of a node that does not lead wait here, so that it costs nothing. False when a stop is asked for.
-  bool wait_to_lead(const std::stop_token& stop);
+  std::mutex mutex;
+  health::HealthCheck check;
+};
 
-  void heard_state();
-  [[nodiscard]] plan::Millis state_silent_for();
-  // Takes note of who leads; false if a later term is known already.
-  bool learn_lead(const NodeName& of, Term in);
+/// Owned by Node; outlives all loops and request handlers.
+struct Context {
+  /// Throws config::BadSettings when an address can't be read.
+  explicit Context(const config::Settings& from);
+
+  const config::Settings settings;
+  const net::Address state_address;
+  const net::Address cloud_address;
+  kv::RateBudget budget;  ///< synchronised in itself
+  const net::Clock::time_point began = net::Clock::now();
+  Metrics metrics;  ///< synchronised in itself
+
+  ControllerState control_state;
+  Wakeups wakeups;
+  SharedRecords shared;
+  StandbyState standby;
+  ClusterView cluster_view;
+  HealthState health;
+
+  /// Blocks a leader's loop until this node leads, so that it costs a follower nothing. False when a stop is asked for.
+  bool wait_until_leader(const std::stop_token& stop);
+
+  /// The state service has answered just now.
+  void on_store_answered();
+  /// The time since the state service last answered.
+  [[nodiscard]] plan::Millis store_silent_for();
+  /// Takes note of who leads; false if a later term is known already.
+  bool observe_leader(const NodeName& of, Term in);
+  /// Who leads, as last observed.
+  [[nodiscard]] KnownLeader known_leader();
 };
 
 }  // namespace foxshunt::node
--- /dev/null
+++ b/src/node/record_controller_loop.cpp
@@ -0,0 +1,114 @@
+#include "node/record_controller_loop.h"
+
+#include <algorithm>
+#include <set>
+
+#include "calendar/plans.h"
+#include "config/constants.h"
+#include "node/clock.h"
+#include "node/store_calls.h"
+
+namespace foxshunt::node {
+
+using kv::Answer;
+
+RecordControllerLoop::RecordControllerLoop(Context& context)
+    : context_(context), client_(context.state_address, context.budget, kv::Urgency::user) {}
+
+void RecordControllerLoop::run(const std::stop_token& stop) {
+  while (context_.wait_until_leader(stop)) {
+    read_ends();
+    tell_plan();
+    tell_types();
+    while (!stop.stop_requested() && write_one()) sleep_unless_stopped(stop, constants::kKeepPause);
+    context_.wakeups.record_controllers.wait(stop, constants::kKeepEvery);
+  }
+}
+
+void RecordControllerLoop::read_ends() {
+  SharedRecords& shared = context_.shared;
+  std::optional<std::string> key;
+  {
+    const std::lock_guard lock(shared.mutex);
+    key = shared.calendar.next_read();
+  }
+  if (!key) return;
+  const kv::GetResult found = client_.get(*key, store_call_deadline());
+  const std::lock_guard lock(shared.mutex);
+  shared.calendar.on_read(*key, found);
+}
+
+void RecordControllerLoop::tell_types() {
+  SharedRecords& shared = context_.shared;
+  {
+    const std::lock_guard lock(shared.mutex);
+    if (!shared.catalog_founder.wants_types()) return;
+  }
+  std::set<std::string> names;
+  {
+    const std::lock_guard lock(context_.cluster_view.mutex);
+    for (const wire::MachineType& type : context_.cluster_view.types) names.insert(type.name);
+  }
+  const std::lock_guard lock(shared.mutex);
+  shared.catalog_founder.learn_types(names);
+}
+
+void RecordControllerLoop::tell_plan() {
+  SharedRecords& shared = context_.shared;
+  {
+    const std::lock_guard lock(shared.mutex);
+    if (shared.calendar.occurrences().empty()) return;
+  }
+  const calendar::Both moment{.at = now(), .wall_ms = wall_ms()};
+  foresight::Dues dues;
+  {
+    const std::lock_guard lock(shared.mutex);
+    dues = calendar::dues_of(shared.calendar, moment);
+  }
+  std::map<JobId, plan::Instant> ends;
+  std::map<JobId, foresight::Prospect> prospects;
+  {
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
+    context_.control_state.controller.on_dues(std::move(dues));
+    if (context_.control_state.controller.planning()) return;
+    ends = context_.control_state.controller.planned_ends();
+    prospects = context_.control_state.controller.prospects(moment.at);
+  }
+  const std::lock_guard lock(shared.mutex);
+  shared.calendar.planned(calendar::plans_of(ends, prospects, moment));
+}
+
+bool RecordControllerLoop::write_one() {
+  Revision term_mark;
+  {
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
+    if (!context_.control_state.controller.may_start(now())) return false;
+    term_mark = context_.control_state.controller.term_mark();
+  }
+  SharedRecords& shared = context_.shared;
+  ledger::Keeper* keeper = nullptr;
+  std::optional<kv::Txn> txn;
+  {
+    const std::lock_guard lock(shared.mutex);
+    if (!shared.ledger.whole() || shared.ledger.revision() < term_mark) return false;
+    for (ledger::Keeper* one : shared.keepers) {
+      txn = one->next_write(shared.jobs, moment(), context_.settings.state_txn_ops);
+      keeper = one;
+      if (txn) break;
+    }
+  }
+  if (!txn) return false;
+  kv::Txn guarded = *txn;
+  guarded.conditions.push_back({.key = state::kTermKey, .mark = term_mark});
+  const kv::TxnResult result = client_.txn(guarded, store_call_deadline());
+  if (result.answer == Answer::conflict &&
+      std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
+    context_.control_state.controller.on_term_conflict(term_mark);
+  }
+  const std::lock_guard lock(shared.mutex);
+  keeper->on_written(*txn, result);
+  return result.answer == Answer::ok;
+}
+
+}  // namespace foxshunt::node
--- a/src/node/pools.cpp
+++ b/src/node/warm_pool_loop.cpp
@@ -1,14 +1,15 @@
-#include "node/pools.h"
+#include "node/warm_pool_loop.h"
 
 #include <utility>
 
 #include "config/constants.h"
+#include "node/clock.h"
 
 namespace foxshunt::node {
 
 using wire::Value;
 
-PoolDuty::PoolDuty(Context& context, InForce in_force, pools::OpenNow open_now)
+WarmPoolLoop::WarmPoolLoop(Context& context, InForce in_force, pools::OpenNow open_now)
     : context_(context),
       in_force_(std::move(in_force)),
       keeper_(std::move(open_now),
@@ -18,22 +19,22 @@
   context_.shared.keepers.push_back(&keeper_);
 }
 
-void PoolDuty::run(const std::stop_token& stop) {
+void WarmPoolLoop::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     look();
-    pause(stop, constants::kPoolLook);
+    sleep_unless_stopped(stop, constants::kPoolLook);
   }
 }
 
-void PoolDuty::declare() {
+void WarmPoolLoop::declare() {
   if (const auto set = in_force_(); set && set != declared_) {
     keeper_.declare(*set);
     declared_ = set;
   }
 }
 
-void PoolDuty::look() {
-  Shared& shared = context_.shared;
+void WarmPoolLoop::look() {
+  SharedRecords& shared = context_.shared;
   std::optional<pools::Steer> steer;
   {
     const std::lock_guard lock(shared.mutex);
@@ -49,8 +50,8 @@
   bool plan = false;
   bool cloud = false;
   {
-    const std::lock_guard lock(context_.controller_mutex.of(Duty::counting));
-    control::Controller& controller = context_.controller;
+    const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
+    control::Controller& controller = context_.control_state.controller;
     if (steer) controller.steer(std::move(*steer));
     if (controller.leading()) {
       seen = controller.sight_pools(now());
@@ -58,14 +59,14 @@
       cloud = controller.cloud_wanted();
     }
   }
-  if (plan) context_.plan_signal.raise();
-  if (cloud) context_.cloud_signal.raise();
+  if (plan) context_.wakeups.scheduler.signal();
+  if (cloud) context_.wakeups.cloud_loop.signal();
   if (!seen) return;
   const std::lock_guard lock(shared.mutex);
   keeper_.observe(std::move(*seen), {.wall_ms = wall_ms(), .steady = net::Clock::now()});
 }
 
-Value::Map PoolDuty::frame() const {
+Value::Map WarmPoolLoop::frame() const {
   const ledger::Ledger& ledger = context_.shared.ledger;
   return Value::Map{{"node", context_.settings.name.text()},
                     {"revision", ledger.revision().number()},
@@ -74,7 +75,7 @@
                     {"digest", keeper_.digest()}};
 }
 
-net::HttpResponse PoolDuty::pools_answer() {
+net::HttpResponse WarmPoolLoop::pools_response() {
   const std::lock_guard lock(context_.shared.mutex);
   declare();  // whoever has just applied a set asks for its pools
   Value::Map body = frame();
@@ -100,7 +101,7 @@
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
-net::HttpResponse PoolDuty::accounts_answer() {
+net::HttpResponse WarmPoolLoop::accounts_response() {
   const std::lock_guard lock(context_.shared.mutex);
   declare();
   Value::Map body = frame();
