--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -12,6 +12,7 @@
 #include <vector>
 
 #include "catalog/model.h"
+#include "classes/ranking.h"
 #include "config/settings.h"
 #include "control/autoscaler.h"
 #include "control/cluster_state.h"
@@ -93,6 +94,8 @@
   // What becomes of these by the plan, and what lacks.
   [[nodiscard]] std::map<JobId, foresight::Prospect> prospects(Instant now) const;
   // When the plan says that other jobs end; those without a booking are left out.
+  // The order of the latest pass; empty without classes.
+  [[nodiscard]] const classes::Ranking& ranking() const { return cycle_.queue().ranking(); }
   [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadlines_.planned_ends(cluster_); }
 
   // ---- workers ----
