--- /dev/null
+++ b/tests/unit/task_lifecycle_test.cpp
@@ -0,0 +1,112 @@
+#include "control/task_lifecycle.h"
+
+#include "cluster_fixture.h"
+#include "config/constants.h"
+
+namespace foxshunt::control {
+namespace {
+
+class TaskLife : public ClusterFixture {
+ protected:
+  TaskLife() : leadership_(Millis(30'000)), tasks_(cluster_, leadership_), machine_(add_machine("m-000001")) {
+    leadership_.begin(Term(7), Revision(1), now_);
+    machine_.address = "127.0.0.1:1";
+  }
+
+  // A job whose first `placed` tasks are allocated to the machine.
+  Job& add_placed(const wire::JobSpec& spec, std::uint32_t placed) {
+    Job& job = add_job(spec);
+    for (std::uint32_t index = 0; index < placed; ++index) tasks_.place(job, index, AttemptNo(1), machine_, now_);
+    return job;
+  }
+
+  jobs::Run& run_of(const Job& job, std::uint32_t index) { return *cluster_.jobs.find_run({job.spec.id, index}); }
+
+  Leadership leadership_;
+  TaskLifecycle tasks_;
+  Machine& machine_;
+};
+
+TEST_F(TaskLife, ATaskMayStartOnceItsAllocationIsDurable) {
+  const Job& job = add_placed(spec_of("j-000001", 1), 1);
+  jobs::Run& run = run_of(job, 0);
+  EXPECT_FALSE(tasks_.can_start(job, run, now_));
+  run.durable = true;
+  EXPECT_TRUE(tasks_.can_start(job, run, now_));
+  EXPECT_FALSE(tasks_.can_start(job, run, now_ + constants::kLeaderLease));
+}
+
+TEST_F(TaskLife, AMemberOfAGangStartsOnlyWhenAllAreDurable) {
+  const Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 2);
+  run_of(job, 0).durable = true;
+  EXPECT_FALSE(tasks_.can_start(job, run_of(job, 0), now_));
+  run_of(job, 1).durable = true;
+  EXPECT_TRUE(tasks_.can_start(job, run_of(job, 0), now_));
+}
+
+TEST_F(TaskLife, AStopIsOnlyEverMadeSooner) {
+  Job& job = add_placed(spec_of("j-000001", 1), 1);
+  tasks_.stop(job, 0, 10);
+  EXPECT_EQ(run_of(job, 0).grace_s, 10);
+  tasks_.stop(job, 0, 20);
+  EXPECT_EQ(run_of(job, 0).grace_s, 10);
+  tasks_.stop(job, 0, 0);
+  EXPECT_EQ(run_of(job, 0).grace_s, 0);
+}
+
+TEST_F(TaskLife, AStopThatNoHeartbeatHasTakenAlongIsSentDirectly) {
+  Job& job = add_placed(spec_of("j-000001", 1), 1);
+  run_of(job, 0).seen = wire::TaskState::running;
+  tasks_.stop(job, 0, 0);
+  EXPECT_TRUE(tasks_.due_direct_stops(now_).empty());
+  const auto due = tasks_.due_direct_stops(now_ + Millis(1'500));
+  ASSERT_EQ(due.size(), 1U);
+  EXPECT_EQ(due.front().machine, machine_.id);
+  EXPECT_EQ(due.front().term, Term(7));
+  ASSERT_EQ(due.front().commands.size(), 1U);
+  EXPECT_EQ(due.front().commands.front().task, (TaskKey{job.spec.id, 0}));
+}
+
+TEST_F(TaskLife, WholeCheckpointsSurviveTheEndOfATask) {
+  wire::JobSpec spec = spec_of("j-000001", 1);
+  spec.checkpoint_s = 10;
+  Job& job = add_placed(spec, 1);
+  run_of(job, 0).running_since = now_;
+  tasks_.confirm_terminated(job, 0, "a test says so", now_ + Millis(25'000));
+  EXPECT_EQ(job.runs_count, 0U);
+  EXPECT_EQ(job.saved.at(0), Millis(20'000));
+}
+
+TEST_F(TaskLife, ACancelledJobLosesAtOnceWhatWasNeverDurable) {
+  Job& job = add_placed(spec_of("j-000001", 2), 2);
+  run_of(job, 0).durable = true;
+  tasks_.cancel(job, now_);
+  EXPECT_TRUE(job.withdrawn);
+  ASSERT_EQ(job.runs_count, 1U);
+  EXPECT_TRUE(run_of(job, 0).halting);
+}
+
+TEST_F(TaskLife, ALostMemberOfAStartedGangEndsTheAttempt) {
+  Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 2);
+  for (const std::uint32_t index : {0U, 1U}) {
+    run_of(job, index).seen = wire::TaskState::running;
+    run_of(job, index).running_since = now_;
+  }
+  tasks_.lose_task({job.spec.id, 0}, "a test says so", now_);
+  EXPECT_EQ(job.runs_count, 1U);
+  EXPECT_TRUE(run_of(job, 1).halting);
+}
+
+TEST_F(TaskLife, ADrainedMachineHasItsTasksStoppedWithTheirCheckpointsGrace) {
+  wire::JobSpec spec = spec_of("j-000001", 1);
+  spec.checkpoint_s = 10;
+  spec.save_s = 5;
+  const Job& job = add_placed(spec, 1);
+  tasks_.drain(machine_, "a test wants it");
+  EXPECT_EQ(machine_.state, MachineState::draining);
+  EXPECT_TRUE(run_of(job, 0).halting);
+  EXPECT_GE(run_of(job, 0).grace_s, 5);
+}
+
+}  // namespace
+}  // namespace foxshunt::control
