--- a/tests/ci/doc_links_test.sh
+++ b/tests/ci/doc_links_test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Checks what the pages cite against the tree, so that a page can't go on naming what was moved or renamed:
 #   links      every relative link of a page leads to a file, and to a heading there if it names one
-#   paths      every path below src, tests, deploy, docs or .ci that a page names in backticks exists
+#   paths      every path below src, tests, deploy, docs or .ci, and every source file, that a page names in backticks exists
 #   functions  every `Type::member` in backticks stands in the sources: a file that declares Type, a class or namespace, has the member
 #   names      every identifier, test (`Suite.Test`) and hyphenated name in backticks stands in the sources, or names a scenario
 #   warnings   docs/on-call.md lists every warning and error that the sources log, and no other; its lines at info are logged
@@ -33,6 +33,7 @@
 LINK = re.compile(r"\[[^\]]*\]\(([^)\s]+)\)")
 CODE = re.compile(r"`([^`]+)`")
 PATH = re.compile(r"^(?:%s)/[\w./*-]+$" % "|".join(re.escape(folder) for folder in PATH_FOLDERS))
+SOURCE_FILE = re.compile(r"^[\w./-]+\.(?:h|cpp|sh)$")
 MEMBER = re.compile(r"^([A-Za-z_][\w]*(?:::~?[A-Za-z_]\w*)+)(?:\(\))?$")
 WORD = re.compile(r"[A-Za-z_]\w*")
 IDENTIFIER = re.compile(r"^(?:\w+_\w+|\w*[a-z][A-Z]\w*)(?:\(\))?$")
@@ -93,17 +94,28 @@
                     yield fault(page, number, f"link to {target}: no such heading")
 
 
+@functools.cache
+def tree():
+    return ["/" + str(file.relative_to(ROOT)) for folder in PATH_FOLDERS for file in (ROOT / folder).rglob("*")]
+
+
+def is_there(path):
+    # A module is named without its suffix: src/node/relay is relay.h with relay.cpp.
+    return any(list(ROOT.glob(path.rstrip("/") + suffix)) for suffix in ("", ".h", ".cpp"))
+
+
 def check_paths():
     for page in pages():
         if is_historical(page):
             continue
         for number, line in lines_of(page):
             for code in CODE.findall(line):
-                if not PATH.match(code) or "NAME" in code:
+                if "NAME" in code:
                     continue
-                # A module is named without its suffix: src/node/relay is relay.h with relay.cpp.
-                if not any(list(ROOT.glob(code.rstrip("/") + suffix)) for suffix in ("", ".h", ".cpp")):
+                if PATH.match(code) and not is_there(code):
                     yield fault(page, number, f"`{code}`: no such path")
+                elif SOURCE_FILE.match(code) and not any(path.endswith("/" + code) for path in tree()):
+                    yield fault(page, number, f"`{code}`: no such file")
 
 
 @functools.cache
