--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "config/constants.h"
+#include "node/clock.h"
 
 namespace foxshunt::node {
 namespace {
@@ -17,60 +18,44 @@
 
 }  // namespace
 
-void Signal::raise() {
-  {
-    const std::lock_guard lock(mutex_);
-    up_ = true;
-  }
-  raised_.notify_one();
-}
-
-bool Signal::wait(const std::stop_token& stop, std::chrono::milliseconds most) {
-  std::unique_lock lock(mutex_);
-  raised_.wait_for(lock, stop, most, [this] { return up_; });
-  return std::exchange(up_, false);
-}
-
-bool pause(const std::stop_token& stop, std::chrono::milliseconds span) {
-  std::mutex mutex;
-  std::condition_variable_any never;
-  std::unique_lock lock(mutex);
-  never.wait_for(lock, stop, span, [] { return false; });
-  return !stop.stop_requested();
-}
-
 Context::Context(const config::Settings& from)
     : settings(from),
       state_address(address_or_throw(from.state, "outside.state")),
       cloud_address(address_or_throw(from.cloud, "outside.cloud")),
       budget(from.state_rps, from.state_write_rps, 1.0 / static_cast<double>(std::max<std::size_t>(1, from.nodes))),
-      controller(from),
+      control_state(from),
       shared(from),
       standby(from),
       health(now(), from.siblings.size()) {}
 
-bool Context::wait_to_lead(const std::stop_token& stop) {
-  std::unique_lock lock(controller_mutex.of(Duty::planning));
-  return led.wait(lock, stop, [this] { return controller.leading(); });
+bool Context::wait_until_leader(const std::stop_token& stop) {
+  std::unique_lock lock(control_state.mutex.handle(LockPriority::scheduling));
+  return control_state.became_leader.wait(lock, stop, [this] { return control_state.controller.leading(); });
 }
 
-void Context::heard_state() {
-  const std::lock_guard lock(health_mutex);
-  health.on_state(now());
+void Context::on_store_answered() {
+  const std::lock_guard lock(health.mutex);
+  health.check.on_state(now());
 }
 
-plan::Millis Context::state_silent_for() {
-  const std::lock_guard lock(health_mutex);
-  return health.silent_for(now());
+plan::Millis Context::store_silent_for() {
+  const std::lock_guard lock(health.mutex);
+  return health.check.silent_for(now());
 }
 
-bool Context::learn_lead(const NodeName& of, Term in) {
-  const std::lock_guard lock(view_mutex);
-  if (in < term) return false;
-  if (of != leader && !of.empty()) spdlog::info("{} leads in term {}", of.text(), in.number());
-  leader = of;
-  term = in;
+bool Context::observe_leader(const NodeName& of, Term in) {
+  const std::lock_guard lock(cluster_view.mutex);
+  if (in < cluster_view.term) return false;
+  if (of != cluster_view.leader && !of.empty())
+    spdlog::info("leader_observed leader={} term={}", of.text(), in.number());
+  cluster_view.leader = of;
+  cluster_view.term = in;
   return true;
 }
 
+KnownLeader Context::known_leader() {
+  const std::lock_guard lock(cluster_view.mutex);
+  return {.leader = cluster_view.leader, .term = cluster_view.term};
+}
+
 }  // namespace foxshunt::node
--- a/src/node/counters.cpp
+++ b/src/node/operator_requests.cpp
@@ -1,14 +1,15 @@
-#include "node/counters.h"
+#include "node/operator_requests.h"
 
 #include <sys/resource.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <fstream>
 
 #include "control/times.h"
-#include "node/context.h"
-#include "node/front.h"
+#include "node/clock.h"
+#include "node/http_responses.h"
 
 namespace foxshunt::node {
 namespace {
@@ -32,41 +33,10 @@
   return static_cast<double>(resident) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / (1024.0 * 1024.0);
 }
 
-std::uint64_t count_ms(std::chrono::milliseconds span) {
-  return static_cast<std::uint64_t>(std::max<std::int64_t>(0, span.count()));
-}
-
 }  // namespace
 
-void Tallies::answered(Kind kind, int status, RecentPeak::Clock::duration after) {
-  Requests& requests = requests_[static_cast<std::size_t>(kind)];
-  ++requests.all;
-  if (status == 503 || status == 429) {
-    ++requests.refused;
-  } else if (status >= 400 && status < 500 && status != 421) {
-    ++requests.bad;
-  }
-  const std::lock_guard lock(mutex_);
-  answers_[static_cast<std::size_t>(kind)].note(after, RecentPeak::Clock::now());
-}
-
-void Tallies::planned(RecentPeak::Clock::duration took) {
-  const std::lock_guard lock(mutex_);
-  passes_.note(took, RecentPeak::Clock::now());
-}
-
-std::chrono::milliseconds Tallies::slowest(Kind kind) {
-  const std::lock_guard lock(mutex_);
-  return answers_[static_cast<std::size_t>(kind)].longest(RecentPeak::Clock::now());
-}
-
-std::chrono::milliseconds Tallies::longest_pass() {
-  const std::lock_guard lock(mutex_);
-  return passes_.longest(RecentPeak::Clock::now());
-}
-
-net::HttpResponse counters_answer(Context& context, const net::HttpServer& server) {
-  Tallies& tallies = context.tallies;
+net::HttpResponse counters_response(Context& context, const net::HttpServer& server) {
+  Metrics& metrics = context.metrics;
   const net::Clock::duration up = net::Clock::now() - context.began;
   wire::Value::Map body{
       {"node", context.settings.name.text()},
@@ -80,34 +50,34 @@
       {"connections_refused", server.refused_connections()},
   };
   {
-    const std::lock_guard lock(context.health_mutex);
-    body.emplace_back("state_silent_ms", count_ms(context.health.silent_for(now())));
-    body.emplace_back("health", health::name_of(context.health.assess(now())));
+    const std::lock_guard lock(context.health.mutex);
+    body.emplace_back("state_silent_ms", count_ms(context.health.check.silent_for(now())));
+    body.emplace_back("health", health::name_of(context.health.check.assess(now())));
   }
   for (const auto& [kind, name] :
-       {std::pair{Tallies::Kind::report, "reports"}, std::pair{Tallies::Kind::user, "users_requests"}}) {
-    const Tallies::Requests& requests = tallies.of(kind);
+       {std::pair{Metrics::Kind::report, "reports"}, std::pair{Metrics::Kind::user, "users_requests"}}) {
+    const Metrics::Requests& requests = metrics.of(kind);
     body.emplace_back(name, requests.all.load());
     body.emplace_back(std::string(name) + "_refused", requests.refused.load());
     body.emplace_back(std::string(name) + "_bad", requests.bad.load());
-    body.emplace_back(std::string(name) + "_slowest_ms", count_ms(tallies.slowest(kind)));
+    body.emplace_back(std::string(name) + "_slowest_ms", count_ms(metrics.slowest(kind)));
   }
-  body.emplace_back("reports_relayed", tallies.relayed.load());
-  body.emplace_back("reports_granted", tallies.granted.load());
-  constexpr std::array<const char*, kDuties> kNames{"lease", "reports",  "records", "writes",
-                                                    "cloud", "planning", "counting"};
-  const auto waits = context.controller_mutex.longest_waits();
-  for (std::size_t duty = 0; duty < kDuties; ++duty) {
+  body.emplace_back("reports_relayed", metrics.relayed.load());
+  body.emplace_back("reports_granted", metrics.granted.load());
+  constexpr std::array<const char*, kLockPriorities> kNames{"lease", "reports",  "records", "writes",
+                                                            "cloud", "planning", "counting"};
+  const auto waits = context.control_state.mutex.longest_waits();
+  for (std::size_t duty = 0; duty < kLockPriorities; ++duty) {
     body.emplace_back(std::string("wait_") + kNames[duty] + "_ms", count_ms(waits[duty]));
   }
   if (context.settings.operators.standby) {
-    for (auto& [name, value] : context.standby.told()) {
+    for (auto& [name, value] : context.standby.status()) {
       if (value.as_text() == nullptr) body.emplace_back("standby_" + name, std::move(value));
     }
   }
   if (context.settings.operators.shared_records) {
     const std::lock_guard lock(context.shared.mutex);
-    const Shared& shared = context.shared;
+    const SharedRecords& shared = context.shared;
     const calendar::Counts& calendar = shared.calendar.counts();
     body.emplace_back("ledger_revision", shared.ledger.revision().number());
     body.emplace_back("ledger_records", std::uint64_t{shared.ledger.size()});
@@ -122,8 +92,8 @@
     body.emplace_back("calendar_missed", calendar.missed);
     body.emplace_back("calendar_waived", calendar.waived);
   }
-  const std::lock_guard lock(context.controller_mutex.of(Duty::counting));
-  const control::Controller& controller = context.controller;
+  const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
+  const control::Controller& controller = context.control_state.controller;
   body.emplace_back("leads", controller.leading());
   if (controller.leading()) {
     const plan::Instant at = now();
@@ -144,25 +114,25 @@
     body.emplace_back("passes", done.passes);
     body.emplace_back("passes_portions", done.portions);
     body.emplace_back("passes_jobs", done.jobs_planned);
-    body.emplace_back("passes_longest_ms", count_ms(tallies.longest_pass()));
+    body.emplace_back("passes_longest_ms", count_ms(metrics.longest_pass()));
     body.emplace_back("tasks_started", done.placed);
   }
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
-net::HttpResponse plan_answer(Context& context, const std::string& job) {
-  if (!wire::is_job_id(job)) return plain_error(404, "no such job");
+net::HttpResponse plan_explanation_response(Context& context, const std::string& job) {
+  if (!wire::is_job_id(job)) return error_response(404, "no such job");
   {
-    const std::lock_guard lock(context.controller_mutex.of(Duty::counting));
-    if (context.controller.leading()) {
-      const auto why = context.controller.explain(JobId(job), now());
-      if (!why) return plain_error(404, "no such job is known to the leader");
+    const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
+    if (context.control_state.controller.leading()) {
+      const auto why = context.control_state.controller.explain(JobId(job), now());
+      if (!why) return error_response(404, "no such job is known to the leader");
       return {.status = 200, .body = wire::encode(wire::Value::Map{{"id", job}, {"plan", *why}}), .retry_after_s = {}};
     }
   }
-  const std::lock_guard lock(context.view_mutex);
-  if (context.leader.empty()) return come_back("nobody leads now");
-  return plain_error(421, "only the leader plans: " + context.leader.text());
+  const std::lock_guard lock(context.cluster_view.mutex);
+  if (context.cluster_view.leader.empty()) return retry_later("nobody leads now");
+  return error_response(421, "only the leader plans: " + context.cluster_view.leader.text());
 }
 
 }  // namespace foxshunt::node
--- a/src/node/queue.cpp
+++ b/src/node/queue_requests.cpp
@@ -1,10 +1,11 @@
-#include "node/queue.h"
+#include "node/queue_requests.h"
 
 #include <charconv>
 
 #include "calendar/keeper.h"
 #include "classes/queue.h"
-#include "node/front.h"
+#include "node/clock.h"
+#include "node/http_responses.h"
 
 namespace foxshunt::node {
 namespace {
@@ -16,18 +17,18 @@
 
 }  // namespace
 
-net::HttpResponse queue_answer(Context& context, const net::HttpRequest& request) {
+net::HttpResponse queue_response(Context& context, const net::HttpRequest& request) {
   classes::QueueAsk ask{.class_name = text_of(request, "class"), .team = text_of(request, "team")};
   if (const std::string from = text_of(request, "from"); !from.empty()) {
     const auto [end, error] = std::from_chars(from.data(), from.data() + from.size(), ask.from);
-    if (error != std::errc() || end != from.data() + from.size()) return plain_error(400, "from: must be a place");
+    if (error != std::errc() || end != from.data() + from.size()) return error_response(400, "from: must be a place");
   }
   if (!context.settings.operators.shared_records) {
-    return plain_error(409, "shared-records is off in the operators' settings");
+    return error_response(409, "shared-records is off in the operators' settings");
   }
-  Shared& shared = context.shared;
+  SharedRecords& shared = context.shared;
   const std::lock_guard lock(shared.mutex);
-  if (!shared.ledger.whole()) return come_back("the records are not known yet");
+  if (!shared.ledger.whole()) return retry_later("the records are not known yet");
   const std::shared_ptr<const catalog::Set> in_force = shared.catalog.in_force();
   const catalog::Set& set = *in_force;
   const classes::Table table(set);
@@ -40,17 +41,4 @@
   return {.status = 200, .body = wire::encode(classes::queue_answer(ranks, table, basis, ask)), .retry_after_s = {}};
 }
 
-void tell_catalog(Context& context) {
-  std::shared_ptr<const catalog::Set> set;
-  {
-    const std::lock_guard lock(context.shared.mutex);
-    set = context.shared.catalog.in_force();
-    if (set == context.shared.told) return;
-    context.shared.told = set;
-  }
-  calendar::warm(*set);  // reads zone files, while nobody waits for them
-  const std::lock_guard lock(context.controller_mutex.of(Duty::records));
-  context.controller.on_catalog(*set, wall_ms(), now());
-}
-
 }  // namespace foxshunt::node
--- a/src/node/front.h
+++ b/src/node/request_handler.h
@@ -6,15 +6,15 @@
 
 #include "net/http.h"
 #include "node/context.h"
-#include "node/pool.h"
+#include "node/client_pool.h"
 #include "kv/client.h"
 #include "user_api/request.h"
 
 namespace foxshunt::node {
 
-class Front {
+class RequestHandler {
  public:
-  explicit Front(Context& context);
+  explicit RequestHandler(Context& context);
 
   [[nodiscard]] net::HttpResponse submit(const std::string& body);
   [[nodiscard]] net::HttpResponse status(const std::string& id);
@@ -23,7 +23,7 @@
 
  private:
   // State clients, each for one request; they are few, so that users can't take all sockets.
-  using Clients = Pool<kv::Client>;
+  using Clients = ClientPool<kv::Client>;
 
   [[nodiscard]] user_api::Known known();
   net::HttpResponse serve(user_api::Request request);
@@ -34,7 +34,4 @@
   user_api::FinalStates finals_;
 };
 
-[[nodiscard]] net::HttpResponse plain_error(int status, const std::string& why);
-[[nodiscard]] net::HttpResponse come_back(const std::string& why);
-
 }  // namespace foxshunt::node
--- a/src/node/shared.h
+++ b/src/node/shared_records.h
@@ -26,10 +26,10 @@
 struct Context;
 
 // Everything in it is used with `mutex` held, which is never held across I/O.
-struct Shared {
-  explicit Shared(const config::Settings& settings);
-  Shared(const Shared&) = delete;
-  Shared& operator=(const Shared&) = delete;
+struct SharedRecords {
+  explicit SharedRecords(const config::Settings& settings);
+  SharedRecords(const SharedRecords&) = delete;
+  SharedRecords& operator=(const SharedRecords&) = delete;
 
   std::mutex mutex;
   std::condition_variable_any moved;  // the ledger has heard of something
@@ -51,58 +51,23 @@
 
   // The records of the prefixes as of one revision, not before `least`; nothing when the ledger does not come so far by
   // the deadline. A new leader asks with the revision of its term: no older leader's write can come after that.
-  struct Picture {
+  struct Snapshot {
     std::vector<kv::Entry> live;
     std::vector<kv::Entry> linger;
     std::vector<kv::Entry> parts;
     std::optional<kv::Entry> term;  // the term's own record, as of then
     Revision revision;
   };
-  [[nodiscard]] std::optional<Picture> picture(Revision least, net::Deadline until);
+  [[nodiscard]] std::optional<Snapshot> picture(Revision least, net::Deadline until);
 };
 
 // What the calendar's records leave each job until its deadline there, in steps; with the mutex held.
-[[nodiscard]] std::map<JobId, int> slack_of(const Shared& shared);
+[[nodiscard]] std::map<JobId, int> slack_of(const SharedRecords& shared);
 
-// Reads the records once, then watches them: one watch over everything, so that changes come in the order of revisions.
-class LedgerDuty {
- public:
-  explicit LedgerDuty(Context& context);
-  void run(const std::stop_token& stop);
+// The prefixes of the keys that the ledger keeps.
+[[nodiscard]] std::vector<std::string> kept_prefixes();
 
- private:
-  [[nodiscard]] bool read();
-  void watch(const std::stop_token& stop);
-  // Now and then, in the background: what a cold read finds wins over what is believed. False when it differs.
-  [[nodiscard]] bool compare(const std::stop_token& stop);
-  struct Found {
-    std::vector<kv::Entry> entries;
-    Revision from;
-  };
-  [[nodiscard]] std::optional<Found> read_all(bool to_compare);
-
-  Context& context_;
-  kv::Client client_;
-  net::Clock::time_point compared_;
-};
-
-// Lets the keepers write while this node leads.
-class KeepDuty {
- public:
-  explicit KeepDuty(Context& context);
-  void run(const std::stop_token& stop);
-
- private:
-  bool write_one();
-  // How jobs ended that an open occurrence lists: the ledger does not keep what is over.
-  void read_ends();
-  // What a founding set that names machine types waits for.
-  void tell_types();
-  // When the plan says that jobs end, and what the calendar's records leave them.
-  void tell_plan();
-
-  Context& context_;
-  kv::Client client_;
-};
+// The time by both clocks, as the ledger's keepers take it.
+[[nodiscard]] ledger::Moment moment();
 
 }  // namespace foxshunt::node
--- a/tests/smoke/takeover_test.cpp
+++ b/tests/smoke/takeover_test.cpp
@@ -5,11 +5,8 @@
 #include <atomic>
 #include <thread>
 
-#include "node/leadership.h"
+#include "node/leader_elector.h"
 #include "standins/http_world.h"
-#include "state/job_records.h"
-#include "state/keys.h"
-#include "state/leadership_records.h"
 
 namespace foxshunt::smoke {
 namespace {
@@ -37,12 +34,12 @@
   settings.state_write_rps = 1000;
   settings.teams = {{.name = "red", .cpus = 8, .cpus_max = 16, .gpus = 0, .gpus_max = 0}};
   node::Context context(settings);
-  node::LeaderDuty duty(context);
+  node::LeaderElector duty(context);
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
-  ASSERT_TRUE(context.wait_to_lead({}));
+  ASSERT_TRUE(context.wait_until_leader({}));
   {
-    const std::lock_guard lock(context.controller_mutex.of(node::Duty::counting));
-    EXPECT_EQ(context.controller.jobs().size(), kJobs);
+    const std::lock_guard lock(context.control_state.mutex.handle(node::LockPriority::metrics));
+    EXPECT_EQ(context.control_state.controller.jobs().size(), kJobs);
   }
   const std::vector<std::string> asked = state.asked();
   const auto list = [](const std::string& what) { return what.starts_with("list "); };
@@ -75,11 +72,11 @@
   settings.state_rps = 1000;
   settings.state_write_rps = 1000;
   node::Context context(settings);
-  node::LeaderDuty duty(context);
+  node::LeaderElector duty(context);
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
-  ASSERT_TRUE(context.wait_to_lead({}));
-  const std::lock_guard lock(context.controller_mutex.of(node::Duty::counting));
-  EXPECT_EQ(context.controller.term(), Term(2));
+  ASSERT_TRUE(context.wait_until_leader({}));
+  const std::lock_guard lock(context.control_state.mutex.handle(node::LockPriority::metrics));
+  EXPECT_EQ(context.control_state.controller.term(), Term(2));
 }
 
 }  // namespace
--- a/tests/unit/peers_test.cpp
+++ b/tests/unit/peer_prober_test.cpp
@@ -4,7 +4,9 @@
 #include <atomic>
 #include <thread>
 
-#include "node/peers.h"
+#include "node/peer_prober.h"
+#include "state/job_records.h"
+#include "state/keys.h"
 #include "state/leadership_records.h"
 
 namespace foxshunt::node {
@@ -27,16 +29,16 @@
 
 TEST(Peers, TellsWhatTheNodeKnows) {
   Context context(settings_with(""));
-  EXPECT_TRUE(context.learn_lead(NodeName("node-2"), Term(4)));
-  EXPECT_FALSE(context.learn_lead(NodeName("node-1"), Term(3)));
-  const net::HttpResponse answer = tell_lead(context, {.method = "GET", .path = "/lead", .body = {}});
+  EXPECT_TRUE(context.observe_leader(NodeName("node-2"), Term(4)));
+  EXPECT_FALSE(context.observe_leader(NodeName("node-1"), Term(3)));
+  const net::HttpResponse answer = leader_response(context, {.method = "GET", .path = "/lead", .body = {}});
   ASSERT_EQ(answer.status, 200);
   const state::TermRecord record = state::term_from(wire::decode(answer.body));
   EXPECT_EQ(record.term, Term(4));
   EXPECT_EQ(record.leader, NodeName("node-2"));
   EXPECT_TRUE(health::contact_from(wire::decode(answer.body)));
-  EXPECT_EQ(tell_lead(context, {.method = "POST", .path = "/lead", .body = "x"}).status, 404);
-  EXPECT_EQ(tell_lead(context, {.method = "GET", .path = "/api/jobs/j-000001", .body = {}}).status, 404);
+  EXPECT_EQ(leader_response(context, {.method = "POST", .path = "/lead", .body = "x"}).status, 404);
+  EXPECT_EQ(leader_response(context, {.method = "GET", .path = "/api/jobs/j-000001", .body = {}}).status, 404);
 }
 
 TEST(Peers, BelievesALaterTermOnly) {
@@ -48,18 +50,18 @@
     return net::HttpResponse{.status = 200, .body = words[std::min(asked++, words.size() - 1)], .retry_after_s = {}};
   });
   Context context(settings_with(sibling.address().text()));
-  ASSERT_TRUE(context.learn_lead(NodeName("node-2"), Term(5)));
-  PeerDuty duty(context);
+  ASSERT_TRUE(context.observe_leader(NodeName("node-2"), Term(5)));
+  PeerProber duty(context);
   const std::jthread thread([&](const std::stop_token& stop) { duty.run(stop); });
   while (asked < words.size()) {
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    const std::lock_guard lock(context.view_mutex);
-    ASSERT_EQ(context.term, Term(asked < words.size() ? 5U : context.term.number()));
+    const std::lock_guard lock(context.cluster_view.mutex);
+    ASSERT_EQ(context.cluster_view.term, Term(asked < words.size() ? 5U : context.cluster_view.term.number()));
   }
   while (asked < words.size() + 1) std::this_thread::sleep_for(std::chrono::milliseconds(20));
-  const std::lock_guard lock(context.view_mutex);
-  EXPECT_EQ(context.term, Term(6));
-  EXPECT_EQ(context.leader, NodeName("node-1"));
+  const std::lock_guard lock(context.cluster_view.mutex);
+  EXPECT_EQ(context.cluster_view.term, Term(6));
+  EXPECT_EQ(context.cluster_view.leader, NodeName("node-1"));
 }
 
 }  // namespace
