--- a/src/accounts/account.cpp
+++ b/src/accounts/account.cpp
@@ -56,7 +56,7 @@
 void Account::add(const std::string& team, Use use, std::uint64_t span_ms, std::uint64_t micros_hour) {
   std::pair<std::string, Use> key{team, use};
   // Bounded: what more teams use is one team's line, without a name.
-  if (!lines.contains(key) && lines.size() >= constants::kAccountLinesMost) key.first.clear();
+  if (!lines.contains(key) && lines.size() >= constants::kMaxAccountLines) key.first.clear();
   lines[key].add(span_ms, micros_hour);
 }
 
--- a/src/aging/aging.cpp
+++ b/src/aging/aging.cpp
@@ -8,7 +8,7 @@
 
 void JobSizes::learn(const std::string& job_class, std::uint32_t tasks, plan::Instant submitted) {
   const auto known = peaks_.find(job_class);
-  if (known == peaks_.end() && peaks_.size() >= constants::kClassesMost) return;
+  if (known == peaks_.end() && peaks_.size() >= constants::kMaxTrackedClasses) return;
   Peak& peak =
       known == peaks_.end() ? peaks_.emplace(job_class, Peak{.since = submitted}).first->second : known->second;
   const plan::Millis passed = submitted - peak.since;
@@ -31,7 +31,7 @@
 }
 
 plan::Millis bypass_limit(const WaitingJob& job) {
-  return job.largest ? constants::kBypassLargest : constants::kBypassMost;
+  return job.largest ? constants::kMaxBypassOfLargest : constants::kMaxBypass;
 }
 
 bool overdue(const WaitingJob& job, plan::Instant now) { return now - job.submitted >= bypass_limit(job); }
@@ -39,7 +39,7 @@
 plan::Instant effective_submission(const WaitingJob& job, plan::Instant now) {
   // In a backlog of four minutes all are overdue, and in the order of submission the largest would begin too late.
   if (overdue(job, now)) return job.largest ? job.submitted - constants::kLargestHeadStart : job.submitted;
-  return job.submitted + std::min(job.lag, constants::kBypassLagMost);
+  return job.submitted + std::min(job.aging_penalty, constants::kMaxAgingPenalty);
 }
 
 }  // namespace foxshunt::aging
--- a/src/aging/aging.h
+++ b/src/aging/aging.h
@@ -11,7 +11,7 @@
 namespace foxshunt::aging {
 
 // Which jobs are among the largest of their class, from the sizes seen in the last one to two `kJobSizesWindow`. Bounded:
-// beyond `kClassesMost` classes none is told apart any more.
+// beyond `kMaxTrackedClasses` classes none is told apart any more.
 class JobSizes {
  public:
   void learn(const std::string& job_class, std::uint32_t tasks, plan::Instant submitted);
@@ -30,8 +30,8 @@
 
 struct WaitingJob {
   plan::Instant submitted;
-  plan::Millis lag{};    // by which it would count as submitted later
-  bool largest = false;  // of its class
+  plan::Millis aging_penalty{};  // by which it would count as submitted later
+  bool largest = false;          // of its class
 };
 
 // How long younger work may be planned before it.
--- a/src/calendar/civil.cpp
+++ b/src/calendar/civil.cpp
@@ -140,7 +140,7 @@
 
 std::optional<std::string> problem(const CalendarDef& entry) {
   const auto seconds = [](double value, const char* field, bool zero) -> std::optional<std::string> {
-    const double most = std::chrono::duration<double>(constants::kCalendarAheadMost).count();
+    const double most = std::chrono::duration<double>(constants::kMaxCalendarAhead).count();
     if (std::isfinite(value) && value <= most && (value > 0 || (zero && value == 0))) return std::nullopt;
     return std::string(field) + ": must be " + (zero ? "0 to " : "above 0 and up to ") +
            std::to_string(static_cast<long>(most)) + " s";
--- a/src/calendar/judge.cpp
+++ b/src/calendar/judge.cpp
@@ -15,8 +15,8 @@
 bool fold_one(Occurrence& one, std::int64_t skew_ms) {
   const auto ended = std::ranges::find_if(one.jobs, [](const Counted& job) { return job.end != End::open; });
   if (ended == one.jobs.end()) return false;
-  if (ended->end == End::withdrawn) {
-    ++one.folded.withdrawn;
+  if (ended->end == End::cancelled) {
+    ++one.folded.cancelled;
   } else if (ended->end == End::done && ended->seen_ms + skew_ms <= one.due_ms) {
     ++one.folded.in_time;
     one.folded.tasks_in_time += ended->tasks;
@@ -27,11 +27,11 @@
   return true;
 }
 
-void attach(Occurrence& one, const std::vector<Counted>& fresh, const Outlook& outlook) {
+void attach(Occurrence& one, const std::vector<Counted>& fresh, const EvaluationContext& outlook) {
   one.beyond = 0;
   for (const Counted& job : fresh) {
     if (one.jobs.size() >= outlook.jobs_most && !fold_one(one, outlook.skew_ms)) {
-      if (job.end == End::open && one.beyond < constants::kCalendarBeyondMost) ++one.beyond;
+      if (job.end == End::open && one.beyond < constants::kMaxCalendarBeyond) ++one.beyond;
       continue;
     }
     const auto place = std::ranges::upper_bound(one.jobs, job, [](const Counted& left, const Counted& right) {
@@ -45,7 +45,7 @@
 foresight::Need need_of(const Counted& job, const JobNow& now, bool first) {
   foresight::Need need = now.need.value_or(foresight::Need{});
   const bool best = !now.planned_end_ms || *now.planned_end_ms <= now.best_end_ms;
-  if (first || (!now.need && best)) need.lack = foresight::Lack::time;
+  if (first || (!now.need && best)) need.lack = foresight::ShortfallReason::time;
   need.job = job.job.text();
   need.jobs = 1;
   return need;
@@ -66,7 +66,7 @@
   std::vector<std::string> reasons;
   std::uint64_t more = 0;
   for (const foresight::Need& need : needs) {
-    if (reasons.size() + 1 < constants::kCalendarReasonsMost / 2) {
+    if (reasons.size() + 1 < constants::kMaxCalendarReasons / 2) {
       reasons.push_back(foresight::in_words(need, told));
     } else {
       more += need.jobs;
@@ -96,7 +96,7 @@
 
 }  // namespace
 
-Verdict judge(const Occurrence& seen, const std::vector<Counted>& fresh, const Outlook& outlook) {
+Verdict evaluate(const Occurrence& seen, const std::vector<Counted>& fresh, const EvaluationContext& outlook) {
   Verdict verdict{.next = seen};
   Occurrence& one = verdict.next;
   const std::int64_t now = outlook.now_ms;
@@ -108,7 +108,7 @@
       seen.reasons.end());
   std::vector<foresight::Need> needs;
   bool as_told = false;
-  const bool may_step = now - seen.stepped_ms >= constants::kCalendarStepEvery.count();
+  const bool may_step = now - seen.stepped_ms >= constants::kCalendarStepInterval.count();
   for (Counted& job : one.jobs) {
     if (job.end != End::open) continue;
     const auto known = outlook.job(job.job);
@@ -188,7 +188,7 @@
   verdict.again_ms = close_at;
   if (now + skew < one.tell_ms) verdict.again_ms = std::min(verdict.again_ms, one.tell_ms - skew);
   if (tally.open > 0 || other || !verdict.to_read.empty()) {
-    verdict.again_ms = std::min(verdict.again_ms, now + constants::kCalendarStepEvery.count());
+    verdict.again_ms = std::min(verdict.again_ms, now + constants::kCalendarStepInterval.count());
   }
   return verdict;
 }
--- a/src/calendar/judge.h
+++ b/src/calendar/judge.h
@@ -22,7 +22,7 @@
   std::optional<foresight::Need> need;         // what lacks, where the plan can't hold its deadline
 };
 
-struct Outlook {
+struct EvaluationContext {
   std::int64_t now_ms = 0;
   std::int64_t skew_ms = 0;  // clocks may be off by this
   std::size_t jobs_most = 0;
@@ -40,6 +40,7 @@
 
 // `fresh`: jobs that count for it and are not listed yet, by time of submission; their end may be known already.
 // The occurrence must be open.
-[[nodiscard]] Verdict judge(const Occurrence& seen, const std::vector<Counted>& fresh, const Outlook& outlook);
+[[nodiscard]] Verdict evaluate(const Occurrence& seen, const std::vector<Counted>& fresh,
+                               const EvaluationContext& outlook);
 
 }  // namespace foxshunt::calendar
--- a/src/calendar/keeper.cpp
+++ b/src/calendar/keeper.cpp
@@ -42,9 +42,10 @@
   }
 }
 
-Keeper::Keeper(InForce in_force, Limits limits) : in_force_(std::move(in_force)), limits_(limits) {}
+DeadlineController::DeadlineController(InForce in_force, Limits limits)
+    : in_force_(std::move(in_force)), limits_(limits) {}
 
-const Keeper::Index& Keeper::index() const {
+const DeadlineController::Index& DeadlineController::index() const {
   std::shared_ptr<const catalog::Set> set = in_force_();
   if (set == index_.set) return index_;
   index_ = Index{.set = std::move(set), .by_name = {}, .by_class = {}, .any_class = {}};
@@ -65,7 +66,7 @@
   return index_;
 }
 
-std::vector<std::string> Keeper::entries_for(const wire::JobSpec& spec) const {
+std::vector<std::string> DeadlineController::entries_for(const wire::JobSpec& spec) const {
   const Index& all = index();
   std::vector<std::string> names;
   const auto add = [&](const std::vector<const CalendarDef*>& entries) {
@@ -80,20 +81,20 @@
 
 // ---- what records tell ----
 
-void Keeper::on_change(const std::string& key, const wire::Value* data, Revision mark) {
-  if (key.starts_with(kPrefix)) return on_occurrence(key, data, mark);
-  const bool live = key.starts_with(state::kLivePrefix);
-  if (!live && !key.starts_with(state::kOverPrefix)) return;
+void DeadlineController::on_change(const std::string& key, const wire::Value* data, Revision revision) {
+  if (key.starts_with(kPrefix)) return on_occurrence(key, data, revision);
+  const bool live = key.starts_with(state::kActiveJobPrefix);
+  if (!live && !key.starts_with(state::kFinishedJobPrefix)) return;
   const auto job = state::job_of_key(key);
   if (!job) return;
   if (live) return on_live(*job, data);
   if (data == nullptr) return;
   const bool listed = listed_.contains(*job);
   if (!listed && !heard_.contains(*job)) return;
-  on_read(key, {.answer = kv::Answer::ok, .entry = {.key = key, .data = *data, .mark = mark}});
+  on_read(key, {.answer = kv::Answer::ok, .entry = {.key = key, .data = *data, .revision = revision}});
 }
 
-void Keeper::unlist(const std::string& key) {
+void DeadlineController::unlist(const std::string& key) {
   const auto known = known_.find(key);
   if (known == known_.end()) return;
   for (const Counted& job : known->second.seen.jobs) {
@@ -104,9 +105,9 @@
   }
 }
 
-void Keeper::on_occurrence(const std::string& key, const wire::Value* data, Revision mark) {
+void DeadlineController::on_occurrence(const std::string& key, const wire::Value* data, Revision revision) {
   const auto awaited = awaited_.find(key);
-  if (awaited != awaited_.end() && mark >= awaited->second) awaited_.erase(awaited);
+  if (awaited != awaited_.end() && revision >= awaited->second) awaited_.erase(awaited);
   unlist(key);
   strange_.erase(key);
   std::optional<Occurrence> next;
@@ -118,7 +119,7 @@
       why = error.what();
     }
     if (!next) {
-      strange_.emplace(key, mark);
+      strange_.emplace(key, revision);
       if (counts_.unreadable++ == 0) spdlog::error("calendar: key={} is kept as it is: {}", key, why);
     }
   }
@@ -142,7 +143,7 @@
     if (const auto heard = heard_.find(job.job); heard != heard_.end()) heard->second.listed.insert(key);
     if (closed(next->state) || job.end != End::open) continue;
     listed_[job.job].insert_or_assign(
-        key, Listing{.step = job.step.value_or(constants::kCalendarStepsMost), .deadline_ms = job.deadline_ms});
+        key, Listing{.step = job.step.value_or(constants::kMaxCalendarSteps), .deadline_ms = job.deadline_ms});
   }
   if (closed(next->state)) {
     look_at_.erase(key);
@@ -151,18 +152,18 @@
     touch(key);
   }
   unsaid_.insert(key);
-  known_.insert_or_assign(key, Known{.seen = std::move(*next), .mark = mark});
+  known_.insert_or_assign(key, Known{.seen = std::move(*next), .revision = revision});
 }
 
-std::optional<int> Keeper::slack_step(const JobId& job) const {
+std::optional<int> DeadlineController::slack_step(const JobId& job) const {
   const auto listings = listed_.find(job);
   if (listings == listed_.end()) return std::nullopt;
-  int least = constants::kCalendarStepsMost;
+  int least = constants::kMaxCalendarSteps;
   for (const auto& [unused, listing] : listings->second) least = std::min(least, listing.step);
   return least;
 }
 
-std::optional<std::int64_t> Keeper::deadline_ms(const JobId& job) const {
+std::optional<std::int64_t> DeadlineController::deadline_ms(const JobId& job) const {
   const auto listings = listed_.find(job);
   if (listings == listed_.end()) return std::nullopt;
   std::int64_t least = listings->second.begin()->second.deadline_ms;
@@ -170,26 +171,26 @@
   return least;
 }
 
-std::vector<JobId> Keeper::listed() const {
+std::vector<JobId> DeadlineController::listed() const {
   std::vector<JobId> jobs;
   jobs.reserve(listed_.size());
   for (const auto& [job, unused] : listed_) jobs.push_back(job);
   return jobs;
 }
 
-std::uint64_t Keeper::digest() const {
+std::uint64_t DeadlineController::digest() const {
   std::uint64_t sum = 0;
-  const auto add = [&sum](const std::string& key, Revision mark) {
-    sum += XXH3_64bits_withSeed(key.data(), key.size(), mark.number());
+  const auto add = [&sum](const std::string& key, Revision revision) {
+    sum += XXH3_64bits_withSeed(key.data(), key.size(), revision.number());
   };
-  for (const auto& [key, known] : known_) add(key, known.mark);
-  for (const auto& [key, mark] : strange_) add(key, mark);
+  for (const auto& [key, known] : known_) add(key, known.revision);
+  for (const auto& [key, revision] : strange_) add(key, revision);
   return sum;
 }
 
 // ---- what is heard of jobs ----
 
-void Keeper::on_live(const JobId& job, const wire::Value* data) {
+void DeadlineController::on_live(const JobId& job, const wire::Value* data) {
   if (data == nullptr) {
     others_.erase(job);
     return;
@@ -209,7 +210,7 @@
   }
 }
 
-void Keeper::hear(const JobId& job, const wire::JobSpec& spec, std::int64_t submitted_ms) {
+void DeadlineController::hear(const JobId& job, const wire::JobSpec& spec, std::int64_t submitted_ms) {
   std::vector<std::string> entries = entries_for(spec);
   const auto known = heard_.find(job);
   if (known == heard_.end() && entries.empty()) {
@@ -235,25 +236,25 @@
   }
 }
 
-void Keeper::forget(const JobId& job) {
+void DeadlineController::forget(const JobId& job) {
   const auto heard = heard_.find(job);
   if (heard == heard_.end()) return;
   for (const std::string& entry : heard->second.entries) by_entry_[entry].erase({heard->second.submitted_ms, job});
   heard_.erase(heard);
 }
 
-void Keeper::touch_entry(const std::string& entry) {
+void DeadlineController::touch_entry(const std::string& entry) {
   const std::string begin = entry_prefix(entry);
   for (auto at = look_at_.lower_bound(begin); at != look_at_.end() && at->first.starts_with(begin); ++at) {
     at->second = 0;
   }
 }
 
-void Keeper::touch_all() {
+void DeadlineController::touch_all() {
   for (auto& [unused, from] : look_at_) from = 0;
 }
 
-void Keeper::stamp(std::int64_t now_ms) {
+void DeadlineController::stamp(std::int64_t now_ms) {
   for (const JobId& job : unstamped_) {
     const auto heard = heard_.find(job);
     if (heard == heard_.end()) continue;
@@ -266,12 +267,12 @@
   unstamped_.clear();
 }
 
-void Keeper::look(ledger::Moment now) {
+void DeadlineController::look(record_cache::Moment now) {
   stamp(now.wall_ms);
   if (now.wall_ms - pruned_ms_ < constants::kCalendarRescan.count()) return;
   pruned_ms_ = now.wall_ms;
   std::vector<JobId> old;
-  const bool full = heard_.size() > constants::kCalendarTrackedMost;
+  const bool full = heard_.size() > constants::kMaxCalendarTracked;
   for (const auto& [job, heard] : heard_) {
     if (heard.end == End::open || listed_.contains(job)) continue;
     if (full || now.wall_ms - heard.seen_ms > constants::kCalendarTrackedKeep.count()) old.push_back(job);
@@ -279,7 +280,7 @@
   for (const JobId& job : old) forget(job);
 }
 
-void Keeper::cold_read() {
+void DeadlineController::cold_read() {
   heard_.clear();
   by_entry_.clear();
   others_.clear();
@@ -288,7 +289,7 @@
   matched_.reset();
 }
 
-void Keeper::rescan(const ledger::Jobs& jobs) {
+void DeadlineController::rescan(const record_cache::Jobs& jobs) {
   const catalog::Set& set = in_force();
   const std::pair now_in_force(set.version, set.revision);
   const bool again = matched_ != now_in_force;
@@ -298,7 +299,7 @@
     touch_all();
   }
   for (const auto& [job, known] : jobs.all()) {
-    if (known.withdrawn || (!again && (heard_.contains(job) || others_.contains(job)))) continue;
+    if (known.cancelled || (!again && (heard_.contains(job) || others_.contains(job)))) continue;
     hear(job, known.spec, known.submitted_wall_ms);
   }
   matched_ = now_in_force;
@@ -306,22 +307,22 @@
 
 // ---- reads ----
 
-std::optional<std::string> Keeper::next_read() {
+std::optional<std::string> DeadlineController::next_read() {
   if (to_read_.empty()) return std::nullopt;
   auto next = to_read_.upper_bound(last_read_);
   if (next == to_read_.end()) next = to_read_.begin();
   last_read_ = next->first;
-  return state::over_key(next->first);
+  return state::finished_job_key(next->first);
 }
 
-void Keeper::on_read(const std::string& key, const kv::GetResult& result) {
+void DeadlineController::on_read(const std::string& key, const kv::GetResult& result) {
   const auto job = state::job_of_key(key);
   if (!job) return;
   End end = End::unknown;
   if (result.answer == kv::Answer::ok) {
     try {
-      const wire::JobStatus status = state::over_from(*job, result.entry.data);
-      end = status.state == wire::JobState::done ? End::done : End::withdrawn;
+      const wire::JobStatus status = state::finished_job_from(*job, result.entry.data);
+      end = status.state == wire::JobState::done ? End::done : End::cancelled;
     } catch (const wire::Malformed&) {  // it is over, and nobody can tell how
     }
   } else if (result.answer != kv::Answer::not_found) {
@@ -339,20 +340,20 @@
 
 // ---- what the leader decides ----
 
-void Keeper::planned(std::map<JobId, Plan> plans) {
+void DeadlineController::planned(std::map<JobId, Plan> plans) {
   planned_ = std::move(plans);
   for (const auto& [unused, listings] : listed_) {
     for (const auto& [key, listing] : listings) touch(key);
   }
 }
 
-const CalendarDef* Keeper::entry_of(const std::string& name) const {
+const CalendarDef* DeadlineController::entry_of(const std::string& name) const {
   const Index& all = index();
   const auto found = all.by_name.find(name);
   return found == all.by_name.end() ? nullptr : found->second;
 }
 
-Occurrence Keeper::plain(const CalendarDef& entry, const Due& due) const {
+Occurrence DeadlineController::plain(const CalendarDef& entry, const Due& due) const {
   return {.entry = entry.name,
           .local = due.local,
           .zone = entry.time_zone,
@@ -364,11 +365,11 @@
           .version = in_force().version};
 }
 
-void Keeper::reckon(std::int64_t now_ms) {
+void DeadlineController::reckon(std::int64_t now_ms) {
   const catalog::Set& set = in_force();
   const std::pair now_in_force(set.version, set.revision);
   const std::int64_t since = now_ms - reckoned_ms_;
-  if (reckoned_ == now_in_force && since >= 0 && since < constants::kCalendarDuesEvery.count()) return;
+  if (reckoned_ == now_in_force && since >= 0 && since < constants::kCalendarDueTimesInterval.count()) return;
   if (reckoned_ != now_in_force) unknown_said_.clear();
   reckoned_ = now_in_force;
   reckoned_ms_ = now_ms;
@@ -376,7 +377,7 @@
   openings_.clear();
   counts_.unknown_entries = 0;
   const std::int64_t late_ms = constants::kCalendarLateOpen.count();
-  const std::int64_t ahead_ms = constants::kCalendarAheadMost.count();
+  const std::int64_t ahead_ms = constants::kMaxCalendarAhead.count();
   for (const CalendarDef& entry : set.calendar) {
     Dues& dues = dues_[entry.name];
     try {
@@ -410,7 +411,7 @@
   touch_all();
 }
 
-std::optional<std::string> Keeper::out_of_catalog(const Occurrence& one, std::int64_t now_ms) const {
+std::optional<std::string> DeadlineController::out_of_catalog(const Occurrence& one, std::int64_t now_ms) const {
   if (one.due_ms <= now_ms) return std::nullopt;  // what was due is told as it was
   const std::string version = std::to_string(in_force().version.number());
   if (entry_of(one.entry) == nullptr) return "entry removed in catalog version " + version;
@@ -425,7 +426,7 @@
          (next == dues->second.all.end() ? "not due again for now" : "now due at " + utc_text(next->due_ms));
 }
 
-void Keeper::follow_entry(Occurrence& one) const {
+void DeadlineController::follow_entry(Occurrence& one) const {
   const CalendarDef* entry = entry_of(one.entry);
   if (entry == nullptr) return;
   const Occurrence now = plain(*entry, {.due_ms = one.due_ms, .local = one.local});
@@ -442,7 +443,8 @@
   if (one != before) one.version = now.version;
 }
 
-std::vector<Counted> Keeper::fresh_for(const Occurrence& one, const std::string& key, const ledger::Jobs& jobs) const {
+std::vector<Counted> DeadlineController::fresh_for(const Occurrence& one, const std::string& key,
+                                                   const record_cache::Jobs& jobs) const {
   std::vector<Counted> fresh;
   const auto waiting = by_entry_.find(one.entry);
   if (waiting == by_entry_.end()) return fresh;
@@ -457,10 +459,10 @@
   for (auto at = first; at != waiting->second.end() && at->first < one.due_ms; ++at) {
     const auto& [submitted_ms, job] = *at;
     const Heard& heard = heard_.at(job);
-    if (heard.listed.contains(key) || heard.end == End::withdrawn || heard.end == End::unknown) continue;
+    if (heard.listed.contains(key) || heard.end == End::cancelled || heard.end == End::unknown) continue;
     if (heard.end == End::done && heard.seen_ms == 0) continue;
-    const ledger::KnownJob* live = jobs.find(job);
-    if (heard.end == End::open && (live == nullptr || live->withdrawn)) continue;
+    const record_cache::CachedJob* live = jobs.find(job);
+    if (heard.end == End::open && (live == nullptr || live->cancelled)) continue;
     if (std::ranges::any_of(earlier, [submitted = submitted_ms](const auto& window) {
           return submitted >= window.first && submitted < window.second;
         })) {
@@ -473,12 +475,12 @@
                      .end = heard.end,
                      .seen_ms = heard.seen_ms,
                      .step = {}});
-    if (fresh.size() > constants::kCalendarJobsMost + constants::kCalendarBeyondMost) break;
+    if (fresh.size() > constants::kMaxCalendarJobs + constants::kMaxCalendarBeyond) break;
   }
   return fresh;
 }
 
-void Keeper::take_over(std::vector<Counted>& fresh, const Occurrence& one, std::int64_t now_ms) const {
+void DeadlineController::take_over(std::vector<Counted>& fresh, const Occurrence& one, std::int64_t now_ms) const {
   const std::string begin = entry_prefix(one.entry);
   for (auto at = known_.lower_bound(begin); at != known_.end() && at->first.starts_with(begin); ++at) {
     const Occurrence& old = at->second.seen;
@@ -495,18 +497,18 @@
   }
 }
 
-Outlook Keeper::outlook(const ledger::Jobs& jobs, ledger::Moment now) const {
+EvaluationContext DeadlineController::outlook(const record_cache::Jobs& jobs, record_cache::Moment now) const {
   const std::size_t spare = limits_.value_bytes - std::min(limits_.value_bytes, constants::kCalendarFrameBytes);
   return {.now_ms = now.wall_ms,
           .skew_ms = limits_.skew_ms,
-          .jobs_most = std::clamp<std::size_t>(spare / constants::kCalendarJobBytes, 4, constants::kCalendarJobsMost),
+          .jobs_most = std::clamp<std::size_t>(spare / constants::kCalendarJobBytes, 4, constants::kMaxCalendarJobs),
           .job = [this, &jobs, now](const JobId& job) -> std::optional<JobNow> {
             const auto heard = heard_.find(job);
             if (heard != heard_.end() && heard->second.end != End::open && heard->second.seen_ms > 0) {
               return JobNow{.end = heard->second.end, .seen_ms = heard->second.seen_ms};
             }
-            if (const ledger::KnownJob* live = jobs.find(job); live != nullptr) {
-              if (live->withdrawn) return JobNow{.end = End::withdrawn, .seen_ms = now.wall_ms};
+            if (const record_cache::CachedJob* live = jobs.find(job); live != nullptr) {
+              if (live->cancelled) return JobNow{.end = End::cancelled, .seen_ms = now.wall_ms};
               const auto plan = planned_.find(job);
               JobNow known{.best_end_ms = now.wall_ms};
               if (plan != planned_.end()) {
@@ -525,7 +527,8 @@
           }};
 }
 
-void Keeper::propose_openings(std::vector<Proposal>& proposals, const ledger::Jobs& jobs, const Outlook& outlook) {
+void DeadlineController::propose_openings(std::vector<Proposal>& proposals, const record_cache::Jobs& jobs,
+                                          const EvaluationContext& outlook) {
   unopened_.clear();
   std::vector<Opening> kept;
   std::size_t at = 0;
@@ -549,8 +552,9 @@
       one.opened_ms = outlook.now_ms;
       std::vector<Counted> fresh = fresh_for(one, key, jobs);
       take_over(fresh, one, outlook.now_ms);
-      Proposal proposal{
-          .key = key, .next = judge(one, fresh, outlook).next, .mark = again ? known->second.mark : Revision{}};
+      Proposal proposal{.key = key,
+                        .next = evaluate(one, fresh, outlook).next,
+                        .revision = again ? known->second.revision : Revision{}};
       // The queue's order can wait, but an occurrence that is due soon can't.
       proposal.order = opening.due.due_ms - outlook.now_ms < constants::kCalendarOpenAhead.count() ? 0 : 2;
       proposals.push_back(std::move(proposal));
@@ -562,8 +566,8 @@
   openings_ = std::move(kept);
 }
 
-void Keeper::propose_changes(std::vector<Proposal>& proposals, const ledger::Jobs& jobs, const Outlook& outlook,
-                             std::chrono::steady_clock::time_point now) {
+void DeadlineController::propose_changes(std::vector<Proposal>& proposals, const record_cache::Jobs& jobs,
+                                         const EvaluationContext& outlook, std::chrono::steady_clock::time_point now) {
   std::set<JobId> wanted;
   for (auto& [key, from_ms] : look_at_) {
     if (from_ms > outlook.now_ms || busy(key)) continue;
@@ -574,19 +578,19 @@
       base.version = in_force().version;
       base.closed_ms = outlook.now_ms;
       base.reasons = {*reason};
-      proposals.push_back({.key = key, .next = std::move(base), .mark = known.mark, .order = 1});
+      proposals.push_back({.key = key, .next = std::move(base), .revision = known.revision, .order = 1});
       continue;
     }
     follow_entry(base);
     const bool redefined = base != known.seen;
     // Jobs may belong to an earlier occurrence that has still to be opened.
     const auto fresh = unopened_.contains(base.entry) ? std::vector<Counted>{} : fresh_for(base, key, jobs);
-    Verdict verdict = judge(base, fresh, outlook);
+    Verdict verdict = evaluate(base, fresh, outlook);
     for (const JobId& job : verdict.to_read) to_read_.emplace(job, now);
     wanted.insert(verdict.to_read.begin(), verdict.to_read.end());
     if (verdict.changed || redefined) {
       proposals.push_back(
-          {.key = key, .next = std::move(verdict.next), .mark = known.mark, .order = verdict.urgent ? 0 : 2});
+          {.key = key, .next = std::move(verdict.next), .revision = known.revision, .order = verdict.urgent ? 0 : 2});
     } else {
       from_ms = verdict.again_ms;
     }
@@ -596,41 +600,42 @@
                 [&](const auto& read) { return !wanted.contains(read.first) && !listed_.contains(read.first); });
 }
 
-void Keeper::propose_removals(std::vector<Proposal>& proposals, std::int64_t now_ms) const {
+void DeadlineController::propose_removals(std::vector<Proposal>& proposals, std::int64_t now_ms) const {
   if (!proposals.empty()) return;
   for (const auto& [key, known] : known_) {
     const Occurrence& one = known.seen;
     // By both times: one that was waived long before it was due is not opened again.
     const std::int64_t since = std::max(one.closed_ms, one.due_ms);
     if (!closed(one.state) || now_ms - since < constants::kCalendarKeep.count() || busy(key)) continue;
-    proposals.push_back({.key = key, .mark = known.mark, .order = 3, .remove = true});
-    if (proposals.size() >= constants::kCalendarChangesMost) return;
+    proposals.push_back({.key = key, .revision = known.revision, .order = 3, .remove = true});
+    if (proposals.size() >= constants::kMaxCalendarChanges) return;
   }
 }
 
-kv::Txn Keeper::txn_of(std::vector<Proposal> proposals, std::size_t changes_most) {
+kv::Txn DeadlineController::txn_of(std::vector<Proposal> proposals, std::size_t changes_most) {
   std::ranges::sort(proposals, {}, [](const Proposal& one) { return std::tuple(one.order, one.next.due_ms, one.key); });
   kv::Txn txn;
   std::size_t bytes = 0;
   for (const Proposal& proposal : proposals) {
-    if (txn.changes.size() >= std::min(changes_most, constants::kCalendarChangesMost)) break;
+    if (txn.changes.size() >= std::min(changes_most, constants::kMaxCalendarChanges)) break;
     kv::Change change{.key = proposal.key, .data = {}, .lease = {}};
     if (!proposal.remove) {
       change.data = to_value(proposal.next);
       bytes += wire::json_length(*change.data);
       if (!txn.changes.empty() && bytes > constants::kCalendarTxnBytes) break;
     }
-    txn.conditions.push_back({.key = proposal.key, .mark = proposal.mark});
+    txn.preconditions.push_back({.key = proposal.key, .revision = proposal.revision});
     txn.changes.push_back(std::move(change));
     pending_.insert(proposal.key);
   }
   return txn;
 }
 
-std::optional<kv::Txn> Keeper::next_write(const ledger::Jobs& jobs, ledger::Moment now, std::size_t changes_most) {
+std::optional<kv::Txn> DeadlineController::next_write(const record_cache::Jobs& jobs, record_cache::Moment now,
+                                                      std::size_t changes_most) {
   stamp(now.wall_ms);
   if (!pending_.empty() || changes_most == 0) return std::nullopt;
-  if (decided_ && now.steady - *decided_ < constants::kCalendarWriteEvery) return std::nullopt;
+  if (decided_ && now.steady - *decided_ < constants::kCalendarWriteInterval) return std::nullopt;
   decided_ = now.steady;
   say_all(now.wall_ms);
   const catalog::Set& set = in_force();
@@ -642,7 +647,7 @@
   }
   reckon(now.wall_ms);
   std::vector<Proposal> proposals;
-  const Outlook view = outlook(jobs, now);
+  const EvaluationContext view = outlook(jobs, now);
   propose_openings(proposals, jobs, view);
   propose_changes(proposals, jobs, view, now.steady);
   propose_removals(proposals, now.wall_ms);
@@ -650,13 +655,13 @@
   return txn_of(std::move(proposals), changes_most);
 }
 
-void Keeper::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
+void DeadlineController::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
   for (const kv::Change& change : txn.changes) {
     pending_.erase(change.key);
     if (result.answer != kv::Answer::ok) continue;
     // Until the watch tells of it, what is known is older than what was written.
     const auto known = known_.find(change.key);
-    const bool heard = known != known_.end() ? known->second.mark >= result.revision && change.data.has_value()
+    const bool heard = known != known_.end() ? known->second.revision >= result.revision && change.data.has_value()
                                              : !change.data.has_value();
     if (!heard) awaited_.insert_or_assign(change.key, result.revision);
   }
@@ -664,7 +669,7 @@
 
 // ---- who is told ----
 
-void Keeper::say_all(std::int64_t now_ms) {
+void DeadlineController::say_all(std::int64_t now_ms) {
   for (const std::string& key : unsaid_) {
     const auto known = known_.find(key);
     if (known != known_.end()) say(key, known->second.seen, now_ms);
@@ -672,7 +677,7 @@
   unsaid_.clear();
 }
 
-void Keeper::say(const std::string& key, const Occurrence& one, std::int64_t now_ms) {
+void DeadlineController::say(const std::string& key, const Occurrence& one, std::int64_t now_ms) {
   const auto said = said_.find(key);
   const bool same_state = said != said_.end() && said->second.first == one.state;
   if (same_state && (one.state != State::at_risk || said->second.second == one.reasons)) return;
--- a/src/calendar/keeper.h
+++ b/src/calendar/keeper.h
@@ -42,25 +42,25 @@
 // Reads the zone files that the entries need, so that no caller of the keeper has to wait for it. For any thread.
 void warm(const catalog::Set& set);
 
-class Keeper final : public ledger::Keeper {
+class DeadlineController final : public record_cache::RecordController {
  public:
   // The set in force; never null. The same pointer as long as it is the same set.
   using InForce = std::function<std::shared_ptr<const catalog::Set>()>;
   struct Known {
     Occurrence seen;
-    Revision mark;
+    Revision revision;
   };
 
-  Keeper(InForce in_force, Limits limits);
+  DeadlineController(InForce in_force, Limits limits);
 
   [[nodiscard]] std::string prefix() const override { return kPrefix; }
-  void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
-  [[nodiscard]] std::optional<kv::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
+  void on_change(const std::string& key, const wire::Value* data, Revision revision) override;
+  [[nodiscard]] std::optional<kv::Txn> next_write(const record_cache::Jobs& jobs, record_cache::Moment now,
                                                   std::size_t changes_most) override;
   void on_written(const kv::Txn& txn, const kv::TxnResult& result) override;
 
   // On every node, after each word of the watch: all that was told before was told by then.
-  void look(ledger::Moment now);
+  void look(record_cache::Moment now);
   // On every node, after each cold read: what was only heard may have gone on unheard.
   void cold_read();
 
@@ -122,20 +122,20 @@
   struct Proposal {
     std::string key;
     Occurrence next;
-    Revision mark;  // of what it was decided from; 0: it is opened
-    int order = 0;  // lower ones are written first
+    Revision revision;  // of what it was decided from; 0: it is opened
+    int order = 0;      // lower ones are written first
     bool remove = false;
   };
 
   [[nodiscard]] const Index& index() const;
   [[nodiscard]] std::vector<std::string> entries_for(const wire::JobSpec& spec) const;
-  void on_occurrence(const std::string& key, const wire::Value* data, Revision mark);
+  void on_occurrence(const std::string& key, const wire::Value* data, Revision revision);
   void unlist(const std::string& key);
   void on_live(const JobId& job, const wire::Value* data);
   void hear(const JobId& job, const wire::JobSpec& spec, std::int64_t submitted_ms);
   void forget(const JobId& job);
   void stamp(std::int64_t now_ms);
-  void rescan(const ledger::Jobs& jobs);
+  void rescan(const record_cache::Jobs& jobs);
   void reckon(std::int64_t now_ms);
   void touch(const std::string& key) { look_at_.insert_or_assign(key, 0); }
   void touch_entry(const std::string& entry);
@@ -143,17 +143,18 @@
   [[nodiscard]] const catalog::CalendarDef* entry_of(const std::string& name) const;
   [[nodiscard]] Occurrence plain(const catalog::CalendarDef& entry, const Due& due) const;
   [[nodiscard]] std::vector<Counted> fresh_for(const Occurrence& one, const std::string& key,
-                                               const ledger::Jobs& jobs) const;
+                                               const record_cache::Jobs& jobs) const;
   // Jobs of an occurrence that this one takes the place of, whose end is known.
   void take_over(std::vector<Counted>& fresh, const Occurrence& one, std::int64_t now_ms) const;
   [[nodiscard]] std::optional<std::string> out_of_catalog(const Occurrence& one, std::int64_t now_ms) const;
   void follow_entry(Occurrence& one) const;
   [[nodiscard]] bool busy(const std::string& key) const { return awaited_.contains(key) || pending_.contains(key); }
-  void propose_openings(std::vector<Proposal>& proposals, const ledger::Jobs& jobs, const Outlook& outlook);
-  void propose_changes(std::vector<Proposal>& proposals, const ledger::Jobs& jobs, const Outlook& outlook,
-                       std::chrono::steady_clock::time_point now);
+  void propose_openings(std::vector<Proposal>& proposals, const record_cache::Jobs& jobs,
+                        const EvaluationContext& outlook);
+  void propose_changes(std::vector<Proposal>& proposals, const record_cache::Jobs& jobs,
+                       const EvaluationContext& outlook, std::chrono::steady_clock::time_point now);
   void propose_removals(std::vector<Proposal>& proposals, std::int64_t now_ms) const;
-  [[nodiscard]] Outlook outlook(const ledger::Jobs& jobs, ledger::Moment now) const;
+  [[nodiscard]] EvaluationContext outlook(const record_cache::Jobs& jobs, record_cache::Moment now) const;
   void say_all(std::int64_t now_ms);
   void say(const std::string& key, const Occurrence& one, std::int64_t now_ms);
   [[nodiscard]] kv::Txn txn_of(std::vector<Proposal> proposals, std::size_t changes_most);
--- a/src/calendar/occurrence.cpp
+++ b/src/calendar/occurrence.cpp
@@ -40,7 +40,7 @@
   }
   const auto number = [list](std::size_t at) { return *(*list)[at].as_count(); };
   if (number(4) > static_cast<std::uint64_t>(End::unknown)) throw Malformed("jobs: unknown end");
-  if (number(6) > constants::kCalendarStepsMost + 1) throw Malformed("jobs: unknown step");
+  if (number(6) > constants::kMaxCalendarSteps + 1) throw Malformed("jobs: unknown step");
   Counted job{.job = JobId(*(*list)[0].as_text()),
               .submitted_ms = static_cast<std::int64_t>(number(1)),
               .deadline_ms = static_cast<std::int64_t>(number(2)),
@@ -56,7 +56,7 @@
   return Value::Map{{"by", word.by}, {"why", word.why}, {"at", count_of(word.at_ms)}};
 }
 
-std::optional<Word> word_from(const Value& value) {
+std::optional<Word> message_from(const Value& value) {
   if (value.is_null()) return std::nullopt;
   return Word{.by = value.text("by"), .why = value.text("why"), .at_ms = ms_of(value, "at")};
 }
@@ -107,7 +107,7 @@
       {"version", one.version.number()},
       {"state", name_of(one.state)},
       {"jobs", std::move(jobs)},
-      {"folded", Value::List{one.folded.in_time, one.folded.tasks_in_time, one.folded.late, one.folded.withdrawn}},
+      {"folded", Value::List{one.folded.in_time, one.folded.tasks_in_time, one.folded.late, one.folded.cancelled}},
       {"beyond", one.beyond},
       {"reasons", std::move(reasons)},
       {"opened", count_of(one.opened_ms)},
@@ -142,7 +142,7 @@
   one.folded = {.in_time = *folded[0].as_count(),
                 .tasks_in_time = *folded[1].as_count(),
                 .late = *folded[2].as_count(),
-                .withdrawn = *folded[3].as_count()};
+                .cancelled = *folded[3].as_count()};
   one.beyond = value.count("beyond");
   for (const Value& reason : value.list("reasons")) {
     if (reason.as_text() == nullptr) throw Malformed("reasons: must be texts");
@@ -153,8 +153,8 @@
   one.told_ms = ms_of(value, "told");
   one.stepped_ms = ms_of(value, "stepped");
   one.closed_ms = ms_of(value, "closed");
-  one.noted = word_from(value["noted"]);
-  one.waived = word_from(value["waived"]);
+  one.noted = message_from(value["noted"]);
+  one.waived = message_from(value["waived"]);
   return one;
 }
 
@@ -169,13 +169,14 @@
   return std::nullopt;
 }
 
-kv::Txn rewrite(const std::string& key, const Occurrence& one, Revision mark) {
-  return {.conditions = {{.key = key, .mark = mark}}, .changes = {{.key = key, .data = to_value(one), .lease = {}}}};
+kv::Txn rewrite(const std::string& key, const Occurrence& one, Revision revision) {
+  return {.preconditions = {{.key = key, .revision = revision}},
+          .changes = {{.key = key, .data = to_value(one), .lease = {}}}};
 }
 
 }  // namespace
 
-Order waive(const std::string& key, const Occurrence& seen, Revision mark, Word word) {
+Order waive(const std::string& key, const Occurrence& seen, Revision revision, Word word) {
   if (auto bad = bad_word(word)) return {.txn = {}, .refusal = *bad};
   if (closed(seen.state)) {
     return {.txn = {}, .refusal = "it is closed already: " + std::string(name_of(seen.state))};
@@ -184,14 +185,14 @@
   next.state = State::waived;
   next.closed_ms = word.at_ms;
   next.waived = std::move(word);
-  return {.txn = rewrite(key, next, mark), .refusal = {}};
+  return {.txn = rewrite(key, next, revision), .refusal = {}};
 }
 
-Order acknowledge(const std::string& key, const Occurrence& seen, Revision mark, Word word) {
+Order acknowledge(const std::string& key, const Occurrence& seen, Revision revision, Word word) {
   if (auto bad = bad_word(word)) return {.txn = {}, .refusal = *bad};
   Occurrence next = seen;
   next.noted = std::move(word);
-  return {.txn = rewrite(key, next, mark), .refusal = {}};
+  return {.txn = rewrite(key, next, revision), .refusal = {}};
 }
 
 Tally tally_of(const Occurrence& one, std::int64_t skew_ms) {
@@ -201,7 +202,7 @@
               .tasks_in_time = one.folded.tasks_in_time,
               .late = one.folded.late};
   for (const Counted& job : one.jobs) {
-    if (job.end == End::withdrawn) continue;
+    if (job.end == End::cancelled) continue;
     if (job.end == End::open) {
       ++tally.open;
       tally.tasks += job.tasks;
@@ -227,7 +228,7 @@
   const std::int64_t hold = constants::kCalendarSlackHold.count();
   const auto plain = [width](std::int64_t slack) {
     const auto whole = static_cast<std::int64_t>(std::floor(static_cast<double>(slack) / static_cast<double>(width)));
-    return static_cast<int>(std::clamp<std::int64_t>(whole + 1, 0, constants::kCalendarStepsMost));
+    return static_cast<int>(std::clamp<std::int64_t>(whole + 1, 0, constants::kMaxCalendarSteps));
   };
   if (!recorded) return plain(slack_ms);
   if (const int up = plain(slack_ms - hold); up > *recorded) return up;
--- a/src/calendar/occurrence.h
+++ b/src/calendar/occurrence.h
@@ -26,7 +26,7 @@
 [[nodiscard]] std::string_view name_of(State state);
 [[nodiscard]] constexpr bool closed(State state) { return state >= State::met; }
 
-enum class End : std::uint8_t { open, done, withdrawn, unknown };  // unknown: no record tells how it ended
+enum class End : std::uint8_t { open, done, cancelled, unknown };  // unknown: no record tells how it ended
 
 struct Counted {
   JobId job;
@@ -35,7 +35,7 @@
   std::uint64_t tasks = 0;
   End end = End::open;
   std::int64_t seen_ms = 0;  // of its end: the leader's time of day when the record of it came; it was not later
-  std::optional<int> step;   // of slack: 0 none is left, kCalendarStepsMost plenty
+  std::optional<int> step;   // of slack: 0 none is left, kMaxCalendarSteps plenty
   friend bool operator==(const Counted&, const Counted&) = default;
 };
 
@@ -44,7 +44,7 @@
   std::uint64_t in_time = 0;
   std::uint64_t tasks_in_time = 0;
   std::uint64_t late = 0;
-  std::uint64_t withdrawn = 0;
+  std::uint64_t cancelled = 0;
   friend bool operator==(const Folded&, const Folded&) = default;
 };
 
@@ -93,8 +93,8 @@
   std::optional<kv::Txn> txn;
   std::string refusal;
 };
-[[nodiscard]] Order waive(const std::string& key, const Occurrence& seen, Revision mark, Word word);
-[[nodiscard]] Order acknowledge(const std::string& key, const Occurrence& seen, Revision mark, Word word);
+[[nodiscard]] Order waive(const std::string& key, const Occurrence& seen, Revision revision, Word word);
+[[nodiscard]] Order acknowledge(const std::string& key, const Occurrence& seen, Revision revision, Word word);
 
 // What still counts, as of now.
 struct Tally {
--- a/src/calendar/plans.cpp
+++ b/src/calendar/plans.cpp
@@ -2,8 +2,8 @@
 
 namespace foxshunt::calendar {
 
-foresight::Dues dues_of(const Keeper& keeper, Both now) {
-  foresight::Dues dues;
+foresight::DueJobs dues_of(const DeadlineController& keeper, Both now) {
+  foresight::DueJobs dues;
   for (const JobId& id : keeper.listed()) {
     const auto step = keeper.slack_step(id);
     const auto deadline = keeper.deadline_ms(id);
@@ -14,21 +14,22 @@
   return dues;
 }
 
-std::map<JobId, Keeper::Plan> plans_of(const std::map<JobId, foresight::Instant>& ends,
-                                       const std::map<JobId, foresight::Prospect>& prospects, Both now) {
+std::map<JobId, DeadlineController::Plan> plans_of(
+    const std::map<JobId, foresight::Instant>& ends,
+    const std::map<JobId, foresight::DeadlineForecast>& deadline_forecasts, Both now) {
   const auto wall = [now](foresight::Instant when) { return now.wall_ms + (when - now.at).count(); };
-  std::map<JobId, Keeper::Plan> plans;
+  std::map<JobId, DeadlineController::Plan> plans;
   for (const auto& [job, end] : ends) plans[job].end_ms = wall(end);
-  for (const auto& [job, prospect] : prospects) {
-    Keeper::Plan& plan = plans[job];
-    if (prospect.end) plan.end_ms = wall(*prospect.end);
-    if (prospect.lack == foresight::Lack::nothing) continue;
-    plan.need = foresight::Need{.lack = prospect.lack,
+  for (const auto& [job, forecast] : deadline_forecasts) {
+    DeadlineController::Plan& plan = plans[job];
+    if (forecast.end) plan.end_ms = wall(*forecast.end);
+    if (forecast.lack == foresight::ShortfallReason::nothing) continue;
+    plan.need = foresight::Need{.lack = forecast.lack,
                                 .job = job.text(),
-                                .kind = prospect.kind,
-                                .tasks = prospect.tasks,
-                                .machines = prospect.machines,
-                                .up_by_ms = wall(prospect.up_by)};
+                                .kind = forecast.kind,
+                                .tasks = forecast.tasks,
+                                .machines = forecast.machines,
+                                .up_by_ms = wall(forecast.up_by)};
   }
   return plans;
 }
--- a/src/calendar/plans.h
+++ b/src/calendar/plans.h
@@ -16,10 +16,11 @@
 };
 
 // What the records ask of jobs, by the clock that is ahead of all others.
-[[nodiscard]] foresight::Dues dues_of(const Keeper& keeper, Both now);
+[[nodiscard]] foresight::DueJobs dues_of(const DeadlineController& keeper, Both now);
 
 // What the plan says of jobs: when they end, and what becomes of those that are listed.
-[[nodiscard]] std::map<JobId, Keeper::Plan> plans_of(const std::map<JobId, foresight::Instant>& ends,
-                                                     const std::map<JobId, foresight::Prospect>& prospects, Both now);
+[[nodiscard]] std::map<JobId, DeadlineController::Plan> plans_of(
+    const std::map<JobId, foresight::Instant>& ends,
+    const std::map<JobId, foresight::DeadlineForecast>& deadline_forecasts, Both now);
 
 }  // namespace foxshunt::calendar
--- a/src/calendar/view.cpp
+++ b/src/calendar/view.cpp
@@ -17,7 +17,7 @@
   return Value::Map{{"by", word.by}, {"why", word.why}, {"at", utc_text(word.at_ms)}};
 }
 
-Value shown_occurrence(const Occurrence& one, Revision mark, const Keeper& keeper) {
+Value shown_occurrence(const Occurrence& one, Revision revision, const DeadlineController& keeper) {
   const Tally tally = tally_of(one, keeper.limits().skew_ms);
   Value::List jobs;
   for (const Counted& job : one.jobs) {
@@ -51,7 +51,7 @@
                  {"jobs", std::move(jobs)},
                  {"tell", std::move(tell)},
                  {"catalog", one.version.number()},
-                 {"mark", mark.number()}};
+                 {"mark", revision.number()}};
   if (one.told_ms > 0) map.emplace_back("told", utc_text(one.told_ms));
   if (one.closed_ms > 0) map.emplace_back("closed", utc_text(one.closed_ms));
   if (one.noted) map.emplace_back("noted", shown_word(*one.noted));
@@ -67,11 +67,11 @@
 
 }  // namespace
 
-Value shown(const Keeper& keeper, Revision revision, std::int64_t now_ms, int days, std::int64_t from_ms,
+Value shown(const DeadlineController& keeper, Revision revision, std::int64_t now_ms, int days, std::int64_t from_ms,
             std::size_t skip) {
   constexpr std::int64_t kDayMs = 24 * 3'600'000;
   const std::int64_t begin = std::max(from_ms, now_ms - kDayMs);
-  const std::int64_t end = now_ms + kDayMs * std::clamp(days, 1, constants::kCalendarDaysMost);
+  const std::int64_t end = now_ms + kDayMs * std::clamp(days, 1, constants::kMaxCalendarDays);
   std::vector<std::pair<std::int64_t, std::string>> order;  // by due time, then key
   std::map<std::string, Occurrence> coming;
   for (const auto& [key, known] : keeper.occurrences()) {
@@ -106,8 +106,9 @@
     same = at > 0 && order[at - 1].first == due_ms ? same + 1 : 0;
     if (due_ms == from_ms && same < skip) continue;
     const auto known = keeper.occurrences().find(key);
-    Value one = known != keeper.occurrences().end() ? shown_occurrence(known->second.seen, known->second.mark, keeper)
-                                                    : shown_occurrence(coming.at(key), {}, keeper);
+    Value one = known != keeper.occurrences().end()
+                    ? shown_occurrence(known->second.seen, known->second.revision, keeper)
+                    : shown_occurrence(coming.at(key), {}, keeper);
     bytes += wire::json_length(one);
     if (bytes > constants::kCalendarPageBytes && !list.empty()) {
       next = due_ms;
@@ -140,7 +141,7 @@
           .why = value.text("why")};
 }
 
-Decision decide(const Keeper& keeper, const Request& request, std::int64_t now_ms) {
+Decision decide(const DeadlineController& keeper, const Request& request, std::int64_t now_ms) {
   const std::string begin = entry_prefix(request.entry);
   for (auto at = keeper.occurrences().lower_bound(begin);
        at != keeper.occurrences().end() && at->first.starts_with(begin); ++at) {
@@ -149,10 +150,10 @@
     if (utc_text(known.seen.due_ms) != request.occurrence && known.seen.local != request.occurrence) continue;
     // Repeated for want of an answer.
     const auto& same = request.waive ? known.seen.waived : known.seen.noted;
-    if (same && same->by == request.by && same->why == request.why) return {.txn = {}, .done = known.mark};
+    if (same && same->by == request.by && same->why == request.why) return {.txn = {}, .done = known.revision};
     Word word{.by = request.by, .why = request.why, .at_ms = now_ms};
-    Order order = request.waive ? waive(key, known.seen, known.mark, std::move(word))
-                                : acknowledge(key, known.seen, known.mark, std::move(word));
+    Order order = request.waive ? waive(key, known.seen, known.revision, std::move(word))
+                                : acknowledge(key, known.seen, known.revision, std::move(word));
     if (order.txn) return {.txn = std::move(order.txn), .done = {}};
     return {
         .txn = {}, .done = {}, .status = closed(known.seen.state) && request.waive ? 409 : 422, .error = order.refusal};
--- a/src/calendar/view.h
+++ b/src/calendar/view.h
@@ -13,7 +13,7 @@
 // that have records, and those that the catalog lets expect. As many as fit an answer; `next` is where to go on, 0: these
 // were all. With the revision of the records, the catalog's version and a digest of the records (not of what is only
 // expected: that needs this node's zone files).
-[[nodiscard]] wire::Value shown(const Keeper& keeper, Revision revision, std::int64_t now_ms, int days,
+[[nodiscard]] wire::Value shown(const DeadlineController& keeper, Revision revision, std::int64_t now_ms, int days,
                                 std::int64_t from_ms, std::size_t skip);
 
 struct Request {
@@ -34,6 +34,6 @@
   int status = 200;
   std::string error;
 };
-[[nodiscard]] Decision decide(const Keeper& keeper, const Request& request, std::int64_t now_ms);
+[[nodiscard]] Decision decide(const DeadlineController& keeper, const Request& request, std::int64_t now_ms);
 
 }  // namespace foxshunt::calendar
--- a/src/catalog/apply.cpp
+++ b/src/catalog/apply.cpp
@@ -24,11 +24,11 @@
               .classes = set.classes.size(),
               .calendar = set.calendar.size(),
               .pools = set.pools.size(),
-              .mark = {}};
+              .revision = {}};
   if (before) {
     head.former.push_back(before->now);
     head.former.insert(head.former.end(), before->former.begin(), before->former.end());
-    if (head.former.size() > constants::kCatalogKeptMost - 1) head.former.resize(constants::kCatalogKeptMost - 1);
+    if (head.former.size() > constants::kMaxCatalogKept - 1) head.former.resize(constants::kMaxCatalogKept - 1);
   }
   return head;
 }
@@ -75,10 +75,10 @@
   return Standing::lost;
 }
 
-Writer::Writer(const std::optional<Head>& head, Revision mark, const Set& set, const std::string& author,
+Writer::Writer(const std::optional<Head>& head, Revision revision, const Set& set, const std::string& author,
                std::int64_t wall_ms, const WriteLimits& limits)
     : head_(next_head(head, set, author, wall_ms)),
-      mark_(mark),
+      mark_(revision),
       items_(items_of(set)),
       stage_{.author = author, .wall_ms = wall_ms},
       limits_(limits),
@@ -113,21 +113,21 @@
   kv::Txn txn;
   switch (step_) {
     case Step::whole:
-      txn.conditions = {{.key = kHeadKey, .mark = mark_}};
+      txn.preconditions = {{.key = kHeadKey, .revision = mark_}};
       txn.changes = {{.key = kHeadKey, .data = to_value(head_), .lease = {}}};
       for (const Item& item : items_) txn.changes.push_back(change_of(item));
       break;
     case Step::stage:
-      txn.conditions = {{.key = kHeadKey, .mark = mark_}, {.key = stage, .mark = Revision(0)}};
+      txn.preconditions = {{.key = kHeadKey, .revision = mark_}, {.key = stage, .revision = Revision(0)}};
       txn.changes = {{.key = stage, .data = to_value(stage_), .lease = {}}};
       break;
     case Step::items:
       // Of the stage as it was found: what was swept meanwhile has to be begun anew.
-      txn.conditions = {{.key = stage, .mark = stage_mark_}};
+      txn.preconditions = {{.key = stage, .revision = stage_mark_}};
       for (const std::size_t at : portion()) txn.changes.push_back(change_of(items_[at]));
       break;
     case Step::head:
-      txn.conditions = {{.key = kHeadKey, .mark = mark_}, {.key = stage, .mark = stage_mark_}};
+      txn.preconditions = {{.key = kHeadKey, .revision = mark_}, {.key = stage, .revision = stage_mark_}};
       txn.changes = {{.key = kHeadKey, .data = to_value(head_), .lease = {}}, {.key = stage, .data = {}, .lease = {}}};
       break;
   }
@@ -151,7 +151,7 @@
   switch (step_) {
     case Step::whole:
     case Step::head:
-      head_.now.mark = result.revision;
+      head_.now.revision = result.revision;
       state_ = State::in_force;
       break;
     case Step::stage:
@@ -165,12 +165,12 @@
   }
 }
 
-void Writer::on_stage(Revision mark, const std::set<std::string>& there) {
-  stage_mark_ = mark;
+void Writer::on_stage(Revision revision, const std::set<std::string>& there) {
+  stage_mark_ = revision;
   for (std::size_t at = 0; at < items_.size(); ++at) {
-    written_[at] = mark != Revision(0) && there.contains(change_of(items_[at]).key);
+    written_[at] = revision != Revision(0) && there.contains(change_of(items_[at]).key);
   }
-  step_ = mark == Revision(0) ? Step::stage : portion().empty() ? Step::head : Step::items;
+  step_ = revision == Revision(0) ? Step::stage : portion().empty() ? Step::head : Step::items;
   state_ = State::writing;
 }
 
--- a/src/catalog/apply.h
+++ b/src/catalog/apply.h
@@ -56,7 +56,7 @@
   };
 
   // `mark`: of the head that was read; 0: there is none. Set: content alone matters, sorted.
-  Writer(const std::optional<Head>& head, Revision mark, const Set& set, const std::string& author,
+  Writer(const std::optional<Head>& head, Revision revision, const Set& set, const std::string& author,
          std::int64_t wall_ms, const WriteLimits& limits);
 
   [[nodiscard]] State state() const { return state_; }
@@ -67,7 +67,7 @@
   void on_result(const kv::TxnResult& result);
   // The record of the stage as it was read (0: it is gone), and the keys of items that were found after that. What was
   // there beside the record stays as long as the record does, so that a large set may be written by several requests.
-  void on_stage(Revision mark, const std::set<std::string>& there);
+  void on_stage(Revision revision, const std::set<std::string>& there);
 
  private:
   enum class Step : std::uint8_t { whole, stage, items, head };
--- a/src/catalog/book.cpp
+++ b/src/catalog/book.cpp
@@ -12,7 +12,7 @@
   if (items.size() != edition.classes + edition.calendar + edition.pools) return nullptr;
   auto set = std::make_shared<Set>();
   set->version = edition.version;
-  set->revision = edition.mark;
+  set->revision = edition.revision;
   set->author = edition.author;
   set->wall_ms = edition.wall_ms;
   for (const auto& [place, bytes] : items) {
@@ -28,15 +28,15 @@
   return set;
 }
 
-Book::Book() : in_force_(std::make_shared<const Set>()) {}
+CatalogView::CatalogView() : in_force_(std::make_shared<const Set>()) {}
 
-void Book::on_change(const std::string& key, const Value* data, Revision mark) {
+void CatalogView::on_change(const std::string& key, const Value* data, Revision revision) {
   if (!key.starts_with(kPrefix)) return;
-  if (key == kHeadKey) return on_head(data, mark);
+  if (key == kHeadKey) return on_head(data, revision);
   if (const auto item = item_key_from(key)) on_item(key, *item, data);
 }
 
-void Book::note(const std::string& key, const char* why, bool newer) {
+void CatalogView::note(const std::string& key, const char* why, bool newer) {
   if (!unreadable_.insert(key).second) return;
   if (newer) {
     spdlog::warn("catalog record of a newer form is left as it is key={} why=\"{}\"", key, why);
@@ -45,19 +45,19 @@
   }
 }
 
-void Book::on_head(const Value* data, Revision mark) {
+void CatalogView::on_head(const Value* data, Revision revision) {
   if (data == nullptr) {
     // Nothing is declared any more; a head that can't be read, in contrast, changes nothing.
     unreadable_.erase(kHeadKey);
     head_.reset();
-    head_mark_ = {};
+    head_revision_ = {};
     stages_.clear();
     in_force_ = std::make_shared<const Set>();
     return;
   }
-  head_mark_ = mark;
+  head_revision_ = revision;
   try {
-    head_ = head_from(*data, mark);
+    head_ = head_from(*data, revision);
     unreadable_.erase(kHeadKey);
   } catch (const NewerForm& error) {
     return note(kHeadKey, error.what(), true);
@@ -68,7 +68,7 @@
   moved_ = true;
 }
 
-bool Book::readable(const std::string& key, Kind kind, const Value& data) {
+bool CatalogView::readable(const std::string& key, Kind kind, const Value& data) {
   try {
     switch (kind) {
       case Kind::job_class: (void)class_from(data); break;
@@ -85,7 +85,7 @@
   return false;
 }
 
-void Book::on_item(const std::string& key, const ItemKey& item, const Value* data) {
+void CatalogView::on_item(const std::string& key, const ItemKey& item, const Value* data) {
   const std::pair place(item.kind, item.number);
   // A cold read may tell of a leftover that no head names any more.
   if (data != nullptr && head_ && !head_->keeps(item.stage) && *version_of_stage(item.stage) <= head_->now.version) {
@@ -104,7 +104,7 @@
 }
 
 // What the head does not name and can never come into force: its version is taken.
-void Book::drop_stages() {
+void CatalogView::drop_stages() {
   const auto over = [this](const std::string& stage) {
     return !head_->keeps(stage) && *version_of_stage(stage) <= head_->now.version;
   };
@@ -115,13 +115,13 @@
   });
 }
 
-std::shared_ptr<const Set> Book::in_force() const {
+std::shared_ptr<const Set> CatalogView::in_force() const {
   if (moved_ && head_) look();
   moved_ = false;
   return in_force_;
 }
 
-void Book::look() const {
+void CatalogView::look() const {
   const auto is_in_force = [this](const Edition& edition) {
     return edition.version == in_force_->version && edition.digest == in_force_->digest;
   };
@@ -139,13 +139,13 @@
   }
 }
 
-std::shared_ptr<const Set> Book::build(const Edition& edition) const {
+std::shared_ptr<const Set> CatalogView::build(const Edition& edition) const {
   static const Items kNone;
   const auto stage = stages_.find(edition.stage());
   return whole_set(edition, stage == stages_.end() ? kNone : stage->second);
 }
 
-std::shared_ptr<const Set> Book::edition(Version version) const {
+std::shared_ptr<const Set> CatalogView::edition(Version version) const {
   if (const auto now = in_force(); version == now->version) return now;
   const Edition* edition = head_ ? head_->find(version) : nullptr;
   return edition == nullptr ? nullptr : build(*edition);
--- a/src/catalog/book.h
+++ b/src/catalog/book.h
@@ -23,25 +23,25 @@
 // the head itself can't be read, what was in force stays so.
 // It needs no help of the ledger's own keeping: what a cold read does not tell as removed is dropped with its set.
 // Not to be used by several threads at once; the sets that it hands out never change.
-class Book final : public ledger::Reader {
+class CatalogView final : public record_cache::CacheObserver {
  public:
-  Book();
+  CatalogView();
 
-  void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
+  void on_change(const std::string& key, const wire::Value* data, Revision revision) override;
 
   // Never null; version 0 and no items before anything was declared.
   [[nodiscard]] std::shared_ptr<const Set> in_force() const;
   // What the newest readable head says; nothing before one was read.
   [[nodiscard]] const std::optional<Head>& head() const { return head_; }
   // The revision of the newest change of the head, readable or not; 0: there is none.
-  [[nodiscard]] Revision head_mark() const { return head_mark_; }
+  [[nodiscard]] Revision head_revision() const { return head_revision_; }
   // One of the sets that the head names; null when it is not kept, or not whole.
   [[nodiscard]] std::shared_ptr<const Set> edition(Version version) const;
   // Records that can't be read, those of a newer form included.
   [[nodiscard]] std::size_t unreadable() const { return unreadable_.size(); }
 
  private:
-  void on_head(const wire::Value* data, Revision mark);
+  void on_head(const wire::Value* data, Revision revision);
   void on_item(const std::string& key, const ItemKey& item, const wire::Value* data);
   [[nodiscard]] bool readable(const std::string& key, Kind kind, const wire::Value& data);
   void note(const std::string& key, const char* why, bool newer);
@@ -50,7 +50,7 @@
   [[nodiscard]] std::shared_ptr<const Set> build(const Edition& edition) const;
 
   std::optional<Head> head_;
-  Revision head_mark_;
+  Revision head_revision_;
   std::map<std::string, Items> stages_;
   std::set<std::string> unreadable_;
   // Looked for when asked: a cold read tells of many records, of which the last may decide.
--- a/src/catalog/founder.cpp
+++ b/src/catalog/founder.cpp
@@ -25,24 +25,24 @@
   std::vector<std::string> faults;  // a line each
 };
 
-Judged judged(const Founding& founding) {
-  if (!founding.text) return {.set = {}, .faults = {founding.file + ": cannot be read"}};
-  Reading reading = read_xml(*founding.text, founding.known);
-  std::vector<std::string> faults = lines_of(founding.file, reading);
+Judged judged(const BootstrapCatalog& bootstrap) {
+  if (!bootstrap.text) return {.set = {}, .faults = {bootstrap.file + ": cannot be read"}};
+  Reading reading = read_xml(*bootstrap.text, bootstrap.known);
+  std::vector<std::string> faults = lines_of(bootstrap.file, reading);
   return {.set = std::move(reading.set), .faults = std::move(faults)};
 }
 
 }  // namespace
 
-std::vector<std::string> faults_of(const Founding& founding) { return judged(founding).faults; }
+std::vector<std::string> faults_of(const BootstrapCatalog& bootstrap) { return judged(bootstrap).faults; }
 
-Founder::Founder(std::optional<Founding> founding, const WriteLimits& limits)
-    : founding_(std::move(founding)), limits_(limits) {
+CatalogBootstrapper::CatalogBootstrapper(std::optional<BootstrapCatalog> bootstrap, const WriteLimits& limits)
+    : founding_(std::move(bootstrap)), limits_(limits) {
   if (founding_) judge();
 }
 
 // Said once: a controller that told of it at each look would bury what else its log says.
-void Founder::judge() {
+void CatalogBootstrapper::judge() {
   set_ = nullptr;
   file_ = founding_->file;
   Judged found = judged(*founding_);
@@ -53,24 +53,24 @@
   }
   types_wanted_ = !founding_->known.types && names_types(found.set);
   digest_ = digest_of(found.set);
-  stage_ = Edition{.version = Version(1), .author = {}, .digest = digest_, .mark = {}}.stage();
+  stage_ = Edition{.version = Version(1), .author = {}, .digest = digest_, .revision = {}}.stage();
   set_ = std::make_shared<const Set>(std::move(found.set));
   if (!types_wanted_) founding_.reset();
 }
 
-void Founder::give_up() {
+void CatalogBootstrapper::give_up() {
   founding_.reset();
   set_ = nullptr;
   items_.clear();
 }
 
-void Founder::learn_types(const std::set<std::string>& types) {
+void CatalogBootstrapper::learn_types(const std::set<std::string>& types) {
   if (!types_wanted_ || !founding_ || types.empty()) return;
   founding_->known.types = types;
   judge();
 }
 
-void Founder::on_change(const std::string& key, const wire::Value* data, Revision mark) {
+void CatalogBootstrapper::on_change(const std::string& key, const wire::Value* data, Revision revision) {
   if (set_ == nullptr) return;
   if (key == kHeadKey) {
     // Whatever it says, and whether or not this program can read it: something was declared.
@@ -78,7 +78,7 @@
     return;
   }
   if (key == stage_key(stage_)) {
-    stage_mark_ = data == nullptr ? Revision(0) : mark;
+    stage_mark_ = data == nullptr ? Revision(0) : revision;
     return;
   }
   const auto item = item_key_from(key);
@@ -86,18 +86,19 @@
   if (data == nullptr) {
     items_.erase(key);
   } else {
-    items_[key] = mark;
+    items_[key] = revision;
   }
 }
 
-std::optional<kv::Txn> Founder::next_write(const ledger::Jobs&, ledger::Moment now, std::size_t changes_most) {
+std::optional<kv::Txn> CatalogBootstrapper::next_write(const record_cache::Jobs&, record_cache::Moment now,
+                                                       std::size_t changes_most) {
   if (set_ == nullptr || types_wanted_ || changes_most == 0) return std::nullopt;
   if (failed_) {
-    pause_until_ = now.steady + constants::kCatalogSweepPause;
+    pause_until_ = now.steady + constants::kCatalogGarbageCollectionInterval;
     failed_ = false;
   }
   if (pause_until_ && now.steady < *pause_until_) return std::nullopt;
-  Writer writer(std::nullopt, Revision(0), *set_, kFoundingAuthor, now.wall_ms,
+  Writer writer(std::nullopt, Revision(0), *set_, kBootstrapAuthor, now.wall_ms,
                 {.changes = std::min(limits_.changes, changes_most),
                  .bytes = limits_.bytes,
                  .portion = std::min(limits_.portion, changes_most)});
@@ -105,15 +106,15 @@
     // An item that is older than the stage's record may have been swept before this was written anew, unheard of by a
     // cold read, which does not tell of items that are gone. It is written again; the bytes are the same.
     std::set<std::string> there;
-    for (const auto& [key, mark] : items_) {
-      if (mark > stage_mark_) there.insert(key);
+    for (const auto& [key, revision] : items_) {
+      if (revision > stage_mark_) there.insert(key);
     }
     writer.on_stage(stage_mark_, there);
   }
   return writer.next();
 }
 
-void Founder::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
+void CatalogBootstrapper::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
   if (result.answer != kv::Answer::ok) {
     failed_ = true;
     if (result.answer != kv::Answer::rejected) return;
--- a/src/catalog/founder.h
+++ b/src/catalog/founder.h
@@ -15,33 +15,33 @@
 namespace foxshunt::catalog {
 
 // As `history` shows it.
-inline constexpr const char* kFoundingAuthor = "founding set";
+inline constexpr const char* kBootstrapAuthor = "founding set";
 
 // A file as it was read at the start, and what it is judged by. Machine types come later, from the cloud.
-struct Founding {
+struct BootstrapCatalog {
   std::string file;                 // as messages name it
   std::optional<std::string> text;  // nothing: it can't be read
   Known known;
 };
 
 // What is wrong with it as far as is known, a line each; empty: nothing.
-[[nodiscard]] std::vector<std::string> faults_of(const Founding& founding);
+[[nodiscard]] std::vector<std::string> faults_of(const BootstrapCatalog& bootstrap);
 
 // Writes the set while the state service holds no head: a function of the records and the file alone, so that a leader
 // goes on where another one ended. Every write has the head's absence as a condition, or that of a stage that was begun
 // under it; so a set comes into force once, and never in the place of another one.
-class Founder final : public ledger::Keeper {
+class CatalogBootstrapper final : public record_cache::RecordController {
  public:
   // No file: it does nothing.
-  Founder(std::optional<Founding> founding, const WriteLimits& limits);
+  CatalogBootstrapper(std::optional<BootstrapCatalog> bootstrap, const WriteLimits& limits);
 
   // The deployment's machine types, once they are known. Until then a set that names any waits.
   void learn_types(const std::set<std::string>& types);
   [[nodiscard]] bool wants_types() const { return set_ != nullptr && types_wanted_; }
 
-  void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
+  void on_change(const std::string& key, const wire::Value* data, Revision revision) override;
   [[nodiscard]] std::string prefix() const override { return kPrefix; }
-  [[nodiscard]] std::optional<kv::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
+  [[nodiscard]] std::optional<kv::Txn> next_write(const record_cache::Jobs& jobs, record_cache::Moment now,
                                                   std::size_t changes_most) override;
   void on_written(const kv::Txn& txn, const kv::TxnResult& result) override;
 
@@ -52,7 +52,7 @@
   void judge();
   void give_up();
 
-  std::optional<Founding> founding_;  // until it is judged to the end
+  std::optional<BootstrapCatalog> founding_;  // until it is judged to the end
   WriteLimits limits_;
   std::shared_ptr<const Set> set_;  // null: none, no good, or over as there is a head
   std::string file_;
--- a/src/catalog/records.cpp
+++ b/src/catalog/records.cpp
@@ -153,8 +153,8 @@
   if (edition.digest.size() != 32 || !std::ranges::all_of(edition.digest, hexadecimal)) {
     throw Malformed("digest: must be 32 hexadecimal digits");
   }
-  if (edition.classes > constants::kCatalogClassesMost || edition.calendar > constants::kCatalogCalendarMost ||
-      edition.pools > constants::kCatalogPoolsMost) {
+  if (edition.classes > constants::kMaxCatalogClasses || edition.calendar > constants::kMaxCatalogCalendar ||
+      edition.pools > constants::kMaxCatalogPools) {
     throw Malformed("counts: are beyond the limits");
   }
   return edition;
@@ -364,21 +364,21 @@
   Value::List former;
   for (const Edition& edition : head.former) {
     Value::Map entry = edition_map(edition);
-    entry.emplace_back("mark", edition.mark.number());
+    entry.emplace_back("mark", edition.revision.number());
     former.push_back(std::move(entry));
   }
   map.emplace_back("former", std::move(former));
   return map;
 }
 
-Head head_from(const Value& value, Revision mark) {
+Head head_from(const Value& value, Revision revision) {
   judge_form(value);
   Head head;
   head.now = edition_from(value);
-  head.now.mark = mark;
+  head.now.revision = revision;
   for (const Value& entry : value.list("former")) {
     Edition edition = edition_from(entry);
-    edition.mark = Revision(entry.count("mark"));
+    edition.revision = Revision(entry.count("mark"));
     const Edition& newer = head.former.empty() ? head.now : head.former.back();
     if (edition.version >= newer.version) throw Malformed("former: must be newest first");
     head.former.push_back(std::move(edition));
--- a/src/catalog/records.h
+++ b/src/catalog/records.h
@@ -52,7 +52,7 @@
   std::uint64_t classes = 0;
   std::uint64_t calendar = 0;
   std::uint64_t pools = 0;
-  Revision mark;  // from which on it was in force; in the record 0 for the newest, whose mark is the record's own
+  Revision revision;  // from which on it was in force; in the record 0 for the newest, whose mark is the record's own
 
   [[nodiscard]] std::string stage() const;
   [[nodiscard]] std::uint64_t count(Kind kind) const;
@@ -61,7 +61,7 @@
 
 struct Head {
   Edition now;
-  std::vector<Edition> former;  // newest first, at most kCatalogKeptMost - 1
+  std::vector<Edition> former;  // newest first, at most kMaxCatalogKept - 1
 
   [[nodiscard]] bool keeps(std::string_view stage) const;
   [[nodiscard]] const Edition* find(Version version) const;  // null: not kept
@@ -83,7 +83,7 @@
 [[nodiscard]] ClassDef class_from(const wire::Value& value);
 [[nodiscard]] CalendarDef calendar_from(const wire::Value& value);
 [[nodiscard]] PoolDef pool_from(const wire::Value& value);
-[[nodiscard]] Head head_from(const wire::Value& value, Revision mark);
+[[nodiscard]] Head head_from(const wire::Value& value, Revision revision);
 [[nodiscard]] StageRecord stage_from(const wire::Value& value);
 
 struct ItemKey {
--- a/src/catalog/session.cpp
+++ b/src/catalog/session.cpp
@@ -32,7 +32,7 @@
       }
       std::set<std::string> there;
       for (const kv::Entry& entry : items.entries) there.insert(entry.key);
-      writer.on_stage(stage.answer == kv::Answer::ok ? stage.entry.mark : Revision(0), there);
+      writer.on_stage(stage.answer == kv::Answer::ok ? stage.entry.revision : Revision(0), there);
       continue;
     }
     if (writer.state() == Writer::State::refused && !store.pause()) return;
@@ -50,9 +50,9 @@
   if (got.answer == kv::Answer::not_found) {
     look.found = HeadLook::Found::read;
   } else if (got.answer == kv::Answer::ok) {
-    look.mark = got.entry.mark;
+    look.revision = got.entry.revision;
     try {
-      look.head = head_from(got.entry.data, got.entry.mark);
+      look.head = head_from(got.entry.data, got.entry.revision);
       look.found = HeadLook::Found::read;
     } catch (const NewerForm&) {
       look.found = HeadLook::Found::newer_form;
@@ -100,7 +100,7 @@
       case Standing::lost: return {.kind = Outcome::Kind::lost, .ours = {}, .theirs = now_of(look)};
       case Standing::open: break;
     }
-    Writer writer(look.head, look.mark, set, author, wall_ms, limits);
+    Writer writer(look.head, look.revision, set, author, wall_ms, limits);
     drive(store, writer);
     if (writer.state() == Writer::State::in_force) {
       return {.kind = Outcome::Kind::in_force, .ours = writer.edition(), .theirs = {}};
--- a/src/catalog/session.h
+++ b/src/catalog/session.h
@@ -25,7 +25,7 @@
   enum class Found : std::uint8_t { read, no_answer, newer_form, unreadable };
   Found found = Found::no_answer;
   std::optional<Head> head;  // of `read`; nothing: none was ever written
-  Revision mark;
+  Revision revision;
 };
 [[nodiscard]] HeadLook look_at_head(Store& store);
 
--- a/src/catalog/sweeper.cpp
+++ b/src/catalog/sweeper.cpp
@@ -8,27 +8,27 @@
 
 using wire::Value;
 
-void Sweeper::on_change(const std::string& key, const Value* data, Revision mark) {
+void CatalogGarbageCollector::on_change(const std::string& key, const Value* data, Revision revision) {
   if (key == kHeadKey) {
-    head_mark_ = data == nullptr ? Revision(0) : mark;
+    head_revision_ = data == nullptr ? Revision(0) : revision;
     head_readable_ = true;
     head_.reset();
     try {
-      if (data != nullptr) head_ = head_from(*data, mark);
+      if (data != nullptr) head_ = head_from(*data, revision);
     } catch (const wire::Malformed&) {
       head_readable_ = false;
     }
   } else if (key.starts_with(kStagePrefix)) {
     const std::string stage = key.substr(std::string_view(kStagePrefix).size());
-    if (version_of_stage(stage)) on_stage(stage, data, mark);
+    if (version_of_stage(stage)) on_stage(stage, data, revision);
   } else if (const auto item = item_key_from(key)) {
-    on_item(key, *item, data, mark);
+    on_item(key, *item, data, revision);
   }
 }
 
-void Sweeper::on_stage(const std::string& stage, const Value* data, Revision mark) {
+void CatalogGarbageCollector::on_stage(const std::string& stage, const Value* data, Revision revision) {
   Stage& known = stages_[stage];
-  known.mark = data == nullptr ? Revision(0) : mark;
+  known.revision = data == nullptr ? Revision(0) : revision;
   known.left_alone = false;
   try {
     if (data != nullptr) known.wall_ms = stage_from(*data).wall_ms;
@@ -38,12 +38,13 @@
   if (known.empty()) stages_.erase(stage);
 }
 
-void Sweeper::on_item(const std::string& key, const ItemKey& item, const Value* data, Revision mark) {
+void CatalogGarbageCollector::on_item(const std::string& key, const ItemKey& item, const Value* data,
+                                      Revision revision) {
   const std::uint64_t* form = data != nullptr ? (*data)["form"].as_count() : nullptr;
   const bool newer = form != nullptr && *form > newest_form(item.kind);
   const std::string& stage = item.stage;
   if (data != nullptr && !newer) {
-    stages_[stage].items[key] = mark;
+    stages_[stage].items[key] = revision;
     return;
   }
   const auto known = stages_.find(stage);
@@ -52,10 +53,11 @@
   if (known->second.empty()) stages_.erase(known);
 }
 
-std::optional<kv::Txn> Sweeper::next_write(const ledger::Jobs&, ledger::Moment now, std::size_t changes_most) {
+std::optional<kv::Txn> CatalogGarbageCollector::next_write(const record_cache::Jobs&, record_cache::Moment now,
+                                                           std::size_t changes_most) {
   if (!head_readable_ || stages_.empty() || changes_most == 0) return std::nullopt;
   if (failed_) {
-    pause_until_ = now.steady + constants::kCatalogSweepPause;
+    pause_until_ = now.steady + constants::kCatalogGarbageCollectionInterval;
     failed_ = false;
   }
   if (pause_until_ && now.steady < *pause_until_) return std::nullopt;
@@ -63,14 +65,15 @@
   for (const auto& [name, stage] : stages_) {
     if (stage.left_alone || (head_ && head_->keeps(name))) continue;
     const std::string record = stage_key(name);
-    if (stage.mark != Revision(0)) {
+    if (stage.revision != Revision(0)) {
       const bool over = *version_of_stage(name) <= taken;
       if (!over && now.wall_ms - stage.wall_ms <= constants::kCatalogStagedKeptMs) continue;
-      return kv::Txn{.conditions = {{.key = record, .mark = stage.mark}},
+      return kv::Txn{.preconditions = {{.key = record, .revision = stage.revision}},
                      .changes = {{.key = record, .data = {}, .lease = {}}}};
     }
-    kv::Txn txn{.conditions = {{.key = kHeadKey, .mark = head_mark_}, {.key = record, .mark = Revision(0)}},
-                .changes = {}};
+    kv::Txn txn{
+        .preconditions = {{.key = kHeadKey, .revision = head_revision_}, {.key = record, .revision = Revision(0)}},
+        .changes = {}};
     for (const auto& [item, unused] : stage.items) {
       if (txn.changes.size() == changes_most) break;
       txn.changes.push_back({.key = item, .data = {}, .lease = {}});
@@ -80,7 +83,7 @@
   return std::nullopt;
 }
 
-void Sweeper::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
+void CatalogGarbageCollector::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
   if (result.answer != kv::Answer::ok) {
     failed_ = true;
     return;
@@ -95,8 +98,8 @@
     if (item) {
       const auto there = known->second.items.find(change.key);
       if (there != known->second.items.end() && there->second <= result.revision) known->second.items.erase(there);
-    } else if (known->second.mark <= result.revision) {
-      known->second.mark = Revision(0);
+    } else if (known->second.revision <= result.revision) {
+      known->second.revision = Revision(0);
     }
     if (known->second.empty()) stages_.erase(known);
   }
--- a/src/catalog/xml.cpp
+++ b/src/catalog/xml.cpp
@@ -99,7 +99,7 @@
   const unsigned year = number(0, 4);
   const std::chrono::year_month_day date{std::chrono::year(static_cast<int>(year)), std::chrono::month(number(5, 2)),
                                          std::chrono::day(number(8, 2))};
-  return year >= constants::kCatalogYearLeast && year <= constants::kCatalogYearMost && date.ok();
+  return year >= constants::kMinCatalogYear && year <= constants::kMaxCatalogYear && date.ok();
 }
 
 class Reader {
@@ -107,8 +107,8 @@
   Reader(const std::string& text, const Known& known) : text_(text), known_(known) {}
 
   Reading read() {
-    if (text_.size() > constants::kCatalogXmlBytesMost) {
-      fault(1, "document", "is longer than " + std::to_string(constants::kCatalogXmlBytesMost) + " bytes");
+    if (text_.size() > constants::kMaxCatalogXmlBytes) {
+      fault(1, "document", "is longer than " + std::to_string(constants::kMaxCatalogXmlBytes) + " bytes");
       return take();
     }
     if (const auto bad = bad_byte(text_)) {
@@ -142,7 +142,7 @@
     return 1 + static_cast<std::size_t>(std::count(text_.begin(), end, '\n'));
   }
   void fault(std::size_t line, std::string element, std::string reason) {
-    if (reading_.faults.size() >= constants::kCatalogFaultsMost) {
+    if (reading_.faults.size() >= constants::kMaxCatalogFaults) {
       reading_.more_faults = true;
       return;
     }
@@ -150,7 +150,7 @@
   }
   void fault(const Node& node, const std::string& reason) { fault(node, node, reason); }
   void fault(const Node& at, const Node& node, const std::string& reason) {
-    if (reading_.faults.size() >= constants::kCatalogFaultsMost) {  // a line is looked up in the whole text
+    if (reading_.faults.size() >= constants::kMaxCatalogFaults) {  // a line is looked up in the whole text
       reading_.more_faults = true;
       return;
     }
@@ -162,8 +162,8 @@
   }
   // What stands in the file, short enough to be told.
   static std::string shown(std::string text) {
-    if (text.size() > constants::kCatalogNameMost) {
-      std::size_t end = constants::kCatalogNameMost;
+    if (text.size() > constants::kMaxCatalogName) {
+      std::size_t end = constants::kMaxCatalogName;
       while (end > 0 && (static_cast<unsigned char>(text[end]) & 0xC0U) == 0x80U) --end;
       text = text.substr(0, end) + "...";
     }
@@ -186,7 +186,7 @@
       if (type == pugi::node_pi) fault(node, "a processing instruction is not taken");
       if (type == pugi::node_cdata) fault(node.parent(), "a CDATA section is not taken");
       if (type == pugi::node_pcdata && depth == 1) fault(1, "document", "text stands outside of <catalog>");
-      if (depth > constants::kCatalogDepthMost) {
+      if (depth > constants::kMaxCatalogDepth) {
         fault(node, "is nested too deeply");
         return false;
       }
@@ -234,7 +234,7 @@
   std::string name(const Node& node, const char* attribute) {
     const std::string text = node.attribute(attribute).value();
     if (node.attribute(attribute) && !is_name(text)) {
-      fault(node, std::string(attribute) + ": must be 1 to " + std::to_string(constants::kCatalogNameMost) +
+      fault(node, std::string(attribute) + ": must be 1 to " + std::to_string(constants::kMaxCatalogName) +
                       " letters, digits, single spaces and - _ .");
     }
     return text;
@@ -243,8 +243,8 @@
   std::string foreign(const Node& node, const std::string& text, const std::string& what, const Known::Names& among) {
     const bool blank = text.empty() || text.front() == ' ' || text.back() == ' ' ||
                        std::ranges::any_of(text, [](char one) { return static_cast<unsigned char>(one) < 0x20; });
-    if (blank || text.size() > constants::kCatalogForeignMost) {
-      fault(node, what + ": must be 1 to " + std::to_string(constants::kCatalogForeignMost) +
+    if (blank || text.size() > constants::kMaxCatalogForeign) {
+      fault(node, what + ": must be 1 to " + std::to_string(constants::kMaxCatalogForeign) +
                       " bytes without line breaks and without spaces at the ends");
     } else if (among && !among->contains(text)) {
       fault(node, what + ": the settings have no " + what + " " + shown(text));
@@ -320,7 +320,7 @@
       return (one >= 'a' && one <= 'z') || (one >= 'A' && one <= 'Z') || (one >= '0' && one <= '9') || one == '/' ||
              one == '_' || one == '-' || one == '+';
     };
-    const bool plain_text = !text.empty() && text.size() <= constants::kCatalogNameMost &&
+    const bool plain_text = !text.empty() && text.size() <= constants::kMaxCatalogName &&
                             std::ranges::all_of(text, plain_byte) && text.front() != '/';
     if (!plain_text || (known_.time_zone && !known_.time_zone(text))) {
       fault(node, "time-zone: there is none of the name " + shown(text));
@@ -344,8 +344,8 @@
   template <typename Entry>
   void into(const Node& node, std::vector<Entry>& list, Entry entry) {
     if (std::ranges::find(list, entry) != list.end()) return fault(node, "stands twice");
-    if (list.size() == constants::kCatalogListMost) {
-      return fault(node, "there may be " + std::to_string(constants::kCatalogListMost) + " of them at most");
+    if (list.size() == constants::kMaxCatalogList) {
+      return fault(node, "there may be " + std::to_string(constants::kMaxCatalogList) + " of them at most");
     }
     list.push_back(std::move(entry));
   }
@@ -404,11 +404,11 @@
     attributes(node, {"name", "order", "standing"}, {"wait-most-s", "age-every-s", "age-most"});
     ClassDef one;
     one.name = name(node, "name");
-    one.order = small(node, "order", 1, constants::kCatalogNumberMost, 0);
-    one.standing = small(node, "standing", 1, constants::kCatalogNumberMost, 0);
-    if (node.attribute("wait-most-s")) one.wait_most_s = amount(node, "wait-most-s", 1, constants::kCatalogSMost, 1);
-    one.age_every_s = amount(node, "age-every-s", 0, constants::kCatalogSMost, 0);
-    one.age_most = small(node, "age-most", 0, constants::kCatalogNumberMost, 0);
+    one.order = small(node, "order", 1, constants::kMaxCatalogNumber, 0);
+    one.standing = small(node, "standing", 1, constants::kMaxCatalogNumber, 0);
+    if (node.attribute("wait-most-s")) one.wait_most_s = amount(node, "wait-most-s", 1, constants::kMaxCatalogS, 1);
+    one.age_every_s = amount(node, "age-every-s", 0, constants::kMaxCatalogS, 0);
+    one.age_most = small(node, "age-most", 0, constants::kMaxCatalogNumber, 0);
     if ((one.age_every_s > 0) != (one.age_most > 0)) {
       fault(node, "age-every-s and age-most go together: both above 0, or neither");
     }
@@ -425,9 +425,9 @@
         attributes(child, {"team", "cpus"}, {});
         leaf(child);
         const std::string team = foreign(child, child.attribute("team").value(), "team", known_.teams);
-        const double cpus = amount(child, "cpus", 0, constants::kCatalogAmountMost, 0);
+        const double cpus = amount(child, "cpus", 0, constants::kMaxCatalogAmount, 0);
         if (!one.cpus_most.emplace(team, cpus).second) fault(child, "stands twice for team " + shown(team));
-        if (one.cpus_most.size() > constants::kCatalogListMost) fault(child, "there are too many of them");
+        if (one.cpus_most.size() > constants::kMaxCatalogList) fault(child, "there are too many of them");
       } else {
         no_element(child);
       }
@@ -436,7 +436,7 @@
     if (!orders_.insert(one.order).second && one.order > 0) {
       fault(node, "order " + std::to_string(one.order) + " is another class's as well");
     }
-    add(node, reading_.set.classes, std::move(one), constants::kCatalogClassesMost);
+    add(node, reading_.set.classes, std::move(one), constants::kMaxCatalogClasses);
   }
 
   void calendar(const Node& node) {
@@ -449,20 +449,20 @@
     one.name = name(node, "name");
     one.time_zone = time_zone(node);
     one.at = time(node, "at");
-    one.minus_s = amount(node, "minus-s", 0, constants::kCatalogMinusMostS, 0);
+    one.minus_s = amount(node, "minus-s", 0, constants::kMaxCatalogMinusS, 0);
     if (by_sun) {
       one.sunrise = place(node, "sunrise");
       if (node.attribute("at")) fault(node, "is due at a time or by sunrise, not both");
-      if (++sunrises_ == constants::kCatalogSunrisesMost + 1) {
-        fault(node, "by sunrise there may be " + std::to_string(constants::kCatalogSunrisesMost) + " at most");
+      if (++sunrises_ == constants::kMaxCatalogSunrises + 1) {
+        fault(node, "by sunrise there may be " + std::to_string(constants::kMaxCatalogSunrises) + " at most");
       }
     } else if (node.attribute("minus-s")) {
       fault(node, "minus-s goes with sunrise");
     }
-    one.expected_jobs = small(node, "expected-jobs", 0, constants::kCatalogNumberMost, 0);
-    one.expected_tasks = count(node, "expected-tasks", 0, constants::kCatalogTasksMost, 0);
-    one.opens_before_s = amount(node, "opens-before-s", 0, constants::kCatalogSMost, 0);
-    one.lead_s = amount(node, "lead-s", 0, constants::kCatalogSMost, 0);
+    one.expected_jobs = small(node, "expected-jobs", 0, constants::kMaxCatalogNumber, 0);
+    one.expected_tasks = count(node, "expected-tasks", 0, constants::kMaxCatalogTasks, 0);
+    one.opens_before_s = amount(node, "opens-before-s", 0, constants::kMaxCatalogS, 0);
+    one.lead_s = amount(node, "lead-s", 0, constants::kMaxCatalogS, 0);
     for (const Node& child : node.children()) {
       if (!element(child)) continue;
       const std::string_view what = child.name();
@@ -482,7 +482,7 @@
     }
     if (one.jobs.empty()) fault(node, "means no job: <jobs> is missing");
     if (one.lead_s > one.opens_before_s) fault(node, "lead-s is above opens-before-s: nothing could be there by then");
-    add(node, reading_.set.calendar, std::move(one), constants::kCatalogCalendarMost);
+    add(node, reading_.set.calendar, std::move(one), constants::kMaxCatalogCalendar);
   }
 
   void pool(const Node& node) {
@@ -490,16 +490,16 @@
     PoolDef one;
     one.name = name(node, "name");
     one.spot = flag(node, "spot", false);
-    one.least = small(node, "least", 0, constants::kCatalogNumberMost, 0);
-    one.most = small(node, "most", 1, constants::kCatalogNumberMost, 0);
+    one.least = small(node, "least", 0, constants::kMaxCatalogNumber, 0);
+    one.most = small(node, "most", 1, constants::kMaxCatalogNumber, 0);
     if (one.most > 0 && one.least > one.most) fault(node, "least is above most");
-    one.peak_days = amount(node, "peak-days", 0, constants::kCatalogPeakDaysMost, 0);
+    one.peak_days = amount(node, "peak-days", 0, constants::kMaxCatalogPeakDays, 0);
     if (node.attribute("payer")) one.payer = foreign(node, node.attribute("payer").value(), "team", known_.teams);
     if (node.attribute("ceiling-hour")) {
-      one.ceiling_hour = amount(node, "ceiling-hour", 0, constants::kCatalogAmountMost, 0);
+      one.ceiling_hour = amount(node, "ceiling-hour", 0, constants::kMaxCatalogAmount, 0);
     }
     one.lends = flag(node, "lends", true);
-    one.gives_way_s = amount(node, "gives-way-s", 0, constants::kCatalogSMost, 0);
+    one.gives_way_s = amount(node, "gives-way-s", 0, constants::kMaxCatalogS, 0);
     for (const Node& child : node.children()) {
       if (!element(child)) continue;
       const std::string_view what = child.name();
@@ -507,7 +507,7 @@
         attributes(child, {"name", "gb"}, {});
         leaf(child);
         PoolImage image{.image = foreign(child, child.attribute("name").value(), "image", {}),
-                        .gb = amount(child, "gb", 0, constants::kCatalogAmountMost, 0)};
+                        .gb = amount(child, "gb", 0, constants::kMaxCatalogAmount, 0)};
         if (std::ranges::find(one.images, image.image, &PoolImage::image) != one.images.end()) {
           fault(child, "stands twice");
         }
@@ -530,7 +530,7 @@
       }
     }
     if (one.images.empty()) fault(node, "holds no image: <image> is missing");
-    add(node, reading_.set.pools, std::move(one), constants::kCatalogPoolsMost);
+    add(node, reading_.set.pools, std::move(one), constants::kMaxCatalogPools);
   }
 
   void window(const Node& node, std::vector<PoolWindow>& list) {
@@ -552,15 +552,15 @@
   void add(const Node& node, std::vector<Def>& defs, Def one, std::size_t most) {
     if (!names_.emplace(node.name(), one.name).second) fault(node, "another one has this name");
     if (defs.size() == most) return fault(node, "there may be " + std::to_string(most) + " of its kind at most");
-    std::size_t bytes_most = constants::kCatalogItemBytesMost;
+    std::size_t bytes_most = constants::kMaxCatalogItemBytes;
     if (known_.record_bytes_most > 0) bytes_most = std::min(bytes_most, known_.record_bytes_most);
     const std::size_t bytes = wire::json_length(to_value(one));
     if (bytes > bytes_most) {
       return fault(node, "takes " + std::to_string(bytes) + " bytes; " + std::to_string(bytes_most) + " is the most");
     }
     bytes_ += bytes;
-    if (bytes_ > constants::kCatalogSetBytesMost) {
-      return fault(node, "is beyond the " + std::to_string(constants::kCatalogSetBytesMost) + " bytes of a set");
+    if (bytes_ > constants::kMaxCatalogSetBytes) {
+      return fault(node, "is beyond the " + std::to_string(constants::kMaxCatalogSetBytes) + " bytes of a set");
     }
     defs.push_back(std::move(one));
   }
@@ -743,7 +743,7 @@
 }  // namespace
 
 bool is_name(std::string_view text) {
-  if (text.empty() || text.size() > constants::kCatalogNameMost) return false;
+  if (text.empty() || text.size() > constants::kMaxCatalogName) return false;
   if (text.front() == ' ' || text.back() == ' ' || text.find("  ") != std::string_view::npos) return false;
   return std::ranges::all_of(text, [](char one) {
     return (one >= 'a' && one <= 'z') || (one >= 'A' && one <= 'Z') || (one >= '0' && one <= '9') || one == ' ' ||
--- a/src/catalog/xml.h
+++ b/src/catalog/xml.h
@@ -32,7 +32,7 @@
 
 struct Reading {
   Set set;                    // content alone, sorted; of use only without faults
-  std::vector<Fault> faults;  // by line, at most kCatalogFaultsMost
+  std::vector<Fault> faults;  // by line, at most kMaxCatalogFaults
   bool more_faults = false;
 };
 
@@ -41,7 +41,7 @@
 // FILE:LINE: ELEMENT: REASON
 [[nodiscard]] std::string text_of(const std::string& file, const Fault& fault);
 
-// 1 to kCatalogNameMost letters, digits, spaces and - _ . ; no space at either end or beside another.
+// 1 to kMaxCatalogName letters, digits, spaces and - _ . ; no space at either end or beside another.
 [[nodiscard]] bool is_name(std::string_view text);
 
 }  // namespace foxshunt::catalog
--- a/src/classes/classes.cpp
+++ b/src/classes/classes.cpp
@@ -163,7 +163,7 @@
 
 // ---- ranks ----
 
-std::vector<Candidate> candidates_of(const ledger::Jobs& jobs, const std::map<JobId, int>& slack) {
+std::vector<Candidate> candidates_of(const record_cache::Jobs& jobs, const std::map<JobId, int>& slack) {
   std::vector<Candidate> found;
   found.reserve(jobs.all().size());
   for (const auto& [id, job] : jobs.all()) {
@@ -173,7 +173,7 @@
                      .done = job.done,
                      .placed = job.placed,
                      .waiting = job.waiting(),
-                     .withdrawn = job.withdrawn,
+                     .cancelled = job.cancelled,
                      .slack = known == slack.end() ? std::nullopt : std::optional(known->second)});
   }
   return found;
@@ -213,12 +213,12 @@
     rank.aged = rank.overdue ? may_rise : static_cast<std::uint32_t>(std::min<double>(aged, own.age_most));
   }
   if (job.slack) {
-    const int most = static_cast<int>(constants::kSlackRiseMost);
+    const int most = static_cast<int>(constants::kMaxSlackRise);
     rank.hurried = static_cast<std::uint32_t>(std::clamp(most - std::max(0, *job.slack), 0, most));
   }
   rank.standing = raised(rank.base, std::uint64_t{rank.aged} + rank.hurried, floor);
   rank.settled = raised(rank.base, rank.aged, floor);
-  rank.best = raised(rank.base, std::uint64_t{may_rise} + (job.slack ? constants::kSlackRiseMost : 0), floor);
+  rank.best = raised(rank.base, std::uint64_t{may_rise} + (job.slack ? constants::kMaxSlackRise : 0), floor);
   return rank;
 }
 
@@ -236,7 +236,7 @@
   std::vector<Rank> ranks;
   ranks.reserve(jobs.size());
   for (std::size_t at = 0; at < jobs.size(); ++at) {
-    if (jobs[at].withdrawn) continue;
+    if (jobs[at].cancelled) continue;
     ranked.push_back(jobs[at]);
     ranks.push_back(rank_of(jobs[at], classes[at], table, step));
   }
--- a/src/classes/classes.h
+++ b/src/classes/classes.h
@@ -38,7 +38,7 @@
   std::uint64_t done = 0;     // tasks
   std::uint64_t placed = 0;   // tasks that a record places on a machine
   std::uint64_t waiting = 0;  // all others
-  bool withdrawn = false;     // not ranked; what it still has on machines counts for caps
+  bool cancelled = false;     // not ranked; what it still has on machines counts for caps
   std::optional<int> slack;   // steps that its calendar deadline leaves; 0 or less: none
 };
 
@@ -118,7 +118,7 @@
   std::map<std::pair<std::size_t, std::string>, Held> held_;  // by class and team, where there is a cap
 };
 
-[[nodiscard]] std::vector<Candidate> candidates_of(const ledger::Jobs& jobs, const std::map<JobId, int>& slack);
+[[nodiscard]] std::vector<Candidate> candidates_of(const record_cache::Jobs& jobs, const std::map<JobId, int>& slack);
 
 [[nodiscard]] std::vector<std::optional<std::size_t>> classes_of(const std::vector<Candidate>& jobs,
                                                                  const Table& table);
--- a/src/classes/queue.cpp
+++ b/src/classes/queue.cpp
@@ -31,7 +31,7 @@
                                               {"kept_back", rank.capped},
                                               {"reason", reason(rank, table)}};
     bytes += wire::json_length(line) + 1;
-    if (lines.size() == constants::kQueuePage || bytes + constants::kQueueFrameBytes > constants::kBodyLimitBytes) {
+    if (lines.size() == constants::kQueuePage || bytes + constants::kQueueFrameBytes > constants::kMaxBodyBytes) {
       next = static_cast<std::uint64_t>(rank.place);
       continue;
     }
--- a/src/classes/queue.h
+++ b/src/classes/queue.h
@@ -23,7 +23,7 @@
 };
 
 // {basis…, "digest", "jobs", "tasks", "lines": [{"place", "job", "team", "class", "standing", "waited_s", "tasks",
-// "reason", …}], "next": place or null}: at most kQueuePage lines, shorter than kBodyLimitBytes. Digest and counts are of
+// "reason", …}], "next": place or null}: at most kQueuePage lines, shorter than kMaxBodyBytes. Digest and counts are of
 // the whole queue, whatever is asked for.
 [[nodiscard]] wire::Value queue_answer(const std::vector<Rank>& ranks, const Table& table, const Basis& basis,
                                        const QueueAsk& ask);
--- a/src/cli/ask.cpp
+++ b/src/cli/ask.cpp
@@ -37,14 +37,14 @@
 
 }  // namespace
 
-Asker::Asker(const std::string& to) : to_(to), client_(address_of(to), constants::kCliConnectLimit) {}
+Asker::Asker(const std::string& to) : to_(to), client_(address_of(to), constants::kCliConnectTimeout) {}
 
 std::optional<net::HttpResponse> Asker::ask(const net::HttpRequest& request) {
   const auto began = net::Clock::now();
-  const net::Deadline until = began + constants::kCliTryFor;
+  const net::Deadline until = began + constants::kCliRetryTimeout;
   bool told = false;
   while (true) {
-    const auto answer = client_.call(request, std::min(until, net::Clock::now() + constants::kCliCallLimit));
+    const auto answer = client_.call(request, std::min(until, net::Clock::now() + constants::kCliCallTimeout));
     if (answer && answer->status != 429 && answer->status != 503 && answer->status != 504) return answer;
     auto wait = std::chrono::seconds(1);
     if (answer && answer->retry_after_s) wait = std::max(wait, std::chrono::seconds(*answer->retry_after_s));
@@ -53,7 +53,7 @@
       return std::nullopt;
     }
     // Neither a wrong address nor a node without the state service should look like a command that hangs.
-    const auto patient = answer ? constants::kCliCallLimit : constants::kCliConnectLimit;
+    const auto patient = answer ? constants::kCliCallTimeout : constants::kCliConnectTimeout;
     if (!told && net::Clock::now() - began >= patient) {
       std::cerr << "foxshunt: " << to_ << (answer ? refusal(*answer, "yet") : " does not answer yet")
                 << "; it is asked again for a minute\n";
--- a/src/cli/calendar.cpp
+++ b/src/cli/calendar.cpp
@@ -50,7 +50,7 @@
   command_->require_subcommand(0, 1);
   command_->add_option("--to", to_, "address of a controller")->capture_default_str();
   command_->add_option("--days", days_, "days to look ahead")
-      ->check(CLI::Range(1, constants::kCalendarDaysMost))
+      ->check(CLI::Range(1, constants::kMaxCalendarDays))
       ->capture_default_str();
   command_->add_flag("--json", as_json_, "print JSON");
   const auto add = [this](const char* name, const char* what) {
--- a/src/cli/catalog.cpp
+++ b/src/cli/catalog.cpp
@@ -219,7 +219,7 @@
     options.author = user != nullptr && catalog::is_name(user) ? user : "operator";
   }
   if (!catalog::is_name(options.author)) {
-    std::cerr << "foxshunt: --author: must be 1 to " << constants::kCatalogNameMost
+    std::cerr << "foxshunt: --author: must be 1 to " << constants::kMaxCatalogName
               << " letters, digits, single spaces and - _ .\n";
     return Exit::usage;
   }
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -72,19 +72,19 @@
   }
   if (!body.flag("watched")) std::cout << "zones are not watched (zone-watch in the operators' settings)\n";
   if (!body.flag("granting")) std::cout << "nothing is granted (zone-grants in the operators' settings)\n";
-  for (const wire::Value& grant : body.list("grants")) {
-    std::cout << grant.text("node") << " in " << grant.text("zone") << ": ";
-    if (!grant.flag("heard")) {
+  for (const wire::Value& delegation : body.list("grants")) {
+    std::cout << delegation.text("node") << " in " << delegation.text("zone") << ": ";
+    if (!delegation.flag("heard")) {
       std::cout << "never heard in this term\n";
       continue;
     }
-    std::cout << "heard " << seconds(grant.count("heard_ms_ago")) << " ago, ";
-    if (grant.count("ends_in_ms") > 0) {
-      std::cout << "may answer for " << seconds(grant.count("ends_in_ms"));
+    std::cout << "heard " << seconds(delegation.count("heard_ms_ago")) << " ago, ";
+    if (delegation.count("ends_in_ms") > 0) {
+      std::cout << "may answer for " << seconds(delegation.count("ends_in_ms"));
     } else {
       std::cout << "may answer nobody";
     }
-    std::cout << ", machines answered so of late: " << grant.count("machines_answered") << "\n";
+    std::cout << ", machines answered so of late: " << delegation.count("machines_answered") << "\n";
   }
 }
 
@@ -127,9 +127,9 @@
     if (!answer) return Exit::failed;
     wire::JobStatus told;
     const Exit exit = tell(*answer, &told);
-    const bool over = told.state == wire::JobState::done || told.state == wire::JobState::withdrawn;
+    const bool over = told.state == wire::JobState::done || told.state == wire::JobState::cancelled;
     if (exit != Exit::fine || !wait || over) return exit;
-    std::this_thread::sleep_for(constants::kCliPollEvery);
+    std::this_thread::sleep_for(constants::kCliPollInterval);
   }
 }
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -119,7 +119,7 @@
   CLI::Option* apply_file = apply_command->add_option("file", apply_options.file, "the catalog (XML)");
   apply_command->add_flag("--dry-run", apply_options.dry_run, "judge it and print the difference, no more");
   apply_command->add_option("--back", apply_options.back, "not a file: the Nth set before")
-      ->check(CLI::Range(std::size_t{1}, constants::kCatalogKeptMost - 1))
+      ->check(CLI::Range(std::size_t{1}, constants::kMaxCatalogKept - 1))
       ->excludes(apply_file);
   apply_command->add_option("--author", apply_options.author, "who declares it; left out: the user's name");
   std::string kind;
@@ -156,11 +156,11 @@
     }
     if (check_command->parsed()) {
       const config::Settings settings = load(config_path, operator_path);
-      if (!settings.operators.founding_catalog.empty() && !settings.operators.shared_records) {
+      if (!settings.operators.bootstrap_catalog.empty() && !settings.operators.shared_records) {
         throw config::BadSettings(operator_path + ": <founding-catalog> needs <shared-records>true</shared-records>");
       }
-      if (const auto founding = node::founding_of(settings)) {
-        const std::vector<std::string> faults = catalog::faults_of(*founding);
+      if (const auto bootstrap = node::bootstrap_catalog_of(settings)) {
+        const std::vector<std::string> faults = catalog::faults_of(*bootstrap);
         for (const std::string& fault : faults) std::cerr << "foxshunt: " << fault << "\n";
         if (!faults.empty()) return kUsageError;
       }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -136,7 +136,7 @@
                                 .share = entry.amount_or("share", 0)});
   }
   const Reader workers = params.inner("workers");
-  found.report_s = workers.amount("report_s", 0.001);
+  found.heartbeat_interval_s = workers.amount("report_s", 0.001);
   found.lease_s = workers.amount("lease_s", 0.001);
   found.gang_wait_s = workers.amount("gang_wait_s");
   found.gang_peer_s = workers.amount("gang_peer_s");
@@ -149,11 +149,11 @@
   found.state_txn_ops = static_cast<std::size_t>(state.amount("txn_ops", 4));
   const Reader cloud = params.inner("cloud");
   found.cloud_rps = cloud.amount("rps", 0.01);
-  found.cloud_list_lag_s = cloud.amount_or("list_lag_s", 0);
+  found.cloud_list_delay_s = cloud.amount_or("list_lag_s", 0);
   const Reader limits = params.inner("limits");
   found.cpu_share = limits.amount("cpu", 0.0001);
   found.ram_mb =
-      limits.amount("ram_mb", constants::kProcessMb + constants::kPeerConnectionsMost * constants::kConnectionMb + 1);
+      limits.amount("ram_mb", constants::kProcessMb + constants::kMaxPeerConnections * constants::kConnectionMb + 1);
   found.max_connections = static_cast<int>(limits.amount("max_connections", constants::kConnectionReserve + 1));
   found.skew_ms = params.amount("skew_ms");
   return found;
@@ -194,13 +194,13 @@
       }
       into.operators.idle_return_s = seconds;
     } else if (name == "may-rent") {
-      into.operators.may_rent = yes_or_no(node);
+      into.operators.can_scale_out = yes_or_no(node);
     } else if (name == "may-return") {
-      into.operators.may_return = yes_or_no(node);
+      into.operators.can_scale_in = yes_or_no(node);
     } else if (name == "preemption") {
       into.operators.preemption = yes_or_no(node);
     } else if (name == "zone-grants") {
-      into.operators.zone_grants = yes_or_no(node);
+      into.operators.zone_lease_delegation = yes_or_no(node);
     } else if (name == "zone-watch") {
       into.operators.zone_watch = yes_or_no(node);
     } else if (name == "zone-evacuation") {
@@ -213,7 +213,7 @@
       const std::string file = node.text().as_string();
       if (file.empty()) throw BadSettings(path + ": <founding-catalog> must name a file");
       // Beside the settings unless it says where, wherever the process was started.
-      into.operators.founding_catalog = (std::filesystem::path(path).parent_path() / file).string();
+      into.operators.bootstrap_catalog = (std::filesystem::path(path).parent_path() / file).string();
     } else if (name == "zone-out-of-service") {
       const std::string zone = node.text().as_string();
       if (std::ranges::find(into.zones, zone) == into.zones.end()) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -39,11 +39,11 @@
 
 struct Operator {
   double idle_return_s = 0;  // 0: foxshunt's own default
-  bool may_rent = true;
-  bool may_return = true;
+  bool can_scale_out = true;
+  bool can_scale_in = true;
   bool preemption = false;  // whether running work is stopped for work of higher priority, and for guarantees
   // Whether siblings may answer the workers of their zone when it is cut off; all nodes must have a program that can.
-  bool zone_grants = false;
+  bool zone_lease_delegation = false;
   // Whether zones that are lost are noticed as such, left, and kept for their return.
   bool zone_watch = false;
   // Whether machines are rented elsewhere for the work of such a zone before it is proved gone. Needs zone_watch.
@@ -53,7 +53,7 @@
   // Whether nodes that do not lead ask the leader for what no record tells, and a new leader plans by it.
   bool standby = false;
   // Catalog file that is put in force while nothing was ever declared; empty: none. Needs shared_records.
-  std::string founding_catalog;
+  std::string bootstrap_catalog;
   std::vector<std::string> zones_out;  // out of service: nothing new is placed or rented there
 };
 
@@ -69,7 +69,7 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 0;
+  double heartbeat_interval_s = 0;
   double lease_s = 0;
   double gang_wait_s = 0;
   double gang_peer_s = 0;
@@ -79,7 +79,7 @@
   double state_value_kb = 0;
   std::size_t state_txn_ops = 0;
   double cloud_rps = 0;
-  double cloud_list_lag_s = 0;
+  double cloud_list_delay_s = 0;
   double cpu_share = 1;
   double ram_mb = 0;
   int max_connections = 0;
--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -21,7 +21,7 @@
 void Autoscaler::learn_gpu_demand(const ClusterState& cluster, Instant now) {
   plan::Items wanted = 0;
   for (const auto& [unused, job] : cluster.jobs) {
-    if (!job.withdrawn) wanted += job.each.of[1] * (job.spec.tasks - job.done_count);
+    if (!job.cancelled) wanted += job.each.of[1] * (job.spec.tasks - job.done_count);
   }
   plan::Items there = 0;
   for (const auto& [unused, machine] : cluster.machines) {
@@ -52,7 +52,7 @@
     if (each.count_in(pricing(cluster).offered(spec, *kind)) <= 0) continue;
     if (!cluster.pools.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
     const Instant from = std::max(now, machine.ready);
-    const std::int64_t fit = each.count_in(machine.planned->use.free(from, from + constants::kAllocationLimit));
+    const std::int64_t fit = each.count_in(machine.planned->use.free(from, from + constants::kStartTimeout));
     if (fit <= 0) continue;
     const double hourly = hourly_price(*kind, machine.spot);
     found.push_back({.price = hourly / static_cast<double>(fit), .machine = id, .fit = fit});
@@ -74,7 +74,7 @@
     if (each.count_in(pricing(cluster).offered(sample, kind)) > 0)
       boot_s = boot_s == 0 ? kind.boot_s : std::min(boot_s, kind.boot_s);
   }
-  return demand_.expected(job_class, boot_s * constants::kBootSlack + cluster.settings.report_s, now);
+  return demand_.expected(job_class, boot_s * constants::kBootSlackFactor + cluster.settings.heartbeat_interval_s, now);
 }
 
 std::optional<CloudOffers::Offer> Autoscaler::offer_for_late(const CloudOffers& offers, const ClusterState& cluster,
@@ -83,13 +83,13 @@
   if (job.overdue_tasks > 0) {
     // A kind that boots later than the work has to begin is no use, however cheap.
     auto in_time =
-        offers.cheapest(job.spec, late, constants::kLatePriceMost, deadlines.max_startup_for_deadline(job, now));
+        offers.cheapest(job.spec, late, constants::kMaxLatePriceFactor, deadlines.max_startup_for_deadline(job, now));
     if (in_time || job.late_tasks == 0) return in_time;
   }
   // As long as a deadline leaves time for another boot, what is dear can wait for what is cheap to become free.
   const bool patient =
-      deadlines.scale_out_delay(job, now) > pricing(cluster).longest_boot(job.spec) * constants::kBootSlack;
-  return offers.cheapest(job.spec, late, patient ? constants::kPatientPriceMost : constants::kLatePriceMost);
+      deadlines.scale_out_delay(job, now) > pricing(cluster).longest_boot(job.spec) * constants::kBootSlackFactor;
+  return offers.cheapest(job.spec, late, patient ? constants::kMaxPatientPriceFactor : constants::kMaxLatePriceFactor);
 }
 
 void Autoscaler::add_late_work(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
@@ -112,7 +112,7 @@
     if (reserve == 0) continue;
     const std::int64_t missing = reserve - spare_capacity(cluster, demand.sample, reserve, now);
     if (missing <= 0) continue;
-    const auto offer = offers.cheapest(demand.sample, missing, constants::kReservePriceMost);
+    const auto offer = offers.cheapest(demand.sample, missing, constants::kMaxReservePriceFactor);
     if (offer) shares[offer->key] += static_cast<double>(missing) / static_cast<double>(offer->fit);
   }
 }
@@ -136,22 +136,22 @@
   capacity_.want(std::move(wanted));
 }
 
-std::optional<wire::RentRequest> Autoscaler::next_rental(const ClusterState& cluster, Term term, Instant now) {
-  if (!cluster.settings.operators.may_rent) return std::nullopt;
+std::optional<wire::ScaleOutRequest> Autoscaler::next_scale_out(const ClusterState& cluster, Term term, Instant now) {
+  if (!cluster.settings.operators.can_scale_out) return std::nullopt;
   if (const auto& request = capacity_.next(term, cluster.machines.held(), now)) return request;
   // Pools come after live work.
-  capacity_.ask(cluster.pools.next_ask());
+  capacity_.ask(cluster.pools.next_request());
   return capacity_.next(term, {}, now);
 }
 
-void Autoscaler::on_rented(ClusterState& cluster, const wire::RentRequest& request,
-                           const std::vector<MachineId>& rented, Instant now) {
+void Autoscaler::on_scaled_out(ClusterState& cluster, const wire::ScaleOutRequest& request,
+                               const std::vector<MachineId>& rented, Instant now) {
   if (!capacity_.answered(request)) return;
   cluster.pools.answered(request, rented);
   const wire::MachineType* kind = cluster.type(request.type);
   for (const MachineId& id : rented) {
     Machine& machine = cluster.know_machine(id, now);
-    if (machine.reported) continue;
+    if (machine.has_reported) continue;
     machine.type = request.type;
     machine.zone = request.zone;
     machine.spot = request.spot;
@@ -169,14 +169,14 @@
   cluster.plan_wanted = true;
 }
 
-void Autoscaler::on_rent_refused(ClusterState& cluster, const wire::RentRequest& request, Instant now) {
+void Autoscaler::on_scale_out_refused(ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
   if (!capacity_.answered(request)) return;
   cluster.pools.answered(request, {});
   note_refusal(cluster, request, now);
   cluster.plan_wanted = true;
 }
 
-void Autoscaler::note_refusal(const ClusterState& cluster, const wire::RentRequest& request, Instant now) {
+void Autoscaler::note_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
   const CloudCapacityTracker::Kind kind{request.type, request.zone, request.spot};
   const std::size_t held_now = cluster.machines.held()[kind];
   const Millis pause = capacity_.refused(kind, held_now, now);
@@ -185,15 +185,15 @@
 }
 
 bool Autoscaler::cloud_wanted(const ClusterState& cluster) const {
-  return capacity_.wanted() || cluster.pools.next_ask() || std::ranges::any_of(cluster.machines, [](const auto& entry) {
-           return entry.second.state == MachineState::returning;
-         });
+  return capacity_.wanted() || cluster.pools.next_request() ||
+         std::ranges::any_of(cluster.machines,
+                             [](const auto& entry) { return entry.second.state == MachineState::returning; });
 }
 
-std::vector<MachineId> Autoscaler::next_returns(const ClusterState& cluster) {
+std::vector<MachineId> Autoscaler::next_scale_in(const ClusterState& cluster) {
   std::vector<MachineId> names;
   for (const auto& [id, machine] : cluster.machines) {
-    if (machine.state == MachineState::returning && names.size() < constants::kReturnNamesMost) names.push_back(id);
+    if (machine.state == MachineState::returning && names.size() < constants::kMaxScaleInNames) names.push_back(id);
   }
   return names;
 }
--- a/src/control/autoscaler.h
+++ b/src/control/autoscaler.h
@@ -47,12 +47,13 @@
   void want_nothing();
 
   // The request under way, or the next one.
-  [[nodiscard]] std::optional<wire::RentRequest> next_rental(const ClusterState& cluster, Term term, Instant now);
-  void on_rented(ClusterState& cluster, const wire::RentRequest& request, const std::vector<MachineId>& rented,
-                 Instant now);
-  void on_rent_refused(ClusterState& cluster, const wire::RentRequest& request, Instant now);
+  [[nodiscard]] std::optional<wire::ScaleOutRequest> next_scale_out(const ClusterState& cluster, Term term,
+                                                                    Instant now);
+  void on_scaled_out(ClusterState& cluster, const wire::ScaleOutRequest& request, const std::vector<MachineId>& rented,
+                     Instant now);
+  void on_scale_out_refused(ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now);
   // Machines that are to be given back.
-  [[nodiscard]] static std::vector<MachineId> next_returns(const ClusterState& cluster);
+  [[nodiscard]] static std::vector<MachineId> next_scale_in(const ClusterState& cluster);
   // Whether there is something to rent or to return.
   [[nodiscard]] bool cloud_wanted(const ClusterState& cluster) const;
 
@@ -69,7 +70,7 @@
   void add_late_work(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
                      const DeadlinePlanner& deadlines, MachineShares& shares, Instant now);
   void add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares, Instant now);
-  void note_refusal(const ClusterState& cluster, const wire::RentRequest& request, Instant now);
+  void note_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now);
 
   DemandEstimator demand_;
   CloudCapacityTracker capacity_;
--- a/src/control/cloud_capacity_tracker.cpp
+++ b/src/control/cloud_capacity_tracker.cpp
@@ -33,7 +33,7 @@
   count -= std::min(count, under_way_->count);
 }
 
-const std::optional<wire::RentRequest>& CloudCapacityTracker::next(Term term, const Held& have, plan::Instant now) {
+const std::optional<wire::ScaleOutRequest>& CloudCapacityTracker::next(Term term, const Held& have, plan::Instant now) {
   if (under_way_) return under_way_;
   for (auto at = wanted_.begin(); at != wanted_.end(); at = wanted_.erase(at)) {
     const auto& [kind, count] = *at;
@@ -41,18 +41,19 @@
     if (count == 0 || !is_available(kind, have, now)) continue;
     const auto& [type, zone, spot] = kind;
     // A request's name is never used again: terms only grow.
-    under_way_ = wire::RentRequest{.request = "fox-" + std::to_string(term.number()) + "-" + std::to_string(++rentals_),
-                                   .type = type,
-                                   .zone = zone,
-                                   .spot = spot,
-                                   .count = std::min(count, constants::kRentCountMost)};
+    under_way_ =
+        wire::ScaleOutRequest{.request = "fox-" + std::to_string(term.number()) + "-" + std::to_string(++rentals_),
+                              .type = type,
+                              .zone = zone,
+                              .spot = spot,
+                              .count = std::min(count, constants::kMaxScaleOutCount)};
     wanted_.erase(at);
     break;
   }
   return under_way_;
 }
 
-bool CloudCapacityTracker::answered(const wire::RentRequest& request) {
+bool CloudCapacityTracker::answered(const wire::ScaleOutRequest& request) {
   if (!under_way_ || under_way_->request != request.request) return false;
   under_way_.reset();
   return true;
@@ -60,7 +61,8 @@
 
 plan::Millis CloudCapacityTracker::refused(const Kind& kind, std::size_t held_now, plan::Instant now) {
   Refusal& refusal = refused_[kind];
-  refusal.pause = std::clamp(refusal.pause * 2, constants::kCapacityPause, constants::kCapacityPauseMost);
+  refusal.pause =
+      std::clamp(refusal.pause * 2, constants::kCapacityRefusalBackoff, constants::kMaxCapacityRefusalBackoff);
   refusal.not_before = now + refusal.pause;
   refusal.most = held_now;
   return refusal.pause;
--- a/src/control/cloud_capacity_tracker.h
+++ b/src/control/cloud_capacity_tracker.h
@@ -43,11 +43,11 @@
   [[nodiscard]] bool wanted() const { return under_way_ || !wanted_.empty(); }
 
   // The request under way, or the next one: unanswered, the same request tells what became of it.
-  [[nodiscard]] const std::optional<wire::RentRequest>& next(Term term, const Held& have, plan::Instant now);
+  [[nodiscard]] const std::optional<wire::ScaleOutRequest>& next(Term term, const Held& have, plan::Instant now);
   // A request that others have named.
-  void ask(std::optional<wire::RentRequest> request) { under_way_ = std::move(request); }
+  void ask(std::optional<wire::ScaleOutRequest> request) { under_way_ = std::move(request); }
   // Its answer. False when it is not the one under way.
-  bool answered(const wire::RentRequest& request);
+  bool answered(const wire::ScaleOutRequest& request);
   // The cloud gave all that was asked for.
   void given(const Kind& kind) { refused_.erase(kind); }
   // It has no more of them while so many are held. After how long it is asked again.
@@ -56,8 +56,8 @@
  private:
   std::map<Kind, Refusal> refused_;
   Wanted wanted_;
-  std::uint64_t rentals_ = 0;                   // in this term
-  std::optional<wire::RentRequest> under_way_;  // or unanswered
+  std::uint64_t rentals_ = 0;                       // in this term
+  std::optional<wire::ScaleOutRequest> under_way_;  // or unanswered
 };
 
 }  // namespace foxshunt::control
--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -29,7 +29,7 @@
   std::optional<Offer> best;
   for (const wire::MachineType& kind : cluster_.types) {
     if (each.count_in(capacity_of(kind)) <= 0) continue;
-    if (from_seconds(kind.boot_s) + constants::kCloudCallLimit + cluster_.fetch_time(spec, kind.name) > max_startup)
+    if (from_seconds(kind.boot_s) + constants::kCloudCallTimeout + cluster_.fetch_time(spec, kind.name) > max_startup)
       continue;
     for (const std::string& zone : kind.zones) {
       for (const bool spot : {true, false}) {
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -12,7 +12,7 @@
 
 // Up to when the holder of a delegation may renew the machine's lease. A machine that only another controller's word places in
 // a zone may stand in any: all delegations count.
-Instant delegated_until(const zone::Book& delegations, const Machine& machine) {
+Instant delegated_until(const zone::DelegationTable& delegations, const Machine& machine) {
   const std::string zone = guards::kept(guards::Guard::lease_zone_seen) ? machine.seen_zone() : machine.zone;
   return delegations.renewed_until(zone, machine.id);
 }
@@ -76,8 +76,8 @@
   return machines.lease_end(machine, older_leaders_until, delegated_until(delegations, machine));
 }
 
-bool ClusterState::lease_over(const Machine& machine, Instant now) const {
-  return machines.lease_over(machine, older_leaders_until, delegated_until(delegations, machine), now);
+bool ClusterState::is_lease_expired(const Machine& machine, Instant now) const {
+  return machines.is_lease_expired(machine, older_leaders_until, delegated_until(delegations, machine), now);
 }
 
 const wire::MachineType* ClusterState::type(const std::string& name) const {
--- a/src/control/cluster_state.h
+++ b/src/control/cluster_state.h
@@ -28,9 +28,9 @@
 
 using inventory::Machine;
 using inventory::MachineState;
+using jobs::Allocation;
 using jobs::Job;
-using jobs::Part;
-using jobs::Run;
+using jobs::JobShard;
 using jobs::WriteBatch;
 
 struct ClusterState {
@@ -54,7 +54,7 @@
   // Up to when its tasks may run on, if nothing more is heard of it.
   [[nodiscard]] Instant lease_end(const Machine& machine) const;
   // Whether that time has certainly passed; it may be known sooner.
-  [[nodiscard]] bool lease_over(const Machine& machine, Instant now) const;
+  [[nodiscard]] bool is_lease_expired(const Machine& machine, Instant now) const;
 
   // ---- machine types and zones ----
   // Null if the cloud has told of no such type.
@@ -71,11 +71,11 @@
   inventory::MachineInventory machines;
   plan::Planner planner;
   std::vector<wire::MachineType> types;
-  pools::Desk pools;
-  zone::View zones;
-  zone::Book delegations;       // of the right to renew agents' leases, to the other controllers
-  Instant older_leaders_until;  // until then leaders of earlier terms may still renew agents' leases
-  bool plan_wanted = false;     // something has happened since the latest planning pass began
+  pools::PoolAdmission pools;
+  zone::ZoneHealthMonitor zones;
+  zone::DelegationTable delegations;  // of the right to renew agents' leases, to the other controllers
+  Instant older_leaders_until;        // until then leaders of earlier terms may still renew agents' leases
+  bool plan_wanted = false;           // something has happened since the latest planning pass began
   Counters counters;
 };
 
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -38,7 +38,7 @@
 namespace foxshunt::control {
 
 // What there is now.
-struct Census {
+struct ClusterSummary {
   std::uint64_t jobs = 0;
   std::uint64_t tasks_waiting = 0;
   std::uint64_t tasks_placed = 0;
@@ -57,32 +57,32 @@
   [[nodiscard]] Controller copy() const;
 
   // ---- leadership ----
-  void lead(const Takeover& takeover, Instant now);
-  void resign(const std::string& why);
+  void become_leader(const FailoverSnapshot& failover, Instant now);
+  void step_down(const std::string& why);
   // A write failed by its condition on this revision of the term's record: ends the lead that the write was of, and no other.
-  void on_term_conflict(Revision term_mark);
-  [[nodiscard]] bool leading() const { return leadership_.is_leader(); }
+  void on_term_conflict(Revision term_revision);
+  [[nodiscard]] bool is_leader() const { return leadership_.is_leader(); }
   // Whether it left the lead to others so recently that they go first.
-  [[nodiscard]] bool gives_way(Instant now) const { return leadership_.should_yield(now); }
+  [[nodiscard]] bool should_yield_leadership(Instant now) const { return leadership_.should_yield(now); }
   [[nodiscard]] Term term() const { return leadership_.term(); }
-  [[nodiscard]] Revision term_mark() const { return leadership_.term_revision(); }
+  [[nodiscard]] Revision term_revision() const { return leadership_.term_revision(); }
   // Word of a term from a sibling: a higher one ends this lead.
-  void hear_of(Term term);
+  void observe_term(Term term);
   // The lease was confirmed / all changes of records were known at that moment.
-  void confirm_lease(Instant when);
-  void confirm_reading(Instant when);
+  void on_leader_lease_renewed(Instant when);
+  void on_records_confirmed(Instant when);
   // Whether workers' reports may be answered with 200, and whether anything may be started.
-  [[nodiscard]] bool may_answer(Instant now) const;
-  [[nodiscard]] bool may_start(Instant now) const;
+  [[nodiscard]] bool can_renew_agent_leases(Instant now) const;
+  [[nodiscard]] bool can_start_tasks(Instant now) const;
 
   // ---- records ----
-  void on_job_record(const JobId& job, const wire::Value& record, Revision mark, std::int64_t wall_ms, Instant now);
+  void on_job_record(const JobId& job, const wire::Value& record, Revision revision, std::int64_t wall_ms, Instant now);
   void on_job_removed(const JobId& job, Instant now);
   // All of live/, as a read found it that began in that term. False if this lead is another one: it knows better.
   [[nodiscard]] bool on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now);
   [[nodiscard]] std::optional<jobs::Reload> next_reload() const { return cluster_.jobs.next_reload(); }
   // What a fresh read of the record found.
-  void on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now);
+  void on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now);
   [[nodiscard]] std::optional<WriteBatch> begin_write(Instant now);
   void end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
 
@@ -90,9 +90,9 @@
   // The set in force, and the time of day.
   void on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now);
   // What the calendar's records ask of jobs.
-  void on_dues(foresight::Dues dues);
+  void on_due_jobs(foresight::DueJobs dues);
   // What becomes of these by the plan, and what lacks.
-  [[nodiscard]] std::map<JobId, foresight::Prospect> prospects(Instant now) const;
+  [[nodiscard]] std::map<JobId, foresight::DeadlineForecast> deadline_forecasts(Instant now) const;
   // When the plan says that other jobs end; those without a booking are left out.
   // The order of the latest pass; empty without classes.
   [[nodiscard]] const classes::Ranking& ranking() const { return cycle_.queue().ranking(); }
@@ -100,47 +100,48 @@
 
   // ---- workers ----
   // The commands to answer with; nothing when this controller may not act for the controllers.
-  [[nodiscard]] std::optional<std::vector<wire::Command>> on_report(const wire::Report& report, Instant now);
+  [[nodiscard]] std::optional<std::vector<wire::Command>> on_heartbeat(const wire::Heartbeat& heartbeat, Instant now);
   // Whether all that the report told is durable and planned, so that nothing better can be answered by waiting.
-  [[nodiscard]] bool settled(const wire::Report& report) const;
+  [[nodiscard]] bool settled(const wire::Heartbeat& heartbeat) const;
   // What may be answered to the same report later on, besides what it was answered with.
-  [[nodiscard]] std::optional<std::vector<wire::Command>> later_commands(const wire::Report& report, Instant now);
-  [[nodiscard]] std::vector<DirectHalt> due_halts(Instant now);
+  [[nodiscard]] std::optional<std::vector<wire::Command>> later_commands(const wire::Heartbeat& heartbeat, Instant now);
+  [[nodiscard]] std::vector<DirectStop> due_direct_stops(Instant now);
 
   // ---- zones ----
   // What a sibling that asks is granted; nothing when it is no sibling, its word is stale, or nothing can be granted now.
-  [[nodiscard]] std::optional<zone::Grant> on_ask(const zone::Ask& ask, Instant now);
-  [[nodiscard]] const zone::Book& grants() const { return cluster_.delegations; }
-  [[nodiscard]] const zone::View& zones() const { return cluster_.zones; }
+  [[nodiscard]] std::optional<zone::LeaseDelegation> on_delegation_request(const zone::DelegationRequest& ask,
+                                                                           Instant now);
+  [[nodiscard]] const zone::DelegationTable& delegations() const { return cluster_.delegations; }
+  [[nodiscard]] const zone::ZoneHealthMonitor& zones() const { return cluster_.zones; }
 
   // ---- cloud ----
   void on_types(const std::vector<wire::MachineType>& types);
   [[nodiscard]] const std::vector<wire::MachineType>& types() const { return cluster_.types; }
   void on_machine_list(const std::vector<wire::ListedMachine>& machines, Instant now);
-  [[nodiscard]] std::optional<wire::RentRequest> next_rental(Instant now);
-  void on_rented(const wire::RentRequest& request, const std::vector<MachineId>& machines, Instant now);
-  void on_rent_refused(const wire::RentRequest& request, Instant now);
-  [[nodiscard]] std::vector<MachineId> next_returns(Instant now);
-  void on_returned(const std::vector<MachineId>& machines, Instant now);
+  [[nodiscard]] std::optional<wire::ScaleOutRequest> next_scale_out(Instant now);
+  void on_scaled_out(const wire::ScaleOutRequest& request, const std::vector<MachineId>& machines, Instant now);
+  void on_scale_out_refused(const wire::ScaleOutRequest& request, Instant now);
+  [[nodiscard]] std::vector<MachineId> next_scale_in(Instant now);
+  void on_scaled_in(const std::vector<MachineId>& machines, Instant now);
 
   // ---- pools ----
   // What the pools want of it, at any time; and what it sees, for them.
-  void steer(pools::Steer steer);
-  [[nodiscard]] pools::Sighting sight_pools(Instant now);
+  void set_pool_directives(pools::PoolDirectives directives);
+  [[nodiscard]] pools::FleetObservation observe_for_pools(Instant now);
 
   // ---- standby ----
   // What no record tells, for siblings.
-  [[nodiscard]] standby::Picture soft_state(Instant now) const;
+  [[nodiscard]] standby::SoftStateSnapshot soft_state(Instant now) const;
   // What an earlier term's leader knew: steers plans and renting, and is taken back by what is seen. It proves nothing,
   // and makes no machine usable. Comes at any time of a lead.
-  void hint(const standby::Picture& picture, Instant now);
+  void apply_soft_state(const standby::SoftStateSnapshot& snapshot, Instant now);
 
   // ---- time ----
   // Housekeeping: expiries, overdue allocations, idle machines; ends a lead that no worker reaches.
   void tick(Instant now);
   // Plans what is pending and places what may start now, a portion of it: events are taken between portions. At least
   // one job is planned, and no more once this many places were looked at. True when the pass has ended.
-  bool plan_some(Instant now, std::size_t places_most);
+  bool plan_portion(Instant now, std::size_t places_most);
   // A whole pass.
   void plan_pass(Instant now);
   [[nodiscard]] bool plan_wanted() const { return cluster_.plan_wanted || cycle_.under_way(); }
@@ -150,15 +151,15 @@
   [[nodiscard]] bool cloud_wanted() const;
   [[nodiscard]] bool writes_wanted() const { return cluster_.jobs.writes_wanted(); }
 
-  [[nodiscard]] Census census(Instant now) const;
+  [[nodiscard]] ClusterSummary cluster_summary(Instant now) const;
   // Why the job's tasks wait and when the next is planned to start, in words; nothing if no such job is known.
   [[nodiscard]] std::optional<std::string> explain(const JobId& job, Instant now) const;
   [[nodiscard]] const Counters& counters() const { return cluster_.counters; }
   [[nodiscard]] const std::map<JobId, Job>& jobs() const { return cluster_.jobs.all(); }
   [[nodiscard]] const std::map<MachineId, Machine>& machines() const { return cluster_.machines.all(); }
   // Whether jobs, runs and machines agree, for tests: what does not, in words.
-  [[nodiscard]] std::optional<std::string> disagreement() const {
-    return cluster_.jobs.disagreement(cluster_.machines);
+  [[nodiscard]] std::optional<std::string> find_inconsistency() const {
+    return cluster_.jobs.find_inconsistency(cluster_.machines);
   }
 
  private:
--- a/src/control/controller_explain.cpp
+++ b/src/control/controller_explain.cpp
@@ -7,27 +7,27 @@
 
 namespace foxshunt::control {
 
-Census Controller::census(Instant now) const {
-  Census census;
-  census.jobs = cluster_.jobs.size();
+ClusterSummary Controller::cluster_summary(Instant now) const {
+  ClusterSummary cluster_summary;
+  cluster_summary.jobs = cluster_.jobs.size();
   for (const auto& [unused, job] : cluster_.jobs) {
-    if (!job.withdrawn) census.tasks_waiting += job.pending();
-    census.tasks_placed += job.runs_count;
-    for (const Part& part : job.parts) {
-      if (job.withdrawn || part.settled()) continue;
-      ++census.unwritten;
-      census.unwritten_oldest = std::max(census.unwritten_oldest, now - part.dirty_since);
+    if (!job.cancelled) cluster_summary.tasks_waiting += job.pending();
+    cluster_summary.tasks_placed += job.allocation_count;
+    for (const JobShard& shard : job.shards) {
+      if (job.cancelled || shard.settled()) continue;
+      ++cluster_summary.unwritten;
+      cluster_summary.unwritten_oldest = std::max(cluster_summary.unwritten_oldest, now - shard.dirty_since);
     }
   }
   for (const auto& [unused, machine] : cluster_.machines) {
     switch (machine.state) {
-      case MachineState::up: ++census.machines_up; break;
-      case MachineState::booting: ++census.machines_booting; break;
-      default: ++census.machines_leaving; break;
+      case MachineState::up: ++cluster_summary.machines_up; break;
+      case MachineState::booting: ++cluster_summary.machines_booting; break;
+      default: ++cluster_summary.machines_leaving; break;
     }
   }
-  census.fence_left = std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
-  return census;
+  cluster_summary.fence_left = std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
+  return cluster_summary;
 }
 
 std::optional<std::string> Controller::explain(const JobId& id, Instant now) const {
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -14,7 +14,7 @@
 // Whether no agent reaches this node, and no other controller passes heartbeats on: the agents' leases end soon, whoever leads,
 // and another node may hear them. Only while the state service answers, without which nobody could take the lead.
 bool is_unreachable(const ClusterState& cluster, const Leadership& leadership, Instant now) {
-  return cluster.machines.unheard(now) >= constants::kUnheardLeast && cluster.settings.nodes > 1 &&
+  return cluster.machines.unheard(now) >= constants::kMinUnreachableMachines && cluster.settings.nodes > 1 &&
          leadership.can_start(now);
 }
 
@@ -36,7 +36,7 @@
     if (!known) continue;  // an old list
     Machine& machine = known->machine;
     if (known->fresh) cluster_.know_cache(machine);
-    if (!machine.reported) cluster_.refresh_plan_machine(machine);
+    if (!machine.has_reported) cluster_.refresh_plan_machine(machine);
     if (entry.state == wire::ListedState::failed && machine.state != MachineState::returning) {
       spdlog::info("machine {} has failed", entry.id.text());
       machine.listed.failed = true;
@@ -46,33 +46,34 @@
   }
 }
 
-std::optional<wire::RentRequest> Controller::next_rental(Instant now) {
+std::optional<wire::ScaleOutRequest> Controller::next_scale_out(Instant now) {
   if (!leadership_.can_start(now)) return std::nullopt;
-  return autoscaler_.next_rental(cluster_, leadership_.term(), now);
+  return autoscaler_.next_scale_out(cluster_, leadership_.term(), now);
 }
 
-void Controller::on_rented(const wire::RentRequest& request, const std::vector<MachineId>& rented, Instant now) {
-  if (leadership_.is_leader()) autoscaler_.on_rented(cluster_, request, rented, now);
+void Controller::on_scaled_out(const wire::ScaleOutRequest& request, const std::vector<MachineId>& rented,
+                               Instant now) {
+  if (leadership_.is_leader()) autoscaler_.on_scaled_out(cluster_, request, rented, now);
 }
 
-void Controller::on_rent_refused(const wire::RentRequest& request, Instant now) {
-  autoscaler_.on_rent_refused(cluster_, request, now);
+void Controller::on_scale_out_refused(const wire::ScaleOutRequest& request, Instant now) {
+  autoscaler_.on_scale_out_refused(cluster_, request, now);
 }
 
 bool Controller::cloud_wanted() const { return autoscaler_.cloud_wanted(cluster_); }
 
-std::vector<MachineId> Controller::next_returns(Instant now) {
-  return leadership_.can_start(now) ? Autoscaler::next_returns(cluster_) : std::vector<MachineId>();
+std::vector<MachineId> Controller::next_scale_in(Instant now) {
+  return leadership_.can_start(now) ? Autoscaler::next_scale_in(cluster_) : std::vector<MachineId>();
 }
 
-void Controller::on_returned(const std::vector<MachineId>& names, Instant now) {
+void Controller::on_scaled_in(const std::vector<MachineId>& names, Instant now) {
   if (!leadership_.is_leader()) return;
   for (const MachineId& id : names) {
     const auto entry = cluster_.machines.find(id);
     if (entry == cluster_.machines.end()) continue;
     spdlog::info("machine {} is returned: {}", id.text(), entry->second.why);
-    cluster_.machines.on_returned(id);
-    const std::set<TaskKey> runs = entry->second.runs.copy();
+    cluster_.machines.on_scaled_in(id);
+    const std::set<TaskKey> runs = entry->second.allocations.copy();
     for (const TaskKey& key : runs) tasks().lose_task(key, "its machine was returned", now);
     cluster_.forget_machine(id);
   }
--- a/src/control/controller_pools.cpp
+++ b/src/control/controller_pools.cpp
@@ -3,19 +3,19 @@
 
 namespace foxshunt::control {
 
-void Controller::steer(pools::Steer steer) {
+void Controller::set_pool_directives(pools::PoolDirectives directives) {
   const bool was_on = cluster_.pools.on();
-  cluster_.pools.take(std::move(steer));
+  cluster_.pools.take(std::move(directives));
   if (!leadership_.is_leader()) return;
   for (auto& [unused, machine] : cluster_.machines) cluster_.know_cache(machine);
   if (cluster_.pools.on() != was_on) cluster_.plan_wanted = true;
 }
 
-pools::Sighting Controller::sight_pools(Instant now) {
-  pools::Sighting seen;
+pools::FleetObservation Controller::observe_for_pools(Instant now) {
+  pools::FleetObservation seen;
   if (!leadership_.is_leader()) return seen;
   seen.answers = cluster_.pools.answers();
-  seen.may_rent = cluster_.settings.operators.may_rent;
+  seen.can_scale_out = cluster_.settings.operators.can_scale_out;
   seen.types = cluster_.types;
   for (const std::string& zone : cluster_.settings.zones) {
     if (!cluster_.counted_on(zone)) seen.left_zones.insert(zone);
@@ -25,17 +25,18 @@
   seen.starts = cluster_.pools.take_starts();
   for (const auto& [id, machine] : cluster_.machines) {
     if (machine.type.empty()) continue;
-    pools::Sight sight{.id = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot};
-    sight.leaving = machine.state == MachineState::draining || machine.state == MachineState::returning;
+    pools::MachineObservation observation{.id = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot};
+    observation.leaving = machine.state == MachineState::draining || machine.state == MachineState::returning;
     const bool booked = has_bookings(machine);
-    sight.spare = machine.runs.empty() && !booked && !autoscaler_.is_spare(id) && cluster_.usable(machine, now);
-    for (const TaskKey& key : machine.runs) {
+    observation.spare =
+        machine.allocations.empty() && !booked && !autoscaler_.is_spare(id) && cluster_.usable(machine, now);
+    for (const TaskKey& key : machine.allocations) {
       const Job& job = cluster_.jobs.at(key.job);
-      cluster_.pools.look(sight, job.spec);
+      cluster_.pools.look(observation, job.spec);
     }
     const pools::Cache* const cache = cluster_.pools.cache(id);
-    if (cache != nullptr && cluster_.pools.of_interest(*cache)) sight.images = cache->images();
-    seen.machines.push_back(std::move(sight));
+    if (cache != nullptr && cluster_.pools.of_interest(*cache)) observation.images = cache->images();
+    seen.machines.push_back(std::move(observation));
   }
   for (const auto& [id, unused] : cluster_.pools.members()) {
     if (cluster_.machines.gone(id)) seen.gone.insert(id);
--- a/src/control/controller_records.cpp
+++ b/src/control/controller_records.cpp
@@ -11,11 +11,11 @@
 using guards::Guard;
 using guards::kept;
 
-void Controller::on_job_record(const JobId& id, const wire::Value& record, Revision mark, std::int64_t wall_ms,
+void Controller::on_job_record(const JobId& id, const wire::Value& record, Revision revision, std::int64_t wall_ms,
                                Instant now) {
   if (!leadership_.is_leader()) return;
   cycle_.queue().ranking().tell_time(wall_ms, now);
-  job_intake().on_record(id, record, mark, wall_ms, now);
+  job_intake().on_record(id, record, revision, wall_ms, now);
 }
 
 void Controller::on_job_removed(const JobId& id, Instant now) {
@@ -30,8 +30,8 @@
   return true;
 }
 
-void Controller::on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now) {
-  if (leadership_.is_leader()) job_intake().on_reloaded(reload, mark, now);
+void Controller::on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now) {
+  if (leadership_.is_leader()) job_intake().on_reloaded(reload, revision, now);
 }
 
 std::optional<WriteBatch> Controller::begin_write(Instant now) {
@@ -42,13 +42,14 @@
 void Controller::end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now) {
   // The answer to an earlier lead's write tells nothing of this one: that its condition on the term failed is no reason to
   // give this lead up, and the job table that it was built from is gone.
-  if (!leadership_.is_leader() || (kept(Guard::write_earlier_lead) && batch.term_mark != leadership_.term_revision()))
+  if (!leadership_.is_leader() ||
+      (kept(Guard::write_earlier_lead) && batch.term_revision != leadership_.term_revision()))
     return;
   ++cluster_.counters.writes;
   if (result.answer != kv::Answer::ok) ++cluster_.counters.writes_failed;
   if (result.answer == kv::Answer::conflict &&
       std::ranges::find(result.failed, state::kTermKey) != result.failed.end()) {
-    on_term_conflict(batch.term_mark);
+    on_term_conflict(batch.term_revision);
     return;
   }
   for (const Job& job : cluster_.jobs.end_write(batch, result, now)) {
--- a/src/control/counters.h
+++ b/src/control/counters.h
@@ -6,7 +6,7 @@
 namespace foxshunt::control {
 
 struct Counters {
-  std::uint64_t reports = 0;
+  std::uint64_t heartbeats = 0;
   std::uint64_t passes = 0;
   std::uint64_t portions = 0;      // of the passes
   std::uint64_t jobs_planned = 0;  // in them
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -31,7 +31,7 @@
 
 std::optional<Instant> planned_end(const ClusterState& cluster, const Job& job) {
   // Tasks that have neither a place nor a booking end at no known time, and the job with them.
-  std::uint64_t booked = job.runs_count;
+  std::uint64_t booked = job.allocation_count;
   Instant end;
   const Millis beyond = run_time_beyond_booking(job);
   for (const plan::BookingId booking : job.booked) {
@@ -40,9 +40,9 @@
     end = std::max(end, found->stop + beyond);
     booked += task_count(*found, job);
   }
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) {
-      const plan::Booking* found = cluster.planner.booking(run.booking);
+  for (const JobShard& shard : job.shards) {
+    for (const auto& [unused, allocation] : shard.allocations) {
+      const plan::Booking* found = cluster.planner.booking(allocation.booking);
       if (found != nullptr) end = std::max(end, found->stop);
     }
   }
@@ -65,7 +65,7 @@
   const std::int64_t fit = job.each.count_in(TaskPricing(view.cluster, view.demand).offered(job.spec, kind));
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
-                        .boot = from_seconds(kind.boot_s) + constants::kCloudCallLimit,
+                        .boot = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
                         .fetch = view.cluster.fetch_time(job.spec, kind.name),
                         .fit = static_cast<std::uint64_t>(fit)};
   bool any = false;
@@ -75,7 +75,7 @@
       any = true;
       const double hourly = spot ? kind.spot_price : kind.price;
       if (!view.cluster.counted_on(zone) || hourly > price_most * static_cast<double>(fit)) continue;
-      found.to_rent = found.to_rent || view.capacity.counted_on({kind.name, zone, spot}, have);
+      found.can_scale_out = found.can_scale_out || view.capacity.counted_on({kind.name, zone, spot}, have);
     }
   }
   return any ? std::optional(std::move(found)) : std::nullopt;
@@ -85,7 +85,7 @@
   foresight::Work work{.by = by, .run = run_time(job)};
   work.waiting = job.pending();
   work.together = is_gang(job);
-  work.may_rent = view.cluster.settings.operators.may_rent;
+  work.can_scale_out = view.cluster.settings.operators.can_scale_out;
   work.end = planned_end(view.cluster, job);
   work.late = work.waiting - std::min(work.waiting, tasks_booked_by(view.cluster.planner, job, by));
   if (const config::Team* team = view.cluster.settings.team(job.spec.team); team != nullptr) {
@@ -94,69 +94,71 @@
   if (const classes::Rank* rank = view.ranking.find(job.spec.id); rank != nullptr && view.ranking.on()) {
     work.capped = rank->capped;
   }
-  const double price_most = TaskPricing(view.cluster, view.demand).lowest_price(job.spec) * constants::kLatePriceMost;
+  const double price_most =
+      TaskPricing(view.cluster, view.demand).lowest_price(job.spec) * constants::kMaxLatePriceFactor;
   for (const wire::MachineType& kind : view.cluster.types) {
     if (auto rentable = rentable_kind(view, job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
   }
   return work;
 }
 
-std::optional<foresight::Prospect> forecast_of(const PlanView& view, const Job& job, Instant by,
-                                               const CloudCapacityTracker::Held& have, Instant planned_at,
-                                               Instant now) {
+std::optional<foresight::DeadlineForecast> forecast_of(const PlanView& view, const Job& job, Instant by,
+                                                       const CloudCapacityTracker::Held& have, Instant planned_at,
+                                                       Instant now) {
   // A pass books some of a very large array only; the rest is not late for that.
-  if (job.withdrawn || is_service(job) || job.pending() > constants::kTasksPlannedPerPass) return std::nullopt;
+  if (job.cancelled || is_service(job) || job.pending() > constants::kMaxTasksPlannedPerPass) return std::nullopt;
   const auto end = planned_end(view.cluster, job);
-  if (end && *end <= by) return foresight::Prospect{.end = end};
+  if (end && *end <= by) return foresight::DeadlineForecast{.end = end};
   // What came after the latest pass began has no place in it yet.
   if (!end && job.submitted >= planned_at) return std::nullopt;
-  return foresight::look(work_of(view, job, by, have), now);
+  return foresight::forecast_deadline(work_of(view, job, by, have), now);
 }
 
 }  // namespace
 
-bool DeadlinePlanner::on_dues(foresight::Dues dues) {
-  const bool same = std::ranges::equal(dues, dues_, [](const auto& one, const auto& other) {
+bool DeadlinePlanner::on_due_jobs(foresight::DueJobs dues) {
+  const bool same = std::ranges::equal(dues, due_jobs_, [](const auto& one, const auto& other) {
     return one.first == other.first && one.second.step == other.second.step;
   });
-  dues_ = std::move(dues);
+  due_jobs_ = std::move(dues);
   return !same;
 }
 
 std::map<JobId, int> DeadlinePlanner::slack() const {
   std::map<JobId, int> slack;
-  for (const auto& [id, due] : dues_) slack.emplace_hint(slack.end(), id, due.step);
+  for (const auto& [id, due] : due_jobs_) slack.emplace_hint(slack.end(), id, due.step);
   return slack;
 }
 
 std::map<JobId, Instant> DeadlinePlanner::planned_ends(const ClusterState& cluster) const {
   std::map<JobId, Instant> ends;
   for (const auto& [id, job] : cluster.jobs) {
-    if (job.withdrawn || is_service(job) || dues_.contains(id)) continue;
+    if (job.cancelled || is_service(job) || due_jobs_.contains(id)) continue;
     if (const auto end = planned_end(cluster, job)) ends.emplace_hint(ends.end(), id, *end);
   }
   return ends;
 }
 
-std::map<JobId, foresight::Prospect> DeadlinePlanner::prospects(const PlanView& view, Instant planned_at,
-                                                                Instant now) const {
-  std::map<JobId, foresight::Prospect> prospects;
-  if (dues_.empty() || view.cluster.types.empty()) return prospects;
+std::map<JobId, foresight::DeadlineForecast> DeadlinePlanner::deadline_forecasts(const PlanView& view,
+                                                                                 Instant planned_at,
+                                                                                 Instant now) const {
+  std::map<JobId, foresight::DeadlineForecast> deadline_forecasts;
+  if (due_jobs_.empty() || view.cluster.types.empty()) return deadline_forecasts;
   const CloudCapacityTracker::Held have = view.cluster.machines.held();
-  for (const auto& [id, due] : dues_) {
+  for (const auto& [id, due] : due_jobs_) {
     const auto entry = view.cluster.jobs.find(id);
     if (entry == view.cluster.jobs.end()) continue;
-    if (auto prospect = forecast_of(view, entry->second, due.by, have, planned_at, now)) {
-      prospects.emplace_hint(prospects.end(), id, std::move(*prospect));
+    if (auto forecast = forecast_of(view, entry->second, due.by, have, planned_at, now)) {
+      deadline_forecasts.emplace_hint(deadline_forecasts.end(), id, std::move(*forecast));
     }
   }
-  return prospects;
+  return deadline_forecasts;
 }
 
 std::uint32_t DeadlinePlanner::overdue(const PlanView& view, const Job& job, const std::vector<plan::Placing>& placings,
                                        const std::vector<plan::Place>& places, Instant now) const {
-  const auto due = dues_.find(job.spec.id);
-  if (due == dues_.end()) return 0;
+  const auto due = due_jobs_.find(job.spec.id);
+  if (due == due_jobs_.end()) return 0;
   const Instant by = due->second.by;
   std::uint32_t late = 0;
   for (const plan::Placing& placing : placings) {
@@ -171,15 +173,15 @@
 }
 
 Millis DeadlinePlanner::max_startup_for_deadline(const Job& job, Instant now) const {
-  const auto due = dues_.find(job.spec.id);
-  if (due == dues_.end()) return Millis::max();
+  const auto due = due_jobs_.find(job.spec.id);
+  if (due == due_jobs_.end()) return Millis::max();
   return due->second.by - now - run_time(job);
 }
 
 Millis DeadlinePlanner::scale_out_delay(const Job& job, Instant now) const {
   if (job.spec.deadline_s) {
     Instant by = job.submitted + from_seconds(*job.spec.deadline_s);
-    if (const auto due = dues_.find(job.spec.id); due != dues_.end()) by = std::min(by, due->second.by);
+    if (const auto due = due_jobs_.find(job.spec.id); due != due_jobs_.end()) by = std::min(by, due->second.by);
     const Instant latest = by - estimate(job) * 3 / 2;
     return std::max(Millis(0), latest - now);
   }
--- a/src/control/deadline_planner.h
+++ b/src/control/deadline_planner.h
@@ -30,13 +30,13 @@
 class DeadlinePlanner {
  public:
   // Takes what the calendar's records ask of jobs. Whether that changes their order.
-  bool on_dues(foresight::Dues dues);
+  bool on_due_jobs(foresight::DueJobs dues);
   // The steps of slack of the due jobs, by which they are ranked.
   [[nodiscard]] std::map<JobId, int> slack() const;
 
   // What becomes of the due jobs by the plan, and what lacks. `planned_at`: when the latest pass began.
-  [[nodiscard]] std::map<JobId, foresight::Prospect> prospects(const PlanView& view, Instant planned_at,
-                                                               Instant now) const;
+  [[nodiscard]] std::map<JobId, foresight::DeadlineForecast> deadline_forecasts(const PlanView& view,
+                                                                                Instant planned_at, Instant now) const;
   // When the plan says that other jobs end; those without a booking are left out.
   [[nodiscard]] std::map<JobId, Instant> planned_ends(const ClusterState& cluster) const;
   // How many of the tasks are planned to end too late, if machines rented now would keep the deadline.
@@ -48,7 +48,7 @@
   [[nodiscard]] Millis scale_out_delay(const Job& job, Instant now) const;
 
  private:
-  foresight::Dues dues_;
+  foresight::DueJobs due_jobs_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/demand_estimator.cpp
+++ b/src/control/demand_estimator.cpp
@@ -62,7 +62,7 @@
   const double jobs = static_cast<double>(arrivals.size()) / window_s * cover_s;
   const double mean = tasks / static_cast<double>(arrivals.size());
   // Arrivals scatter like a Poisson process; the reserve covers what comes while a machine boots.
-  return static_cast<std::int64_t>(std::ceil((jobs + constants::kReserveSpread * std::sqrt(jobs)) * mean));
+  return static_cast<std::int64_t>(std::ceil((jobs + constants::kReserveDeviations * std::sqrt(jobs)) * mean));
 }
 
 // ---- hints ----
@@ -72,7 +72,7 @@
 }
 
 void DemandEstimator::hint_sample(const wire::JobSpec& sample) {
-  if (classes_.size() < constants::kClassesMost && !classes_.contains(sample.job_class)) {
+  if (classes_.size() < constants::kMaxTrackedClasses && !classes_.contains(sample.job_class)) {
     classes_[sample.job_class].sample = sample;
   }
 }
--- a/src/control/explanation.cpp
+++ b/src/control/explanation.cpp
@@ -25,7 +25,7 @@
 std::optional<std::string> Explanation::wait(const Job& job) const {
   const bool gang = is_gang(job);
   if (gang && job.gather_until) return "; they join the rest of the gang, which waits for them";
-  if (gang && job.runs_count > 0) return "; the gang starts again when nothing of its attempt before is left";
+  if (gang && job.allocation_count > 0) return "; the gang starts again when nothing of its attempt before is left";
   if (!can_start_) return "; nothing is started while the state service does not answer";
   if (!quota_for(cluster_, job, gang ? job.pending() : 1)) return "; its team's limit is used up";
   return std::nullopt;
@@ -49,7 +49,7 @@
 }
 
 std::string Explanation::renting() const {
-  if (!cluster_.settings.operators.may_rent) return "; the settings forbid renting";
+  if (!cluster_.settings.operators.can_scale_out) return "; the settings forbid renting";
   return capacity_.wanted() ? "; machines are being rented" : "";
 }
 
@@ -57,9 +57,9 @@
   const auto entry = cluster_.jobs.find(id);
   if (entry == cluster_.jobs.end()) return std::nullopt;
   const Job& job = entry->second;
-  if (job.withdrawn) return fmt::format("withdrawn; {} tasks are being stopped", job.runs_count);
+  if (job.cancelled) return fmt::format("withdrawn; {} tasks are being stopped", job.allocation_count);
   const std::uint32_t waiting = job.pending();
-  if (waiting == 0) return fmt::format("all tasks that are not done are placed: {}", job.runs_count);
+  if (waiting == 0) return fmt::format("all tasks that are not done are placed: {}", job.allocation_count);
   std::string text = fmt::format("{} of {} tasks wait", waiting, job.spec.tasks) + rank(job);
   if (const auto held = hold(job, now)) return text + *held;
   if (!job.spec.zone.empty() && !cluster_.zones.trusted(job.spec.zone)) {
--- a/src/control/failover.h
+++ b/src/control/failover.h
@@ -10,13 +10,13 @@
 
 namespace foxshunt::control {
 
-struct Takeover {
+struct FailoverSnapshot {
   Term term;
-  Revision term_mark;
-  plan::Instant others_until;  // until then older leaders may still renew agents' leases
-  std::vector<kv::Entry> live;
-  std::vector<kv::Entry> linger;
-  std::vector<kv::Entry> parts;
+  Revision term_revision;
+  plan::Instant older_leaders_until;  // until then older leaders may still renew agents' leases
+  std::vector<kv::Entry> active_jobs;
+  std::vector<kv::Entry> terminating_jobs;
+  std::vector<kv::Entry> shards;
   std::int64_t wall_ms = 0;  // now, by the time of day
 };
 
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 Millis barrier_timeout(const config::Settings& settings) {
-  return from_seconds(std::min(settings.gang_wait_s / 4, to_seconds(constants::kGangGather)));
+  return from_seconds(std::min(settings.gang_wait_s / 4, to_seconds(constants::kGangBarrierTimeout)));
 }
 
 // How long until the machine has the job's image, if the task is placed there now.
@@ -28,25 +28,25 @@
 
 // How long until the placed task has its image, by the machine type's rate and by what was reported; never nothing
 // while it is known to fetch.
-Millis image_left(const ClusterState& cluster, const Job& job, const Run& run, Instant now) {
-  const auto machine = cluster.machines.find(run.machine);
+Millis image_left(const ClusterState& cluster, const Job& job, const Allocation& allocation, Instant now) {
+  const auto machine = cluster.machines.find(allocation.machine);
   if (machine == cluster.machines.end()) return Millis(0);
-  const bool told = run.seen && *run.seen == wire::TaskState::fetching;
-  if (!told && (run.seen || machine->second.images.contains(job.spec.image))) return Millis(0);
-  const Millis passed = std::max(Millis(0), now - run.placed);
+  const bool told = allocation.seen && *allocation.seen == wire::TaskState::fetching;
+  if (!told && (allocation.seen || machine->second.images.contains(job.spec.image))) return Millis(0);
+  const Millis passed = std::max(Millis(0), now - allocation.placed);
   const Millis whole = cluster.fetch_time(job.spec, machine->second.type);
   // One that is overdue takes as much longer as it has shown already.
-  return std::max({whole - passed, passed / constants::kFetchOverdue, told ? constants::kTick : Millis(0)});
+  return std::max({whole - passed, passed / constants::kFetchOverdueDivisor, told ? constants::kTick : Millis(0)});
 }
 
 // Whether the placed tasks of a gang fetch still, and not for longer than is to be believed.
 bool fetches(const ClusterState& cluster, const Job& job, Instant now) {
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) {
-      const auto machine = cluster.machines.find(run.machine);
-      if (machine == cluster.machines.end() || image_left(cluster, job, run, now) == Millis(0)) continue;
-      const Millis most = cluster.fetch_time(job.spec, machine->second.type) * constants::kFetchDoubt;
-      if (now - run.placed < most + from_seconds(cluster.settings.gang_wait_s)) return true;
+  for (const JobShard& shard : job.shards) {
+    for (const auto& [unused, allocation] : shard.allocations) {
+      const auto machine = cluster.machines.find(allocation.machine);
+      if (machine == cluster.machines.end() || image_left(cluster, job, allocation, now) == Millis(0)) continue;
+      const Millis most = cluster.fetch_time(job.spec, machine->second.type) * constants::kFetchDoubtFactor;
+      if (now - allocation.placed < most + from_seconds(cluster.settings.gang_wait_s)) return true;
     }
   }
   return false;
@@ -57,7 +57,7 @@
                                                                const DemandEstimator& demand, Instant now) {
   std::vector<GangReservation::Candidate> candidates;
   for (const auto& [id, job] : cluster.jobs) {
-    const bool waits_whole = job.runs_count == 0 && job.pending() > 0 && !job.withdrawn && job.not_before <= now;
+    const bool waits_whole = job.allocation_count == 0 && job.pending() > 0 && !job.cancelled && job.not_before <= now;
     if (!is_gang(job) || !waits_whole) continue;
     if (now - job.submitted < constants::kReservationAfter) continue;
     if (!demand.largest(job.spec.job_class, job.spec.tasks)) continue;
@@ -72,14 +72,14 @@
 // ---- start barrier ----
 
 bool GangCoordinator::waits_at_barrier(const Job& job) {
-  return job.spec.kind == wire::JobKind::gang && job.runs_count > 0 &&
-         std::ranges::all_of(job.parts, [](const Part& part) {
-           return std::ranges::all_of(part.runs, [](const auto& entry) {
-             const Run& run = entry.second;
-             if (run.halting) return false;
+  return job.spec.kind == wire::JobKind::gang && job.allocation_count > 0 &&
+         std::ranges::all_of(job.shards, [](const JobShard& shard) {
+           return std::ranges::all_of(shard.allocations, [](const auto& entry) {
+             const Allocation& allocation = entry.second;
+             if (allocation.stopping) return false;
              // What an earlier leader placed may have begun long ago.
-             if (!run.seen) return !run.adopted;
-             return *run.seen == TaskState::fetching || *run.seen == TaskState::waiting;
+             if (!allocation.seen) return !allocation.adopted;
+             return *allocation.seen == TaskState::fetching || *allocation.seen == TaskState::waiting;
            });
          });
 }
@@ -96,7 +96,7 @@
 // completes it. Ending the attempt instead costs all the others their places and image fetches. If it has started after all
 // the others tell so by `mates_gone`, and the attempt ends as always.
 bool GangCoordinator::survives_loss(ClusterState& cluster, Job& job, bool had_run, Instant now) {
-  if (had_run || job.withdrawn || !waits_at_barrier(job)) return false;
+  if (had_run || job.cancelled || !waits_at_barrier(job)) return false;
   hold_start_barrier(cluster, job, now);
   return true;
 }
@@ -118,15 +118,17 @@
                                                         const std::vector<plan::Placing>& placings, Instant now) {
   Millis last{};
   Millis first = Millis::max();
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) last = std::max(last, image_left(cluster, job, run, now));
+  for (const JobShard& shard : job.shards) {
+    for (const auto& [unused, allocation] : shard.allocations)
+      last = std::max(last, image_left(cluster, job, allocation, now));
   }
   for (const plan::Placing& placing : placings) {
     const Millis wait = image_wait(cluster, job, cluster.machines.at(placing.machine));
     last = std::max(last, wait);
     first = std::min(first, wait);
   }
-  if (last - first > from_seconds(cluster.settings.gang_wait_s) / constants::kGangApart) job.in_stages = true;
+  if (last - first > from_seconds(cluster.settings.gang_wait_s) / constants::kGangFetchSpreadDivisor)
+    job.in_stages = true;
   if (!job.in_stages) return placings;
   std::vector<plan::Placing> due;
   for (const plan::Placing& placing : placings) {
--- a/src/control/gang_reservation.cpp
+++ b/src/control/gang_reservation.cpp
@@ -18,7 +18,7 @@
   const auto first = std::ranges::min_element(
       candidates, {}, [](const Candidate& candidate) { return std::tie(candidate.submitted, candidate.job); });
   holder_ = first->job;
-  until_ = now + constants::kReservationMost;
+  until_ = now + constants::kMaxReservation;
 }
 
 void GangReservation::plan(std::string zone, std::set<MachineId> machines) {
@@ -30,7 +30,7 @@
   holder_.reset();
   zone_.clear();
   machines_.clear();
-  not_before_ = now + constants::kReservationPause;
+  not_before_ = now + constants::kReservationBackoff;
 }
 
 }  // namespace foxshunt::control
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -15,32 +15,32 @@
 
 // ---- taken over from earlier leaders ----
 
-void JobIntake::restore(const Takeover& takeover, Instant now) {
-  restore_jobs(takeover, now);
+void JobIntake::restore(const FailoverSnapshot& failover, Instant now) {
+  restore_jobs(failover, now);
   std::size_t allocated = 0;
-  for (const auto& [unused, job] : cluster_.jobs) allocated += job.runs_count;
+  for (const auto& [unused, job] : cluster_.jobs) allocated += job.allocation_count;
   resume_jobs(now);
   cluster_.plan_wanted = true;
-  spdlog::info("leading in term {}: {} jobs, {} placed tasks", takeover.term.number(), cluster_.jobs.size(), allocated);
+  spdlog::info("leading in term {}: {} jobs, {} placed tasks", failover.term.number(), cluster_.jobs.size(), allocated);
 }
 
-void JobIntake::restore_jobs(const Takeover& takeover, Instant now) {
+void JobIntake::restore_jobs(const FailoverSnapshot& failover, Instant now) {
   // What lingers is read last, and a job that its user cancels meanwhile is in both: taken in twice its tasks would
   // count twice for the team's quota, and once more than they can be confirmed terminated.
-  for (const kv::Entry& entry : takeover.linger) {
-    if (Job* job = restore_job(entry, takeover.wall_ms, now); job != nullptr) job->withdrawn = true;
+  for (const kv::Entry& entry : failover.terminating_jobs) {
+    if (Job* job = restore_job(entry, failover.wall_ms, now); job != nullptr) job->cancelled = true;
   }
-  for (const kv::Entry& entry : takeover.live) {
+  for (const kv::Entry& entry : failover.active_jobs) {
     const auto id = state::job_of_key(entry.key);
     if (kept(Guard::adopted_once) && id && cluster_.jobs.find(*id) != cluster_.jobs.end()) continue;
-    restore_job(entry, takeover.wall_ms, now);
+    restore_job(entry, failover.wall_ms, now);
   }
-  for (const kv::Entry& entry : takeover.parts) restore_part(entry, now);
+  for (const kv::Entry& entry : failover.shards) restore_part(entry, now);
 }
 
 Job* JobIntake::restore_job(const kv::Entry& entry, std::int64_t wall_ms, Instant now) {
   try {
-    return &add_job(state::job_from(entry.data), entry.mark, wall_ms, now);
+    return &add_job(state::job_from(entry.data), entry.revision, wall_ms, now);
   } catch (const wire::Malformed& error) {
     spdlog::error("record {} cannot be read: {}", entry.key, error.what());
     return nullptr;
@@ -49,15 +49,16 @@
 
 void JobIntake::restore_part(const kv::Entry& entry, Instant now) {
   const auto id = state::job_of_key(entry.key);
-  const auto number = state::part_of_key(entry.key);
+  const auto number = state::shard_of_key(entry.key);
   const auto known = id ? cluster_.jobs.find(*id) : cluster_.jobs.end();
-  if (known == cluster_.jobs.end() || !number || *number >= known->second.parts.size()) return;
+  if (known == cluster_.jobs.end() || !number || *number >= known->second.shards.size()) return;
   Job& job = known->second;
   try {
-    job.parts[*number].mark = entry.mark;
-    job.parts[*number].recorded = true;
-    cluster_.jobs.adopt_part(job, *number, state::part_from(entry.data, state::part_size(job.spec.tasks, *number)),
-                             cluster_.machines, now);
+    job.shards[*number].revision = entry.revision;
+    job.shards[*number].recorded = true;
+    cluster_.jobs.adopt_shard(job, *number,
+                              state::job_shard_from(entry.data, state::shard_size(job.spec.tasks, *number)),
+                              cluster_.machines, now);
     book_adopted(job, *number, now);
   } catch (const wire::Malformed& error) {
     spdlog::error("record {} cannot be read: {}", entry.key, error.what());
@@ -69,19 +70,19 @@
   for (auto& [id, job] : cluster_.jobs) {
     // That a gang lost a task and waits for another, or that the rest is to be stopped, only the earlier leader knew: unless
     // another task joins them, those that wait would keep their places until they give up by themselves.
-    const bool incomplete_gang = job.spec.kind == wire::JobKind::gang && job.runs_count > 0 && job.pending() > 0;
+    const bool incomplete_gang = job.spec.kind == wire::JobKind::gang && job.allocation_count > 0 && job.pending() > 0;
     if (incomplete_gang) GangCoordinator::hold_start_barrier(cluster_, job, now);
-    if (job.withdrawn) cancelled.push_back(id);
+    if (job.cancelled) cancelled.push_back(id);
   }
   for (const JobId& id : cancelled) {
     Job& job = cluster_.jobs.at(id);
-    job.had_runs = true;
+    job.had_allocations = true;
     tasks_.cancel(job, now);
   }
 }
 
-Job& JobIntake::add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now) {
-  Job& job = cluster_.jobs.add(record, mark, wall_ms, cluster_.machines, now);
+Job& JobIntake::add_job(const state::JobRecord& record, Revision revision, std::int64_t wall_ms, Instant now) {
+  Job& job = cluster_.jobs.add(record, revision, wall_ms, cluster_.machines, now);
   demand_.learn(job.spec, job.each, job.submitted);
   if (record.whole) book_adopted(job, 0, now);
   cluster_.plan_wanted = true;
@@ -89,23 +90,23 @@
 }
 
 void JobIntake::book_adopted(Job& job, std::uint32_t number, Instant now) {
-  for (auto& [unused, run] : job.parts[number].runs) {
-    cluster_.know_cache(cluster_.machines.at(run.machine));
-    run.booking = cluster_.planner.book({.machine = run.machine,
-                                         .team = job.spec.team,
-                                         .amounts = job.each,
-                                         .start = now,
-                                         .stop = now + estimate(job)});
+  for (auto& [unused, allocation] : job.shards[number].allocations) {
+    cluster_.know_cache(cluster_.machines.at(allocation.machine));
+    allocation.booking = cluster_.planner.book({.machine = allocation.machine,
+                                                .team = job.spec.team,
+                                                .amounts = job.each,
+                                                .start = now,
+                                                .stop = now + estimate(job)});
   }
 }
 
 // ---- changes of records ----
 
-void JobIntake::on_record(const JobId& id, const wire::Value& record, Revision mark, std::int64_t wall_ms,
+void JobIntake::on_record(const JobId& id, const wire::Value& record, Revision revision, std::int64_t wall_ms,
                           Instant now) {
-  if (!cluster_.jobs.on_record(id, mark)) return;
+  if (!cluster_.jobs.on_record(id, revision)) return;
   try {
-    const Job& job = add_job(state::job_from(record), mark, wall_ms, now);
+    const Job& job = add_job(state::job_from(record), revision, wall_ms, now);
     spdlog::info("job {} of team {}: {} tasks of class {}", id.text(), job.spec.team, job.spec.tasks,
                  job.spec.job_class);
   } catch (const wire::Malformed& error) {
@@ -113,17 +114,17 @@
   }
 }
 
-void JobIntake::on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now) {
-  Job* job = cluster_.jobs.on_reloaded(reload, mark);
+void JobIntake::on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now) {
+  Job* job = cluster_.jobs.on_reloaded(reload, revision);
   if (job == nullptr) return;
-  spdlog::info("job {}: its record is gone, {} tasks to stop", reload.job.text(), job->runs_count);
+  spdlog::info("job {}: its record is gone, {} tasks to stop", reload.job.text(), job->allocation_count);
   tasks_.cancel(*job, now);
 }
 
 void JobIntake::on_removed(const JobId& id, Instant now) {
   Job* job = cluster_.jobs.on_removed(id);
   if (job == nullptr) return;
-  spdlog::info("job {}: withdrawn, {} tasks to stop", id.text(), job->runs_count);
+  spdlog::info("job {}: withdrawn, {} tasks to stop", id.text(), job->allocation_count);
   tasks_.cancel(*job, now);
 }
 
@@ -133,11 +134,11 @@
     const auto id = state::job_of_key(entry.key);
     if (!id) continue;
     there.insert(*id);
-    on_record(*id, entry.data, entry.mark, wall_ms, now);
+    on_record(*id, entry.data, entry.revision, wall_ms, now);
   }
   std::vector<JobId> removed;
   for (const auto& [id, job] : cluster_.jobs.all()) {
-    if (!job.withdrawn && !there.contains(id)) removed.push_back(id);
+    if (!job.cancelled && !there.contains(id)) removed.push_back(id);
   }
   for (const JobId& id : removed) on_removed(id, now);
 }
--- a/src/control/job_intake.h
+++ b/src/control/job_intake.h
@@ -28,22 +28,22 @@
       : cluster_(cluster), tasks_(cluster, leadership), demand_(demand) {}
 
   // Takes in what earlier leaders have recorded, and goes on with gangs and cancellations that they have left half done.
-  void restore(const Takeover& takeover, Instant now);
-  void on_record(const JobId& id, const wire::Value& record, Revision mark, std::int64_t wall_ms, Instant now);
+  void restore(const FailoverSnapshot& failover, Instant now);
+  void on_record(const JobId& id, const wire::Value& record, Revision revision, std::int64_t wall_ms, Instant now);
   void on_removed(const JobId& id, Instant now);
   // All records of active jobs: jobs without one are cancelled.
   void on_list(const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now);
   // What a fresh read of the record found.
-  void on_reloaded(const jobs::Reload& reload, std::optional<Revision> mark, Instant now);
+  void on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now);
 
  private:
-  void restore_jobs(const Takeover& takeover, Instant now);
+  void restore_jobs(const FailoverSnapshot& failover, Instant now);
   Job* restore_job(const kv::Entry& entry, std::int64_t wall_ms, Instant now);
   void restore_part(const kv::Entry& entry, Instant now);
   void resume_jobs(Instant now);
-  Job& add_job(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, Instant now);
+  Job& add_job(const state::JobRecord& record, Revision revision, std::int64_t wall_ms, Instant now);
   // What a record places there is believed to run for its estimate from now on.
-  void book_adopted(Job& job, std::uint32_t part, Instant now);
+  void book_adopted(Job& job, std::uint32_t shard, Instant now);
 
   ClusterState& cluster_;
   TaskLifecycle tasks_;
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -29,13 +29,13 @@
   return placings;
 }
 
-AttemptNo gang_attempt(const Job& job) {
-  for (const Part& part : job.parts | std::views::reverse) {
+AttemptNumber gang_attempt(const Job& job) {
+  for (const JobShard& shard : job.shards | std::views::reverse) {
     // Who joins has the number of the others.
-    if (!part.runs.empty()) return part.runs.begin()->second.attempt;
+    if (!shard.allocations.empty()) return shard.allocations.begin()->second.attempt;
   }
-  AttemptNo attempt{1};
-  for (const Part& part : job.parts) attempt = std::max(attempt, part.next);
+  AttemptNumber attempt{1};
+  for (const JobShard& shard : job.shards) attempt = std::max(attempt, shard.next);
   return attempt;
 }
 
@@ -60,16 +60,16 @@
 std::uint32_t JobPlanner::tasks_to_plan(const Job& job, bool joins) {
   const bool gang = is_gang(job);
   const std::uint32_t count =
-      gang ? job.pending() : std::min<std::uint32_t>(job.pending(), constants::kTasksPlannedPerPass);
+      gang ? job.pending() : std::min<std::uint32_t>(job.pending(), constants::kMaxTasksPlannedPerPass);
   if (!queue_.ranking().on() || joins) return count;
   return static_cast<std::uint32_t>(queue_.ranking().room(job.spec, count, gang));
 }
 
 void JobPlanner::add_zones_taken(const Job& job, plan::Request& request) const {
   if (!job.spec.spread && !job.spec.one_zone) return;
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) {
-      const auto machine = cluster_.machines.find(run.machine);
+  for (const JobShard& shard : job.shards) {
+    for (const auto& [unused, allocation] : shard.allocations) {
+      const auto machine = cluster_.machines.find(allocation.machine);
       if (machine == cluster_.machines.end()) continue;
       ++request.zone_taken[machine->second.zone];
       if (job.spec.one_zone) request.zone_bound = machine->second.zone;
@@ -120,7 +120,7 @@
 
 bool JobPlanner::may_preempt(const Job& job, Instant now) const {
   return cluster_.settings.operators.preemption && now >= job.displaces_after &&
-         job.planned_start.value_or(plan::kForever) > now + constants::kPreemptWait;
+         job.planned_start.value_or(plan::kForever) > now + constants::kMinWaitToPreempt;
 }
 
 std::size_t JobPlanner::plan_job(Job& job, Instant now) {
@@ -128,7 +128,7 @@
   turn.gang = is_gang(job);
   // A gang begins again only when nothing of its earlier attempt is left, unless it has lost a task before it began: then
   // another one joins the rest.
-  turn.joins = turn.gang && job.runs_count > 0;
+  turn.joins = turn.gang && job.allocation_count > 0;
   if (!turn.joins) {
     job.gather_until.reset();
   } else if (!may_replace_members(job, now)) {
@@ -170,7 +170,7 @@
 
 bool JobPlanner::place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
   if (!gang_fits_now(job, placings, now)) return false;
-  const AttemptNo attempt = gang_attempt(job);
+  const AttemptNumber attempt = gang_attempt(job);
   const std::vector<std::uint32_t> tasks = jobs::JobTable::pending_tasks(job, job.spec.tasks);
   auto next = tasks.begin();
   for (const plan::Placing& placing : GangCoordinator::members_due(cluster_, job, placings, now)) {
@@ -193,7 +193,7 @@
       if (!room_for(cluster_, job, machine, 1) || !quota_for(cluster_, job, 1) ||
           !place_allowed(cluster_, job, machine, 1))
         break;
-      tasks_.place(job, index, job.parts[index / constants::kTasksPerPart].next, machine, now);
+      tasks_.place(job, index, job.shards[index / constants::kTasksPerShard].next, machine, now);
       any = true;
     }
   }
@@ -208,7 +208,7 @@
   const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).longest_boot(job.spec);
   if (!due) return 0;
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
-                                           : std::min(job.stranded, std::uint32_t{constants::kTasksPlannedPerPass});
+                                           : std::min(job.stranded, std::uint32_t{constants::kMaxTasksPlannedPerPass});
   plan::Request request = planning_request(job, count, std::max(now, job.stranded_until));
   request.places = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
   std::uint32_t planned = 0;
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -28,7 +28,7 @@
 
 void Leadership::yield(std::string_view reason, Instant now) {
   step_down(reason);
-  yields_until_ = now + constants::kGiveWay;
+  yields_until_ = now + constants::kLeadershipYieldTimeout;
 }
 
 void Leadership::on_term_conflict(Revision term_revision) {
@@ -60,7 +60,7 @@
 }
 
 bool Leadership::can_start(Instant now) const {
-  return is_leader_ && (!kept(Guard::start_confirmed) || now < last_confirmed() + constants::kLeaderLease);
+  return is_leader_ && (!kept(Guard::start_confirmed) || now < last_confirmed() + constants::kLeaderLeaseTtl);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -12,12 +12,12 @@
   if (!cluster_.pools.on()) return true;
   if (warms) {
     return cluster_.pools.lacks(*warms, machine.id, job.spec.image) &&
-           std::ranges::none_of(machine.runs, [&](const TaskKey& key) {
+           std::ranges::none_of(machine.allocations, [&](const TaskKey& key) {
              return cluster_.jobs.at(key.job).spec.image == job.spec.image;
            });
   }
   // A service's replicas don't end: that one runs gives the others no room.
-  const bool stuck = job.runs_count == 0 || is_service(job);
+  const bool stuck = job.allocation_count == 0 || is_service(job);
   return cluster_.pools.allows(job.spec, estimate(job), stuck ? now - job.submitted : Millis(0), machine.id);
 }
 
@@ -56,7 +56,7 @@
                                     plan::Items& spare_gpus) const {
   Amounts plain = job.each;
   Amounts gpu_work;
-  for (const TaskKey& key : machine.runs) {
+  for (const TaskKey& key : machine.allocations) {
     const Job& other = cluster_.jobs.at(key.job);
     (other.spec.gpus <= 0 ? plain : gpu_work) += other.each;
   }
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -23,7 +23,7 @@
 MachineHousekeeper::Verdict MachineHousekeeper::review(Machine& machine, Instant now) {
   expire_lease(machine, now);
   give_up_unheard_tasks(machine, now);
-  if (!machine.runs.empty()) return Verdict::stays;
+  if (!machine.allocations.empty()) return Verdict::stays;
   const bool awaited = is_zone_awaited(machine, now);
   if (machine.state == MachineState::booting && is_boot_lost(machine, now) && !awaited) {
     machine.state = MachineState::returning;
@@ -35,7 +35,7 @@
     return Verdict::returning;
   }
   // Dead machines stay listed for a while.
-  if (machine.expired && !awaited && now - machine.last_report > lease_span(cluster_.settings) * 2) {
+  if (machine.expired && !awaited && now - machine.last_heartbeat > lease_span(cluster_.settings) * 2) {
     machine.state = MachineState::returning;
     if (machine.why.empty()) machine.why = "it is silent";
     return Verdict::returning;
@@ -45,10 +45,10 @@
 
 void MachineHousekeeper::expire_lease(Machine& machine, Instant now) {
   // Nobody can have renewed its lease since.
-  if (machine.expired || machine.state == MachineState::booting || !cluster_.lease_over(machine, now)) return;
+  if (machine.expired || machine.state == MachineState::booting || !cluster_.is_lease_expired(machine, now)) return;
   machine.expired = true;
-  const std::set<TaskKey> runs = machine.runs.copy();
-  if (!runs.empty() || machine.reported) {
+  const std::set<TaskKey> runs = machine.allocations.copy();
+  if (!runs.empty() || machine.has_reported) {
     // Of a zone that is gone one line tells, not hundreds.
     const bool alone = cluster_.zones.of(machine.zone) != zone::State::cut;
     spdlog::log(alone ? spdlog::level::info : spdlog::level::debug,
@@ -59,8 +59,9 @@
 
 void MachineHousekeeper::give_up_unheard_tasks(Machine& machine, Instant now) {
   // They count until the lease can't have been renewed.
-  if (machine.state != MachineState::booting || machine.runs.empty() || !cluster_.lease_over(machine, now)) return;
-  const std::set<TaskKey> runs = machine.runs.copy();
+  if (machine.state != MachineState::booting || machine.allocations.empty() || !cluster_.is_lease_expired(machine, now))
+    return;
+  const std::set<TaskKey> runs = machine.allocations.copy();
   for (const TaskKey& key : runs) {
     Job& job = cluster_.jobs.at(key.job);
     tasks_.confirm_terminated(job, key.index, "no leader has heard of its machine", now);
@@ -76,15 +77,15 @@
   const Millis known = now - machine.known;
   if (machine.listed.running || machine.hinted == inventory::Hinted::up) return known > lease * 2 + boot;
   const bool type_known = cluster_.type(machine.type) != nullptr;
-  return type_known && known > lease && now - machine.since > boot * constants::kBootLost;
+  return type_known && known > lease && now - machine.since > boot * constants::kBootLostFactor;
 }
 
 bool MachineHousekeeper::has_vanished(const Machine& machine, Instant now) const {
   // One that is neither heard nor listed no longer exists. The same of one that only a standby's word tells of: it may have
   // been returned since.
-  const Millis unlisted = from_seconds(cluster_.settings.cloud_list_lag_s * 3) + constants::kListEvery * 4;
+  const Millis unlisted = from_seconds(cluster_.settings.cloud_list_delay_s * 3) + constants::kCloudListInterval * 4;
   const bool hearsay = machine.type.empty() || machine.hinted != inventory::Hinted::no;
-  return !machine.reported && hearsay && now - machine.listed.last > unlisted;
+  return !machine.has_reported && hearsay && now - machine.listed.last > unlisted;
 }
 
 bool MachineHousekeeper::is_zone_awaited(const Machine& machine, Instant now) const {
@@ -96,21 +97,21 @@
     machine.idle_since.reset();
   } else if (!machine.idle_since) {
     machine.idle_since = now;
-  } else if (may_return(machine, now - *machine.idle_since, now)) {
+  } else if (can_scale_in(machine, now - *machine.idle_since, now)) {
     machine.state = MachineState::returning;
     machine.why = "it is idle";
   }
 }
 
-bool MachineHousekeeper::may_return(const Machine& machine, Millis idle, Instant now) const {
+bool MachineHousekeeper::can_scale_in(const Machine& machine, Millis idle, Instant now) const {
   const bool kept = autoscaler_.is_spare(machine.id) || cluster_.pools.keeps(machine.id);
-  return cluster_.settings.operators.may_return && !kept && leadership_.can_start(now) &&
+  return cluster_.settings.operators.can_scale_in && !kept && leadership_.can_start(now) &&
          idle > autoscaler_.pricing(cluster_).max_idle(machine);
 }
 
 bool MachineHousekeeper::is_idle(const Machine& machine, Instant now) const {
   // One that a waiting task is booked on is not idle.
-  if (!machine.runs.empty() || has_bookings(machine) || machine.state != MachineState::up) return false;
+  if (!machine.allocations.empty() || has_bookings(machine) || machine.state != MachineState::up) return false;
   // A silent one of a zone that is waited for is wanted when it is back, most likely.
   return !(is_zone_awaited(machine, now) && cluster_.machines.silent(machine, now));
 }
--- a/src/control/machine_housekeeper.h
+++ b/src/control/machine_housekeeper.h
@@ -32,7 +32,7 @@
   void review_idle(Machine& machine, Instant now);
   // Whether it is up and has nothing to do, now and by the plan.
   [[nodiscard]] bool is_idle(const Machine& machine, Instant now) const;
-  [[nodiscard]] bool may_return(const Machine& machine, Millis idle, Instant now) const;
+  [[nodiscard]] bool can_scale_in(const Machine& machine, Millis idle, Instant now) const;
   void expire_lease(Machine& machine, Instant now);
   // Tasks that a record places on a machine that no leader has heard of.
   void give_up_unheard_tasks(Machine& machine, Instant now);
--- a/src/control/placement_rules.cpp
+++ b/src/control/placement_rules.cpp
@@ -12,7 +12,7 @@
   const wire::MachineType* kind = cluster.type(machine.type);
   if (kind == nullptr) return false;
   Amounts used = job.each.times(count);
-  for (const TaskKey& key : machine.runs) used += cluster.jobs.at(key.job).each;
+  for (const TaskKey& key : machine.allocations) used += cluster.jobs.at(key.job).each;
   return used.fits(capacity_of(*kind));
 }
 
@@ -28,9 +28,9 @@
   if (!is_machine_allowed(job.spec, machine.type, machine.zone, machine.spot)) return false;
   if (!job.spec.one_zone && !job.spec.spread) return true;
   std::uint32_t same = count;
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) {
-      const auto other = cluster.machines.find(run.machine);
+  for (const JobShard& shard : job.shards) {
+    for (const auto& [unused, allocation] : shard.allocations) {
+      const auto other = cluster.machines.find(allocation.machine);
       // Where a machine that nobody has heard of stands is not known.
       const std::string stands_in = other == cluster.machines.end() ? std::string() : other->second.seen_zone();
       if (stands_in.empty() && guards::kept(guards::Guard::place_known)) return false;
--- a/src/control/preemptor.cpp
+++ b/src/control/preemptor.cpp
@@ -21,18 +21,18 @@
 // A gang needs room for all its tasks or none; of other jobs as many are asked for as the team's quota allows.
 std::uint32_t Preemptor::tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const {
   const bool gang = is_gang(job);
-  std::uint32_t count = gang ? tasks_most : std::min(tasks_most, constants::kPreemptTasksMost);
+  std::uint32_t count = gang ? tasks_most : std::min(tasks_most, constants::kMaxTasksPreemptedFor);
   while (count > 0 && !quota_for(cluster_, job, count)) count = gang ? 0 : count - 1;
   return count;
 }
 
-preempt::Victim Preemptor::describe_victim(const TaskKey& key, const Job& other, const Run& run, const Job& asks,
-                                           Instant now) const {
+preempt::Victim Preemptor::describe_victim(const TaskKey& key, const Job& other, const Allocation& allocation,
+                                           const Job& asks, Instant now) const {
   const bool whole = is_gang(other);
-  const Millis ran = now - *run.running_since;
-  const std::uint32_t tasks = whole ? other.runs_count : 1;
+  const Millis ran = now - *allocation.running_since;
+  const std::uint32_t tasks = whole ? other.allocation_count : 1;
   const Millis repeated = other.spec.checkpoint_s > 0 ? from_seconds(other.spec.save_s) : ran;
-  const plan::Booking* booking = cluster_.planner.booking(run.booking);
+  const plan::Booking* booking = cluster_.planner.booking(allocation.booking);
   preempt::Victim victim{.job = key.job,
                          .tasks = {key},
                          .priority = other.spec.priority,
@@ -45,8 +45,8 @@
   victim.kept = queue_.ranking().on() && queue_.is_protected_by_rank(other, victim, asks);
   if (!whole) return victim;
   victim.tasks.clear();
-  for (const Part& part : other.parts) {
-    for (const auto& [index, unused] : part.runs) victim.tasks.push_back({key.job, index});
+  for (const JobShard& shard : other.shards) {
+    for (const auto& [index, unused] : shard.allocations) victim.tasks.push_back({key.job, index});
   }
   return victim;
 }
@@ -55,12 +55,12 @@
 // ever.
 std::optional<std::size_t> Preemptor::victim_of(const TaskKey& key, const Job& asks, Victims& victims, Instant now) {
   const Job& other = cluster_.jobs.at(key.job);
-  const Run& run = *cluster_.jobs.find_run(key);
-  if (other.withdrawn || run.halting || !run.running_since || is_service(other)) return std::nullopt;
+  const Allocation& allocation = *cluster_.jobs.find_allocation(key);
+  if (other.cancelled || allocation.stopping || !allocation.running_since || is_service(other)) return std::nullopt;
   const auto known = victims.gangs.find(key.job);
   if (known != victims.gangs.end()) return known->second;
   const std::size_t number = victims.all.size();
-  victims.all.push_back(describe_victim(key, other, run, asks, now));
+  victims.all.push_back(describe_victim(key, other, allocation, asks, now));
   if (is_gang(other)) victims.gangs[key.job] = number;
   return number;
 }
@@ -74,7 +74,7 @@
     preempt::Contested contested{
         .machine = machine.id, .zone = machine.zone, .free = place.node->info.capacity, .held = {}};
     std::map<std::size_t, Amounts> held;
-    for (const TaskKey& key : machine.runs) {
+    for (const TaskKey& key : machine.allocations) {
       const Amounts& each = cluster_.jobs.at(key.job).each;
       contested.free -= each;
       if (const auto number = victim_of(key, job, victims, now)) held[*number] += each;
@@ -91,7 +91,7 @@
   for (const TaskKey& key : victim.tasks) {
     tasks_.preempt(other, key.index);
     // All tasks of a gang have to hear of it within `gang_peer_s`, which may be less than until their next reports.
-    if (is_gang(other)) cluster_.jobs.find_run(key)->halt_due = now;
+    if (is_gang(other)) cluster_.jobs.find_allocation(key)->stop_due = now;
   }
   return victim.tasks.size();
 }
@@ -110,7 +110,7 @@
   Victims victims;
   const std::vector<preempt::Contested> machines = contested_machines(job, places, victims, now);
   const std::vector<std::size_t> chosen = preempt::choose_victims(need, victims.all, machines);
-  job.displaces_after = now + constants::kPreemptEach;
+  job.displaces_after = now + constants::kPreemptionInterval;
   std::size_t stopped = 0;
   for (const std::size_t number : chosen) stopped += stop_victim(victims.all[number], now);
   if (stopped == 0) return;
--- a/src/control/preemptor.h
+++ b/src/control/preemptor.h
@@ -28,8 +28,8 @@
  private:
   struct Victims;
   [[nodiscard]] std::uint32_t tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const;
-  [[nodiscard]] preempt::Victim describe_victim(const TaskKey& key, const Job& other, const Run& run, const Job& asks,
-                                                Instant now) const;
+  [[nodiscard]] preempt::Victim describe_victim(const TaskKey& key, const Job& other, const Allocation& allocation,
+                                                const Job& asks, Instant now) const;
   [[nodiscard]] std::optional<std::size_t> victim_of(const TaskKey& key, const Job& asks, Victims& victims,
                                                      Instant now);
   [[nodiscard]] std::vector<preempt::Contested> contested_machines(const Job& job,
--- a/src/control/readiness.cpp
+++ b/src/control/readiness.cpp
@@ -11,13 +11,13 @@
 std::optional<std::string_view> not_ready(const Readiness& found, plan::Instant now) {
   if (!found.record) return "term-read-back";
   if (kept(Guard::ready_term) && (found.record->term != found.term || found.record->leader != found.self ||
-                                  found.record_mark != found.term_mark)) {
+                                  found.record_revision != found.term_revision)) {
     return "term-read-back";
   }
-  if (kept(Guard::ready_records) && found.records_at < found.term_mark) return "records-at-term";
-  if (kept(Guard::ready_fences) && found.others_until < found.fence_least) return "fences-reckoned";
+  if (kept(Guard::ready_records) && found.records_at < found.term_revision) return "records-at-term";
+  if (kept(Guard::ready_fences) && found.older_leaders_until < found.fence_least) return "fences-reckoned";
   // The lease may have ended while this process stood still.
-  if (kept(Guard::ready_lease) && now - found.lease_asked >= constants::kLeaderLease) return "lease-confirmed";
+  if (kept(Guard::ready_lease) && now - found.lease_asked >= constants::kLeaderLeaseTtl) return "lease-confirmed";
   return std::nullopt;
 }
 
--- a/src/control/readiness.h
+++ b/src/control/readiness.h
@@ -15,13 +15,13 @@
 struct Readiness {
   NodeName self;
   Term term;  // that was taken, at this revision
-  Revision term_mark;
+  Revision term_revision;
   std::optional<state::TermRecord> record;  // lead/term as read back with the records, and its revision
-  Revision record_mark;
-  Revision records_at;         // up to which the records are known
-  plan::Instant lease_asked;   // when the latest renewal that was confirmed was asked for
-  plan::Instant others_until;  // until then older leaders may act
-  plan::Instant fence_least;   // what that has to be at least: a fence from when the lead was asked for
+  Revision record_revision;
+  Revision records_at;                // up to which the records are known
+  plan::Instant lease_asked;          // when the latest renewal that was confirmed was asked for
+  plan::Instant older_leaders_until;  // until then older leaders may act
+  plan::Instant fence_least;          // what that has to be at least: a fence from when the lead was asked for
 };
 
 // The name of the first that is not so, in this order:
