--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -23,28 +23,28 @@
 
 namespace {
 
-Command stop_command(const TaskKey& task, AttemptNo attempt, double grace_s) {
-  return {.kind = CommandKind::halt, .task = task, .attempt = attempt, .grace_s = grace_s};
+Command stop_command(const TaskKey& task, AttemptNumber attempt, double grace_s) {
+  return {.kind = CommandKind::stop, .task = task, .attempt = attempt, .grace_s = grace_s};
 }
 
-Command start_command(const TaskKey& task, AttemptNo attempt) {
+Command start_command(const TaskKey& task, AttemptNumber attempt) {
   return {.kind = CommandKind::run, .task = task, .attempt = attempt};
 }
 
-Command forget_command(const wire::TaskReport& status) {
+Command forget_command(const wire::TaskStatus& status) {
   return {.kind = CommandKind::clear, .task = status.task, .attempt = status.attempt};
 }
 
 // Whether the task ended only after its image was there.
-bool ended_with_image(const wire::TaskReport& status, const Run& run) {
+bool ended_with_image(const wire::TaskStatus& status, const Allocation& allocation) {
   const EndReason reason = status.reason;
   if (reason == EndReason::no_room || reason == EndReason::in_use || reason == EndReason::unknown) return false;
-  return run.seen && *run.seen != TaskState::fetching;
+  return allocation.seen && *allocation.seen != TaskState::fetching;
 }
 
 }  // namespace
 
-std::vector<Command> Reconciler::on_heartbeat(const wire::Report& heartbeat, Instant now) {
+std::vector<Command> Reconciler::on_heartbeat(const wire::Heartbeat& heartbeat, Instant now) {
   if (!cluster_.machines.news(heartbeat)) return {};
   Exchange exchange{.heartbeat = heartbeat, .machine = learn_machine(heartbeat, now), .now = now};
   lose_tasks_of_earlier_incarnations(exchange);
@@ -62,7 +62,7 @@
   return std::move(exchange.commands);
 }
 
-Machine& Reconciler::learn_machine(const wire::Report& heartbeat, Instant now) {
+Machine& Reconciler::learn_machine(const wire::Heartbeat& heartbeat, Instant now) {
   Machine& machine = cluster_.know_machine(heartbeat.machine, now);
   if (cluster_.machines.hear(machine, heartbeat, leadership_.term(), now)) cluster_.plan_wanted = true;
   cluster_.refresh_plan_machine(machine);
@@ -71,9 +71,9 @@
 
 void Reconciler::lose_tasks_of_earlier_incarnations(const Exchange& exchange) {
   std::vector<TaskKey> lost;
-  for (const TaskKey& key : exchange.machine.runs) {
-    const Run* run = cluster_.jobs.find_run(key);
-    const bool earlier = run != nullptr && run->session < exchange.heartbeat.session;
+  for (const TaskKey& key : exchange.machine.allocations) {
+    const Allocation* allocation = cluster_.jobs.find_allocation(key);
+    const bool earlier = allocation != nullptr && allocation->incarnation < exchange.heartbeat.incarnation;
     if (earlier && kept(Guard::ended_session)) lost.push_back(key);
   }
   for (const TaskKey& key : lost) tasks_.lose_task(key, "the machine's session ended", exchange.now);
@@ -81,16 +81,16 @@
 
 void Reconciler::take_statuses(Exchange& exchange) {
   bool unknown_tasks = false;
-  for (const wire::TaskReport& status : exchange.heartbeat.tasks) {
+  for (const wire::TaskStatus& status : exchange.heartbeat.tasks) {
     const bool active = status.state != TaskState::ended;
-    if (Run* run = find_allocation(exchange, status); run != nullptr) {
+    if (Allocation* allocation = find_allocation(exchange, status); allocation != nullptr) {
       Job& job = *find_job(status);
       exchange.present.insert(status.task);
       if (active) {
-        on_task_active(exchange, job, *run, status);
+        on_task_active(exchange, job, *allocation, status);
         continue;
       }
-      on_task_ended(exchange, job, Run(*run), status);
+      on_task_ended(exchange, job, Allocation(*allocation), status);
     }
     if (active) {
       // Not placed here by any record: nobody wants it, and it takes room.
@@ -104,58 +104,60 @@
     }
   }
   Machine& machine = exchange.machine;
-  if (unknown_tasks && !machine.strangers)
+  if (unknown_tasks && !machine.has_unknown_tasks)
     spdlog::warn("machine {} has tasks that no record places there", machine.id.text());
-  machine.strangers = unknown_tasks;
+  machine.has_unknown_tasks = unknown_tasks;
 }
 
-Job* Reconciler::find_job(const wire::TaskReport& status) {
+Job* Reconciler::find_job(const wire::TaskStatus& status) {
   const auto entry = cluster_.jobs.find(status.task.job);
   if (entry == cluster_.jobs.end() || status.task.index >= entry->second.spec.tasks) return nullptr;
   return &entry->second;
 }
 
-Run* Reconciler::find_allocation(const Exchange& exchange, const wire::TaskReport& status) {
+Allocation* Reconciler::find_allocation(const Exchange& exchange, const wire::TaskStatus& status) {
   if (find_job(status) == nullptr) return nullptr;
-  Run* run = cluster_.jobs.find_run(status.task);
-  if (run == nullptr || run->attempt != status.attempt || run->machine != exchange.machine.id) return nullptr;
+  Allocation* allocation = cluster_.jobs.find_allocation(status.task);
+  if (allocation == nullptr || allocation->attempt != status.attempt || allocation->machine != exchange.machine.id)
+    return nullptr;
   // A gang's lost task is replaced with the same attempt number, on the same machine perhaps. A heartbeat of the incarnation
   // before, held up until a new leader has begun, would tell of the end of the one that runs.
-  if (kept(Guard::report_session) && run->session != exchange.heartbeat.session) return nullptr;
-  return run;
+  if (kept(Guard::report_session) && allocation->incarnation != exchange.heartbeat.incarnation) return nullptr;
+  return allocation;
 }
 
-void Reconciler::on_task_active(Exchange& exchange, Job& job, Run& run, const wire::TaskReport& status) {
+void Reconciler::on_task_active(Exchange& exchange, Job& job, Allocation& allocation, const wire::TaskStatus& status) {
   Machine& machine = exchange.machine;
   if (status.state != TaskState::fetching) {
-    if (run.seen.value_or(TaskState::fetching) == TaskState::fetching) cluster_.know_image(machine, job.spec);
-  } else if (run.seen && cluster_.pools.on()) {
+    if (allocation.seen.value_or(TaskState::fetching) == TaskState::fetching) cluster_.know_image(machine, job.spec);
+  } else if (allocation.seen && cluster_.pools.on()) {
     // Told twice, it is not only on its way: what was believed to be there is not.
     machine.images.erase(job.spec.image);
     cluster_.pools.was_missing(machine.id, job.spec.image);
   }
-  if (status.state == TaskState::running && !run.running_since) {
-    on_task_began(job, machine, run, status.task.index, exchange.now);
+  if (status.state == TaskState::running && !allocation.running_since) {
+    on_task_began(job, machine, allocation, status.task.index, exchange.now);
   }
   // Who waits for the last image is due.
-  if (run.seen != status.state && job.gather_until) cluster_.plan_wanted = true;
-  run.seen = status.state;
-  if (run.halting) exchange.commands.push_back(stop_command(status.task, status.attempt, run.grace_s));
+  if (allocation.seen != status.state && job.gather_until) cluster_.plan_wanted = true;
+  allocation.seen = status.state;
+  if (allocation.stopping) exchange.commands.push_back(stop_command(status.task, status.attempt, allocation.grace_s));
 }
 
-void Reconciler::on_task_began(Job& job, const Machine& machine, Run& run, std::uint32_t index, Instant now) {
-  run.running_since = std::min(now, run.told_began.value_or(now));
-  cluster_.pools.began({job.spec.id, index}, job.spec, now - run.placed);
-  cluster_.planner.revoke(run.booking);
+void Reconciler::on_task_began(Job& job, const Machine& machine, Allocation& allocation, std::uint32_t index,
+                               Instant now) {
+  allocation.running_since = std::min(now, allocation.told_began.value_or(now));
+  cluster_.pools.began({job.spec.id, index}, job.spec, now - allocation.placed);
+  cluster_.planner.revoke(allocation.booking);
   Millis left = estimate(job);
   if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
-    left = std::max(left - saved->second, constants::kAllocationLimit);
+    left = std::max(left - saved->second, constants::kStartTimeout);
   }
-  if (run.told_began) left = std::max(left - (now - *run.running_since), constants::kAllocationLimit);
-  run.booking = cluster_.planner.book(
+  if (allocation.told_began) left = std::max(left - (now - *allocation.running_since), constants::kStartTimeout);
+  allocation.booking = cluster_.planner.book(
       {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + left});
   spdlog::info("task {} attempt {} runs on {}, {:.1f} s after its job's submission", TaskKey{job.spec.id, index}.text(),
-               run.attempt.number(), machine.id.text(), to_seconds(now - job.submitted));
+               allocation.attempt.number(), machine.id.text(), to_seconds(now - job.submitted));
   // The tasks of a gang begin together, so that the first one to run tells it of all. A new leader tells it once more.
   if (job.begun) return;
   spdlog::info("job begins job={} class={} tasks={} wait_s={:.1f}", job.spec.id.text(), job.spec.job_class,
@@ -163,30 +165,31 @@
   job.begun = true;
 }
 
-void Reconciler::on_task_ended(Exchange& exchange, Job& job, const Run& run, const wire::TaskReport& status) {
+void Reconciler::on_task_ended(Exchange& exchange, Job& job, const Allocation& allocation,
+                               const wire::TaskStatus& status) {
   const std::uint32_t index = status.task.index;
   // What was reckoned of its fetches was wrong: the next attempt waits for the heartbeats.
   if (status.reason == EndReason::alone) job.in_stages = true;
-  if (ended_with_image(status, run)) cluster_.know_image(exchange.machine, job.spec);
+  if (ended_with_image(status, allocation)) cluster_.know_image(exchange.machine, job.spec);
   switch (status.reason) {
     case EndReason::done:
       exchange.machine.errors = 0;
       // A service's replica has no end of its own: it is started again.
-      if (job.spec.kind == wire::JobKind::service || job.withdrawn) break;
+      if (job.spec.kind == wire::JobKind::service || job.cancelled) break;
       return tasks_.finish(job, index, exchange.now);
     case EndReason::stopped:
-      if (status.saved && run.running_since) return on_task_saved(job, run, index, exchange.now);
+      if (status.saved && allocation.running_since) return on_task_saved(job, allocation, index, exchange.now);
       break;
     case EndReason::error: on_task_failed(exchange, job, status); break;
-    case EndReason::unknown: job.not_before = exchange.now + constants::kErrorPause; break;
+    case EndReason::unknown: job.not_before = exchange.now + constants::kTaskErrorBackoff; break;
     default: break;
   }
   tasks_.confirm_terminated(job, index, std::string(wire::name_of(status.reason)).c_str(), exchange.now);
   tasks_.end_gang_attempt(job);
 }
 
-void Reconciler::on_task_saved(Job& job, const Run& run, std::uint32_t index, Instant now) {
-  const Millis ran = std::max(Millis(0), now - *run.running_since);
+void Reconciler::on_task_saved(Job& job, const Allocation& allocation, std::uint32_t index, Instant now) {
+  const Millis ran = std::max(Millis(0), now - *allocation.running_since);
   job.saved[index] += ran;
   tasks_.confirm_terminated(job, index, "stopped, saved", now);
   // confirm_terminated() added the whole checkpoints of the same span.
@@ -195,7 +198,7 @@
   tasks_.end_gang_attempt(job);
 }
 
-void Reconciler::on_task_failed(Exchange& exchange, Job& job, const wire::TaskReport& status) {
+void Reconciler::on_task_failed(Exchange& exchange, Job& job, const wire::TaskStatus& status) {
   Machine& machine = exchange.machine;
   spdlog::warn("task {} failed on {}", status.task.text(), machine.id.text());
   job.failed_on.insert(machine.id);
@@ -203,15 +206,16 @@
   if (job.failed_on.size() < 3) ++machine.errors;
   // What fails while the job pauses had begun before, with what it pauses for: it is no further failure.
   if (exchange.now >= job.not_before) {
-    const Millis pause = std::min(constants::kErrorPauseMost, constants::kErrorPause * (1 << std::min(job.errors, 5)));
+    const Millis pause =
+        std::min(constants::kMaxTaskErrorBackoff, constants::kTaskErrorBackoff * (1 << std::min(job.errors, 5)));
     if (++job.errors > 1) job.not_before = exchange.now + pause;
   }
-  if (machine.errors >= constants::kMachineErrorsMost) tasks_.drain(machine, "tasks fail on it");
+  if (machine.errors >= constants::kMaxMachineErrors) tasks_.drain(machine, "tasks fail on it");
 }
 
 std::vector<Command> Reconciler::take_absent_tasks(Exchange& exchange) {
   std::vector<TaskKey> absent;
-  for (const TaskKey& key : exchange.machine.runs) {
+  for (const TaskKey& key : exchange.machine.allocations) {
     if (!exchange.present.contains(key)) absent.push_back(key);
   }
   // The agent had seen our term when it made this heartbeat, and this heartbeat is newer than any that was answered with the
@@ -219,15 +223,15 @@
   const bool saw_term = exchange.machine.saw_term || !kept(Guard::absent_saw_term);
   std::vector<Command> starts;
   for (const TaskKey& key : absent) {
-    Run& run = *cluster_.jobs.find_run(key);
-    if (!run.durable || run.session != exchange.heartbeat.session) continue;
+    Allocation& allocation = *cluster_.jobs.find_allocation(key);
+    if (!allocation.durable || allocation.incarnation != exchange.heartbeat.incarnation) continue;
     Job& job = cluster_.jobs.at(key.job);
-    if (saw_term && (run.seen || run.halting || !kept(Guard::absent_told))) {
-      tasks_.confirm_terminated(job, key.index, run.seen ? "no longer reported" : "never started", exchange.now);
+    if (saw_term && (allocation.seen || allocation.stopping || !kept(Guard::absent_told))) {
+      tasks_.confirm_terminated(job, key.index, allocation.seen ? "no longer reported" : "never started", exchange.now);
       tasks_.end_gang_attempt(job);
       continue;
     }
-    if (tasks_.can_start(job, run, exchange.now)) starts.push_back(start_command(key, run.attempt));
+    if (tasks_.can_start(job, allocation, exchange.now)) starts.push_back(start_command(key, allocation.attempt));
   }
   return starts;
 }
@@ -235,14 +239,14 @@
 void Reconciler::evict(Exchange& exchange, double notice_s) {
   Machine& machine = exchange.machine;
   tasks_.drain(machine, "the cloud takes it in " + std::to_string(static_cast<int>(notice_s)) + " s");
-  for (const TaskKey& key : machine.runs) {
+  for (const TaskKey& key : machine.allocations) {
     if (!exchange.present.contains(key)) continue;
-    const Run& run = *cluster_.jobs.find_run(key);
-    exchange.commands.push_back(stop_command(key, run.attempt, run.grace_s));
+    const Allocation& allocation = *cluster_.jobs.find_allocation(key);
+    exchange.commands.push_back(stop_command(key, allocation.attempt, allocation.grace_s));
   }
 }
 
-std::vector<Command> Reconciler::later_commands(const wire::Report& heartbeat, Instant now) {
+std::vector<Command> Reconciler::later_commands(const wire::Heartbeat& heartbeat, Instant now) {
   std::vector<Command> commands;
   const auto entry = cluster_.machines.find(heartbeat.machine);
   if (entry == cluster_.machines.end()) return commands;
@@ -250,7 +254,7 @@
   // A newer heartbeat has been taken meanwhile: this one teaches nothing any more.
   if (!cluster_.machines.newest(heartbeat)) return commands;
   std::set<TaskKey> present;
-  for (const wire::TaskReport& status : heartbeat.tasks) {
+  for (const wire::TaskStatus& status : heartbeat.tasks) {
     present.insert(status.task);
     if (status.state == TaskState::ended && cluster_.jobs.settled(status.task)) {
       commands.push_back(forget_command(status));
@@ -258,22 +262,26 @@
     }
   }
   if (machine.state != MachineState::up) return commands;
-  for (const TaskKey& key : machine.runs) {
-    const Run& run = *cluster_.jobs.find_run(key);
-    if (present.contains(key) || run.session != heartbeat.session || run.seen) continue;
-    if (tasks_.can_start(cluster_.jobs.at(key.job), run, now)) commands.push_back(start_command(key, run.attempt));
+  for (const TaskKey& key : machine.allocations) {
+    const Allocation& allocation = *cluster_.jobs.find_allocation(key);
+    if (present.contains(key) || allocation.incarnation != heartbeat.incarnation || allocation.seen) continue;
+    if (tasks_.can_start(cluster_.jobs.at(key.job), allocation, now))
+      commands.push_back(start_command(key, allocation.attempt));
   }
   return commands;
 }
 
-bool is_durable(const ClusterState& cluster, const wire::Report& heartbeat) {
+bool is_durable(const ClusterState& cluster, const wire::Heartbeat& heartbeat) {
   const auto entry = cluster.machines.find(heartbeat.machine);
   if (entry == cluster.machines.end()) return true;
-  const bool ends_recorded = std::ranges::all_of(heartbeat.tasks, [&](const wire::TaskReport& status) {
+  const bool ends_recorded = std::ranges::all_of(heartbeat.tasks, [&](const wire::TaskStatus& status) {
     return status.state != TaskState::ended || cluster.jobs.settled(status.task);
   });
-  return ends_recorded && std::ranges::all_of(entry->second.runs, [&](const TaskKey& key) {
-           return cluster.jobs.at(key.job).parts[key.index / constants::kTasksPerPart].runs.at(key.index).durable;
+  return ends_recorded && std::ranges::all_of(entry->second.allocations, [&](const TaskKey& key) {
+           return cluster.jobs.at(key.job)
+               .shards[key.index / constants::kTasksPerShard]
+               .allocations.at(key.index)
+               .durable;
          });
 }
 
--- a/src/control/reconciler.h
+++ b/src/control/reconciler.h
@@ -22,33 +22,33 @@
       : cluster_(cluster), leadership_(leadership), tasks_(cluster, leadership) {}
 
   // Takes a heartbeat. Returns the commands to answer with; none if it was held up on its way and teaches nothing.
-  [[nodiscard]] std::vector<wire::Command> on_heartbeat(const wire::Report& heartbeat, Instant now);
+  [[nodiscard]] std::vector<wire::Command> on_heartbeat(const wire::Heartbeat& heartbeat, Instant now);
   // Commands that have become due since the heartbeat was answered.
-  [[nodiscard]] std::vector<wire::Command> later_commands(const wire::Report& heartbeat, Instant now);
+  [[nodiscard]] std::vector<wire::Command> later_commands(const wire::Heartbeat& heartbeat, Instant now);
 
  private:
   // A heartbeat while it is taken, and the answer to it so far.
   struct Exchange {
-    const wire::Report& heartbeat;
+    const wire::Heartbeat& heartbeat;
     Machine& machine;
     Instant now;
     std::set<TaskKey> present;  // known tasks that it tells of
     std::vector<wire::Command> commands;
   };
 
-  Machine& learn_machine(const wire::Report& heartbeat, Instant now);
+  Machine& learn_machine(const wire::Heartbeat& heartbeat, Instant now);
   // Tasks of an earlier incarnation of the agent: a later one began with nothing.
   void lose_tasks_of_earlier_incarnations(const Exchange& exchange);
   void take_statuses(Exchange& exchange);
   // The job that the status is of; null if there is none with such a task.
-  [[nodiscard]] Job* find_job(const wire::TaskReport& status);
+  [[nodiscard]] Job* find_job(const wire::TaskStatus& status);
   // The allocation that the status is of; null if the machine has no such allocation in this incarnation.
-  [[nodiscard]] Run* find_allocation(const Exchange& exchange, const wire::TaskReport& status);
-  void on_task_active(Exchange& exchange, Job& job, Run& run, const wire::TaskReport& status);
-  void on_task_began(Job& job, const Machine& machine, Run& run, std::uint32_t index, Instant now);
-  void on_task_ended(Exchange& exchange, Job& job, const Run& run, const wire::TaskReport& status);
-  void on_task_saved(Job& job, const Run& run, std::uint32_t index, Instant now);
-  void on_task_failed(Exchange& exchange, Job& job, const wire::TaskReport& status);
+  [[nodiscard]] Allocation* find_allocation(const Exchange& exchange, const wire::TaskStatus& status);
+  void on_task_active(Exchange& exchange, Job& job, Allocation& allocation, const wire::TaskStatus& status);
+  void on_task_began(Job& job, const Machine& machine, Allocation& allocation, std::uint32_t index, Instant now);
+  void on_task_ended(Exchange& exchange, Job& job, const Allocation& allocation, const wire::TaskStatus& status);
+  void on_task_saved(Job& job, const Allocation& allocation, std::uint32_t index, Instant now);
+  void on_task_failed(Exchange& exchange, Job& job, const wire::TaskStatus& status);
   // Allocations to the machine that the heartbeat does not tell of: confirms their termination or starts them. Returns the
   // start commands.
   [[nodiscard]] std::vector<wire::Command> take_absent_tasks(Exchange& exchange);
@@ -61,6 +61,6 @@
 };
 
 // Whether all that the heartbeat told, and all that is allocated to its machine, is durable.
-[[nodiscard]] bool is_durable(const ClusterState& cluster, const wire::Report& heartbeat);
+[[nodiscard]] bool is_durable(const ClusterState& cluster, const wire::Heartbeat& heartbeat);
 
 }  // namespace foxshunt::control
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -13,11 +13,11 @@
 
 // An overrunning booking is extended by its estimate; what was booked behind it is planned anew.
 void extend_overrunning(ClusterState& cluster, const Job& job, Instant now) {
-  for (const Part& part : job.parts) {
-    for (const auto& [unused, run] : part.runs) {
-      const plan::Booking* booking = cluster.planner.booking(run.booking);
+  for (const JobShard& shard : job.shards) {
+    for (const auto& [unused, allocation] : shard.allocations) {
+      const plan::Booking* booking = cluster.planner.booking(allocation.booking);
       if (booking != nullptr && booking->stop <= now + constants::kTick) {
-        cluster.planner.extend(run.booking, now + estimate(job));
+        cluster.planner.extend(allocation.booking, now + estimate(job));
       }
     }
   }
@@ -35,11 +35,11 @@
   if (!cluster.settings.operators.zone_evacuation) return;
   for (auto& [unused, job] : cluster.jobs) job.stranded = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.runs.empty() || machine.expired || !cluster.zones.leaves(machine.zone)) continue;
+    if (machine.allocations.empty() || machine.expired || !cluster.zones.leaves(machine.zone)) continue;
     const Instant until = cluster.lease_end(machine);
-    for (const TaskKey& key : machine.runs) {
+    for (const TaskKey& key : machine.allocations) {
       Job& job = cluster.jobs.at(key.job);
-      if (job.withdrawn || job.spec.kind == wire::JobKind::service) continue;
+      if (job.cancelled || job.spec.kind == wire::JobKind::service) continue;
       job.stranded_until = job.stranded == 0 ? until : std::max(job.stranded_until, until);
       ++job.stranded;
     }
@@ -77,13 +77,13 @@
 }
 
 void SchedulingCycle::request_overdue_pass(ClusterState& cluster, Instant now) const {
-  if (now - planned_ < constants::kReplanEvery) return;
+  if (now - planned_ < constants::kReplanInterval) return;
   const bool any_pending = std::ranges::any_of(
-      cluster.jobs, [](const auto& entry) { return !entry.second.withdrawn && entry.second.pending() > 0; });
+      cluster.jobs, [](const auto& entry) { return !entry.second.cancelled && entry.second.pending() > 0; });
   if (any_pending) cluster.plan_wanted = true;
 }
 
-bool SchedulingCycle::plan_some(const PassContext& context, Instant now, std::size_t places_most) {
+bool SchedulingCycle::plan_portion(const PassContext& context, Instant now, std::size_t places_most) {
   if (!pass_) begin_pass(context, now);
   ClusterState& cluster = context.cluster;
   JobPlanner planner(cluster, queue_, context.gangs, context.autoscaler, context.deadlines, context.tasks);
@@ -94,7 +94,7 @@
     // by the next pass, and what is left of this one may use it already.
     const auto entry = cluster.jobs.find(pass_->front());
     pass_->pop_front();
-    if (entry == cluster.jobs.end() || entry->second.withdrawn) continue;
+    if (entry == cluster.jobs.end() || entry->second.cancelled) continue;
     Job& job = entry->second;
     if (job.pending() > 0) {
       ++context.counters.jobs_planned;
--- a/src/control/scheduling_cycle.h
+++ b/src/control/scheduling_cycle.h
@@ -46,7 +46,7 @@
 
   // Plans what is pending and places what may start now, a portion of it. At least one job is planned, and no more once this
   // many places were looked at. True when the pass has ended.
-  bool plan_some(const PassContext& context, Instant now, std::size_t places_most);
+  bool plan_portion(const PassContext& context, Instant now, std::size_t places_most);
 
  private:
   void begin_pass(const PassContext& context, Instant now);
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -17,26 +17,26 @@
 
 // How much later than it was submitted a job counts as submitted: the more it takes, the later, and later still once it
 // has missed what its class is hoped to wait at most.
-Millis lag(const ClusterState& cluster, const Job& job, Instant now) {
+Millis aging_penalty(const ClusterState& cluster, const Job& job, Instant now) {
   const Amounts fleet = cluster.planner.fleet().capacity();
   double share = 0;
   for (std::size_t r = 0; r < plan::kResources; ++r) {
     if (fleet.of[r] <= 0) continue;
     share = std::max(share, static_cast<double>(job.each.of[r]) * job.spec.tasks / static_cast<double>(fleet.of[r]));
   }
-  const Millis work = from_seconds(share * to_seconds(estimate(job)) * constants::kLagPerWork);
+  const Millis work = from_seconds(share * to_seconds(estimate(job)) * constants::kAgingPenaltyPerWork);
   // What was hoped for a job and can't be had any more must not cost those that can still have it.
   Millis missed{};
   for (const config::Objective& objective : cluster.settings.objectives) {
     if (objective.kind != "wait" || objective.job_class != job.spec.job_class) continue;
-    if (now - job.submitted > from_seconds(objective.within_s)) missed += constants::kLagMissed;
+    if (now - job.submitted > from_seconds(objective.within_s)) missed += constants::kAgingPenaltyPerMissedObjective;
   }
   return work + missed;
 }
 
 aging::WaitingJob waiting_job(const ClusterState& cluster, const DemandEstimator& demand, const Job& job, Instant now) {
   return {.submitted = job.submitted,
-          .lag = lag(cluster, job, now),
+          .aging_penalty = aging_penalty(cluster, job, now),
           .largest = demand.largest(job.spec.job_class, job.spec.tasks)};
 }
 
@@ -80,7 +80,7 @@
                                          const DemandEstimator& demand, Instant now) {
   std::map<std::string, std::vector<Job*>> by_team;
   for (auto& [unused, job] : cluster.jobs) {
-    if (!job.withdrawn) by_team[job.spec.team].push_back(&job);
+    if (!job.cancelled) by_team[job.spec.team].push_back(&job);
   }
   std::vector<QueueEntry> queue;
   for (auto& [team_name, jobs] : by_team) {
@@ -109,9 +109,9 @@
     candidates.push_back({.spec = &job.spec,
                           .submitted_wall_ms = job.submitted_wall_ms,
                           .done = job.done_count,
-                          .placed = job.runs_count,
-                          .waiting = job.withdrawn ? 0 : job.pending(),
-                          .withdrawn = job.withdrawn});
+                          .placed = job.allocation_count,
+                          .waiting = job.cancelled ? 0 : job.pending(),
+                          .cancelled = job.cancelled});
   }
   ranking_.begin(std::move(candidates), cluster.settings.teams, now);
   // Jobs of no class keep the order that they had among themselves, in the places that such jobs have.
--- a/src/control/soft_state.h
+++ b/src/control/soft_state.h
@@ -25,14 +25,14 @@
       : cluster_(cluster), leadership_(leadership), demand_(demand), supply_(supply) {}
 
   // Takes a leader's snapshot, unless it is too old or of a leader that knew no more than this one.
-  void apply(const standby::Picture& snapshot, Instant now);
+  void apply(const standby::SoftStateSnapshot& snapshot, Instant now);
 
  private:
   void apply_machine(const std::string& name, const standby::Machine& told, Instant now);
   // Of a machine that has not sent a heartbeat: when it is expected.
   void expect_machine(Machine& machine, const standby::Machine& told, Instant now);
   void apply_task(const standby::Key& key, const standby::Task& told, Instant now);
-  void apply_failures(const JobId& id, const standby::Trouble& told, Instant now);
+  void apply_failures(const JobId& id, const standby::JobFailures& told, Instant now);
   void apply_refusal(const std::string& type, const standby::Refusal& told, Instant now);
   void apply_sample(const std::string& job_class, const standby::Sample& told, Instant now);
   void apply_gpu_demand(const standby::GpuDemand& told, Instant now);
@@ -52,6 +52,6 @@
 };
 
 // What the leader of the term knows, for its standbys.
-[[nodiscard]] standby::Picture soft_state_snapshot(const SoftStateSources& sources, Term term, Instant now);
+[[nodiscard]] standby::SoftStateSnapshot soft_state_snapshot(const SoftStateSources& sources, Term term, Instant now);
 
 }  // namespace foxshunt::control
--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -18,16 +18,16 @@
 
 using wire::CommandKind;
 
-void TaskLifecycle::place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now) {
+void TaskLifecycle::place(Job& job, std::uint32_t index, AttemptNumber attempt, Machine& machine, Instant now) {
   Millis left = estimate(job);
   if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
-    left = std::max(left - saved->second, constants::kAllocationLimit);
+    left = std::max(left - saved->second, constants::kStartTimeout);
   }
   const bool found = machine.images.contains(job.spec.image);
   cluster_.pools.placed({job.spec.id, index}, job.spec, found);
   if (!found) left += cluster_.fetch_time(job.spec, machine.type);
-  Run& run = cluster_.jobs.place(job, index, attempt, machine, now);
-  run.booking = cluster_.planner.book(
+  Allocation& allocation = cluster_.jobs.place(job, index, attempt, machine, now);
+  allocation.booking = cluster_.planner.book(
       {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + left});
   machine.idle_since.reset();
   ++cluster_.counters.placed;
@@ -35,28 +35,29 @@
                machine.id.text());
 }
 
-bool TaskLifecycle::can_start(const Job& job, const Run& run, Instant now) const {
-  if ((kept(Guard::start_durable) && !run.durable) || run.halting || !leadership_.can_start(now)) return false;
+bool TaskLifecycle::can_start(const Job& job, const Allocation& allocation, Instant now) const {
+  if ((kept(Guard::start_durable) && !allocation.durable) || allocation.stopping || !leadership_.can_start(now))
+    return false;
   // All tasks of a gang start, or none: each one's placement has to be durable.
   return job.spec.kind != wire::JobKind::gang || !kept(Guard::gang_durable) || jobs::JobTable::all_durable(job);
 }
 
 double TaskLifecycle::checkpoint_grace(const Job& job) const {
   // A little above `buryS`, so that no rounding of decimals makes it less.
-  return job.spec.checkpoint_s > 0 && !job.withdrawn ? job.spec.save_s + 0.01 : 0;
+  return job.spec.checkpoint_s > 0 && !job.cancelled ? job.spec.save_s + 0.01 : 0;
 }
 
 void TaskLifecycle::stop(Job& job, std::uint32_t index, double grace_s) {
-  Run* run = cluster_.jobs.find_run({job.spec.id, index});
-  if (run == nullptr || (run->halting && run->grace_s <= grace_s)) return;
-  run->halting = true;
-  run->grace_s = grace_s;
-  mark_stopping(run->machine);
+  Allocation* allocation = cluster_.jobs.find_allocation({job.spec.id, index});
+  if (allocation == nullptr || (allocation->stopping && allocation->grace_s <= grace_s)) return;
+  allocation->stopping = true;
+  allocation->grace_s = grace_s;
+  mark_stopping(allocation->machine);
 }
 
 void TaskLifecycle::mark_stopping(const MachineId& id) {
   if (const auto machine = cluster_.machines.find(id); machine != cluster_.machines.end())
-    machine->second.halting = true;
+    machine->second.stopping = true;
 }
 
 void TaskLifecycle::drain(Machine& machine, const std::string& why) {
@@ -64,14 +65,14 @@
   spdlog::info("machine {} is drained: {}", machine.id.text(), why);
   machine.state = MachineState::draining;
   machine.why = why;
-  const std::set<TaskKey> runs = machine.runs.copy();
+  const std::set<TaskKey> runs = machine.allocations.copy();
   for (const TaskKey& key : runs) {
     Job& job = cluster_.jobs.at(key.job);
     const double grace_s = checkpoint_grace(job);
     if (job.spec.kind == wire::JobKind::gang) {
       // An orderly stop has to reach all tasks of the gang.
-      for (Part& part : job.parts) {
-        for (auto& [index, unused] : part.runs) stop(job, index, grace_s);
+      for (JobShard& shard : job.shards) {
+        for (auto& [index, unused] : shard.allocations) stop(job, index, grace_s);
       }
     } else {
       stop(job, key.index, grace_s);
@@ -82,56 +83,58 @@
 
 void TaskLifecycle::cancel(Job& job, Instant now) {
   revoke_bookings(cluster_, job);
-  for (Part& part : job.parts) {
-    for (auto& [unused, run] : part.runs) {
-      run.halting = true;
-      run.grace_s = 0;
-      mark_stopping(run.machine);
+  for (JobShard& shard : job.shards) {
+    for (auto& [unused, allocation] : shard.allocations) {
+      allocation.stopping = true;
+      allocation.grace_s = 0;
+      mark_stopping(allocation.machine);
     }
   }
-  for (const std::uint32_t index : cluster_.jobs.withdraw(job)) confirm_terminated(job, index, "never started", now);
+  for (const std::uint32_t index : cluster_.jobs.cancel(job)) confirm_terminated(job, index, "never started", now);
   cluster_.plan_wanted = true;
 }
 
-std::vector<DirectHalt> TaskLifecycle::due_direct_stops(Instant now) {
-  std::vector<DirectHalt> due;
+std::vector<DirectStop> TaskLifecycle::due_direct_stops(Instant now) {
+  std::vector<DirectStop> due;
   if (!leadership_.is_leader()) return due;
   for (auto& [id, machine] : cluster_.machines) {
-    if (!machine.halting || !machine.reported || machine.address.empty()) continue;
-    machine.halting = false;
-    DirectHalt halts{.term = leadership_.term(),
-                     .machine = id,
-                     .address = machine.address,
-                     .session = machine.session,
-                     .commands = {}};
-    for (const TaskKey& key : machine.runs) {
-      Run& run = *cluster_.jobs.find_run(key);
-      machine.halting = machine.halting || run.halting;
-      if (!run.halting || run.session != machine.session || !run.seen) continue;
+    if (!machine.stopping || !machine.has_reported || machine.address.empty()) continue;
+    machine.stopping = false;
+    DirectStop direct_stops{.term = leadership_.term(),
+                            .machine = id,
+                            .address = machine.address,
+                            .incarnation = machine.incarnation,
+                            .commands = {}};
+    for (const TaskKey& key : machine.allocations) {
+      Allocation& allocation = *cluster_.jobs.find_allocation(key);
+      machine.stopping = machine.stopping || allocation.stopping;
+      if (!allocation.stopping || allocation.incarnation != machine.incarnation || !allocation.seen) continue;
       // The answer to the next report tells it too; only what that did not reach is told directly.
-      if (run.halt_due == Instant{}) run.halt_due = now + from_seconds(cluster_.settings.report_s * 1.5);
-      if (now < run.halt_due) continue;
-      run.halt_due = now + constants::kHaltRepeat;
-      halts.commands.push_back(
-          {.kind = CommandKind::halt, .task = key, .attempt = run.attempt, .grace_s = run.grace_s});
+      if (allocation.stop_due == Instant{})
+        allocation.stop_due = now + from_seconds(cluster_.settings.heartbeat_interval_s * 1.5);
+      if (now < allocation.stop_due) continue;
+      allocation.stop_due = now + constants::kDirectStopRetryInterval;
+      direct_stops.commands.push_back(
+          {.kind = CommandKind::stop, .task = key, .attempt = allocation.attempt, .grace_s = allocation.grace_s});
     }
-    if (!halts.commands.empty()) due.push_back(std::move(halts));
+    if (!direct_stops.commands.empty()) due.push_back(std::move(direct_stops));
   }
   return due;
 }
 
 void TaskLifecycle::confirm_terminated(Job& job, std::uint32_t index, const char* why, Instant now) {
-  const std::optional<Run> run = cluster_.jobs.prove_gone(job, index, cluster_.machines, now);
-  if (!run) return;
+  const std::optional<Allocation> allocation = cluster_.jobs.confirm_terminated(job, index, cluster_.machines, now);
+  if (!allocation) return;
   const TaskKey key{job.spec.id, index};
   cluster_.pools.ended(key);
-  cluster_.planner.revoke(run->booking);
-  spdlog::info("task {} attempt {} is off {}: {}", key.text(), run->attempt.number(), run->machine.text(), why);
-  if (run->running_since && job.spec.checkpoint_s > 0) {
+  cluster_.planner.revoke(allocation->booking);
+  spdlog::info("task {} attempt {} is off {}: {}", key.text(), allocation->attempt.number(), allocation->machine.text(),
+               why);
+  if (allocation->running_since && job.spec.checkpoint_s > 0) {
     // Whole checkpoints survive, whatever became of the machine.
     const Millis step = from_seconds(job.spec.checkpoint_s);
     Millis& saved = job.saved[index];
-    saved += std::max(Millis(0), now - *run->running_since) / step * step;
+    saved += std::max(Millis(0), now - *allocation->running_since) / step * step;
   }
   cluster_.plan_wanted = true;
 }
@@ -146,16 +149,16 @@
 
 void TaskLifecycle::lose_task(const TaskKey& task, const char* why, Instant now) {
   Job& job = cluster_.jobs.at(task.job);
-  const bool had_run = cluster_.jobs.find_run(task)->running_since.has_value();
+  const bool had_run = cluster_.jobs.find_allocation(task)->running_since.has_value();
   confirm_terminated(job, task.index, why, now);
   if (!GangCoordinator::survives_loss(cluster_, job, had_run, now)) end_gang_attempt(job);
 }
 
 void TaskLifecycle::end_gang_attempt(Job& job) {
   if (job.spec.kind != wire::JobKind::gang) return;
-  for (Part& part : job.parts) {
-    for (auto& [index, run] : part.runs) {
-      if (!run.halting) stop(job, index, 0);
+  for (JobShard& shard : job.shards) {
+    for (auto& [index, allocation] : shard.allocations) {
+      if (!allocation.stopping) stop(job, index, 0);
     }
   }
 }
--- a/src/control/task_lifecycle.h
+++ b/src/control/task_lifecycle.h
@@ -16,11 +16,11 @@
 namespace foxshunt::control {
 
 // Stop commands that are sent to an agent at once, without waiting for its next heartbeat.
-struct DirectHalt {
+struct DirectStop {
   Term term;  // in which it was decided: its token, whoever leads when it is sent
   MachineId machine;
   std::string address;
-  SessionNo session;
+  AgentIncarnation incarnation;
   std::vector<wire::Command> commands;
 };
 
@@ -31,9 +31,9 @@
   // Whether anything may be started, or stopped for the sake of other work, now.
   [[nodiscard]] bool can_start_anything(Instant now) const { return leadership_.can_start(now); }
   // Allocates the task to the machine. It may start once the record of that is written.
-  void place(Job& job, std::uint32_t index, AttemptNo attempt, Machine& machine, Instant now);
+  void place(Job& job, std::uint32_t index, AttemptNumber attempt, Machine& machine, Instant now);
   // Whether the agent may be told to start the task now: its allocation is durable, and so is the whole gang's.
-  [[nodiscard]] bool can_start(const Job& job, const Run& run, Instant now) const;
+  [[nodiscard]] bool can_start(const Job& job, const Allocation& allocation, Instant now) const;
 
   // The grace in seconds that lets the job's tasks save their progress when they are stopped.
   [[nodiscard]] double checkpoint_grace(const Job& job) const;
@@ -46,7 +46,7 @@
   // Ends a cancelled job: kills what runs and gives up what was never told to a machine.
   void cancel(Job& job, Instant now);
   // The stops that did not reach their agents by an answer to a heartbeat in time, and are due to be sent directly.
-  [[nodiscard]] std::vector<DirectHalt> due_direct_stops(Instant now);
+  [[nodiscard]] std::vector<DirectStop> due_direct_stops(Instant now);
 
   // Ends the allocation of a task that certainly does not run any more; `why` is logged. Checkpointed progress is kept.
   void confirm_terminated(Job& job, std::uint32_t index, const char* why, Instant now);
--- a/src/control/task_pricing.cpp
+++ b/src/control/task_pricing.cpp
@@ -21,7 +21,7 @@
     if (is_type_allowed(spec, kind.name) && each.count_in(offered(spec, kind)) > 0)
       longest_s = std::max(longest_s, kind.boot_s);
   }
-  return from_seconds(longest_s) + constants::kCloudCallLimit;
+  return from_seconds(longest_s) + constants::kCloudCallTimeout;
 }
 
 // What is left of a boot that is late. Most end soon after their time; one that is very late may never end, and is
@@ -30,7 +30,7 @@
   const wire::MachineType* kind = cluster_.type(machine.type);
   const Millis boot = from_seconds(kind == nullptr ? 0 : kind->boot_s);
   const Millis taken = now - machine.since;
-  return taken < boot * constants::kBootSlack ? boot / 4 : taken;
+  return taken < boot * constants::kBootSlackFactor ? boot / 4 : taken;
 }
 
 // From the wish for a machine to a task that runs on it.
@@ -39,8 +39,8 @@
   double cover_s = 0;
   for (const wire::MachineType& kind : cluster_.types) {
     if (each.count_in(offered(spec, kind)) <= 0) continue;
-    const double kind_s = kind.boot_s * constants::kBootSlack + to_seconds(cluster_.fetch_time(spec, kind.name)) +
-                          cluster_.settings.report_s;
+    const double kind_s = kind.boot_s * constants::kBootSlackFactor + to_seconds(cluster_.fetch_time(spec, kind.name)) +
+                          cluster_.settings.heartbeat_interval_s;
     cover_s = cover_s == 0 ? kind_s : std::min(cover_s, kind_s);
   }
   return cover_s;
@@ -63,7 +63,7 @@
       return false;
     const std::int64_t fit = task_amounts(spec).count_in(offered(spec, *kind));
     const double hourly = hourly_price(*kind, machine.spot);
-    return fit > 0 && hourly / static_cast<double>(fit) <= constants::kReservePriceMost * lowest_price(spec);
+    return fit > 0 && hourly / static_cast<double>(fit) <= constants::kMaxReservePriceFactor * lowest_price(spec);
   });
 }
 
@@ -72,10 +72,10 @@
 // where the next work mostly finds cheaper machines. Where an aim leaves no time for a boot, it is kept for longer.
 Millis TaskPricing::max_idle(const Machine& machine) const {
   if (cluster_.settings.operators.idle_return_s > 0) return from_seconds(cluster_.settings.operators.idle_return_s);
-  if (serves_urgent_class(machine)) return constants::kReturnIdleUrgent;
+  if (serves_urgent_class(machine)) return constants::kIdleBeforeScaleInUrgent;
   const wire::MachineType* kind = cluster_.type(machine.type);
   const double boot_s = kind == nullptr ? 0 : kind->boot_s;
-  return std::max(constants::kReturnIdleLeast, from_seconds(boot_s * constants::kIdlePerBoot));
+  return std::max(constants::kMinIdleBeforeScaleIn, from_seconds(boot_s * constants::kIdleShareOfBoot));
 }
 
 double TaskPricing::lowest_price(const wire::JobSpec& spec) const {
--- a/src/control/times.h
+++ b/src/control/times.h
@@ -28,20 +28,22 @@
 
 // A machine that has reported is a suspect when it was not heard for so long.
 inline plan::Millis silence_span(const config::Settings& settings) {
-  return std::max(from_seconds(settings.report_s * 2.5), from_seconds(settings.report_s + 2));
+  return std::max(from_seconds(settings.heartbeat_interval_s * 2.5), from_seconds(settings.heartbeat_interval_s + 2));
 }
 
 // A worker that can't reach the leader, or does not know it yet, is heard through another node within it.
 inline plan::Millis detour_span(const config::Settings& settings) {
-  return constants::kReportAnswerLimit + constants::kRelayWithin + from_seconds(settings.report_s * 1.25);
+  return constants::kHeartbeatTimeout + constants::kRelayDetectionWindow +
+         from_seconds(settings.heartbeat_interval_s * 1.25);
 }
 
 // A grant to answer a zone's workers lasts as long as the fence would. The giver's clock may run slow meanwhile, and the
 // holder's fast: by that much it counts it as longer.
-inline zone::Spans grant_spans(const config::Settings& settings) {
-  const plan::Millis grant = fence_span(settings);
-  return {.grant = grant,
-          .bound = grant + std::chrono::ceil<plan::Millis>(grant * (4 * constants::kClockDrift)) + plan::Millis(1),
+inline zone::Spans delegation_spans(const config::Settings& settings) {
+  const plan::Millis delegation = fence_span(settings);
+  return {.delegation = delegation,
+          .bound =
+              delegation + std::chrono::ceil<plan::Millis>(delegation * (4 * constants::kClockDrift)) + plan::Millis(1),
           .lease = lease_span(settings)};
 }
 
--- a/src/control/unreached.cpp
+++ b/src/control/unreached.cpp
@@ -5,11 +5,11 @@
 namespace foxshunt::control {
 
 bool Unreached::passes(const MachineId& machine, Term seen, Term current, plan::Instant now) {
-  if (current != term_ || visits_.size() > constants::kRelayedMost) visits_.clear();
+  if (current != term_ || visits_.size() > constants::kMaxRelayed) visits_.clear();
   term_ = current;
   Visit& visit = visits_[machine];
   if (visit.since) {
-    if (now - *visit.since < constants::kRelayFor) return true;
+    if (now - *visit.since < constants::kRelayPeriod) return true;
     // The leader may be in reach again, which only the worker can tell: it comes back if not.
     visit = {.sent = now, .since = {}};
     return false;
@@ -17,7 +17,7 @@
   // Whoever has seen the term was served by its leader, and would still be there if it answered. Without this a cut
   // costs such a worker the time of two answers that don't come, and that is more than a short lease.
   const bool left_leader = seen == current;
-  const bool came_back = visit.sent && now - *visit.sent < constants::kRelayBack;
+  const bool came_back = visit.sent && now - *visit.sent < constants::kRelayReturnWindow;
   if (!left_leader && !came_back) {
     visit.sent = now;
     return false;
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -17,10 +17,10 @@
 // ---- delegations ----
 
 bool ZoneCoordinator::must_stop_tasks(const Machine& machine) const {
-  if (machine.strangers && kept(Guard::grant_strangers)) return true;
-  return std::ranges::any_of(machine.runs, [this](const TaskKey& key) {
+  if (machine.has_unknown_tasks && kept(Guard::grant_strangers)) return true;
+  return std::ranges::any_of(machine.allocations, [this](const TaskKey& key) {
     const Job& job = cluster_.jobs.at(key.job);
-    return (job.withdrawn && kept(Guard::grant_withdrawn)) || (job.reload && kept(Guard::grant_reload));
+    return (job.cancelled && kept(Guard::grant_withdrawn)) || (job.reload && kept(Guard::grant_reload));
   });
 }
 
@@ -40,20 +40,21 @@
   return except;
 }
 
-std::optional<zone::Grant> ZoneCoordinator::on_delegation_request(const zone::Ask& request, Instant now) {
+std::optional<zone::LeaseDelegation> ZoneCoordinator::on_delegation_request(const zone::DelegationRequest& request,
+                                                                            Instant now) {
   if (!leadership_.is_leader()) return std::nullopt;
   const auto sibling = std::ranges::find(cluster_.settings.siblings, request.node, &config::Sibling::name);
   if (sibling == cluster_.settings.siblings.end()) return std::nullopt;
-  const bool older_over = cluster_.delegations.older_terms_over();
+  const bool older_over = cluster_.delegations.have_older_terms_ended();
   // First what the word tells: a machine that the sibling has answered is not taken for dead.
   if (!cluster_.delegations.hear(request, leadership_.term(), now)) return std::nullopt;
   std::vector<MachineId> except;
   std::optional<Instant> known;
-  if (cluster_.settings.operators.zone_grants) {
+  if (cluster_.settings.operators.zone_lease_delegation) {
     except = delegation_exceptions(sibling->zone, now);
-    if (except.size() <= constants::kGrantMachinesMost) known = leadership_.last_confirmed();
+    if (except.size() <= constants::kMaxDelegationMachines) known = leadership_.last_confirmed();
   }
-  if (!older_over && cluster_.delegations.older_terms_over()) {
+  if (!older_over && cluster_.delegations.have_older_terms_ended()) {
     cluster_.older_leaders_until = std::min(cluster_.older_leaders_until, now);
     spdlog::info("every sibling has left older terms");
   }
@@ -62,20 +63,20 @@
 
 // ---- zone health ----
 
-std::map<std::string, zone::Sighting> ZoneCoordinator::sight_zones(Instant now) const {
-  std::map<std::string, zone::Sighting> seen;
+std::map<std::string, zone::ZoneObservation> ZoneCoordinator::sight_zones(Instant now) const {
+  std::map<std::string, zone::ZoneObservation> seen;
   for (const std::string& name : cluster_.settings.zones) seen[name];
   for (const auto& [unused, machine] : cluster_.machines) {
     if (machine.zone.empty() || machine.state == MachineState::returning || machine.listed.failed) continue;
-    zone::Sighting& zone = seen[machine.zone];
-    if (machine.reported && !machine.expired && !cluster_.machines.silent(machine, now)) {
+    zone::ZoneObservation& zone = seen[machine.zone];
+    if (machine.has_reported && !machine.expired && !cluster_.machines.silent(machine, now)) {
       ++zone.heard;
     } else if (machine.expired) {
       ++zone.ended;
-    } else if (machine.reported ||
-               ((machine.listed.running || !machine.runs.empty()) && cluster_.machines.silent(machine, now))) {
+    } else if (machine.has_reported ||
+               ((machine.listed.running || !machine.allocations.empty()) && cluster_.machines.silent(machine, now))) {
       ++zone.silent;
-      zone.tasks += machine.runs.size();
+      zone.tasks += machine.allocations.size();
     }
   }
   for (auto& [name, zone] : seen) {
@@ -107,9 +108,9 @@
   if (cluster_.settings.operators.zones_out.empty()) return;
   Machine* next = nullptr;
   for (auto& [unused, machine] : cluster_.machines) {
-    if (machine.runs.empty() || cluster_.settings.in_service(machine.zone)) continue;
+    if (machine.allocations.empty() || cluster_.settings.in_service(machine.zone)) continue;
     if (machine.state == MachineState::draining) return;  // one at a time
-    const bool only_replicas = std::ranges::all_of(machine.runs, [this](const TaskKey& key) {
+    const bool only_replicas = std::ranges::all_of(machine.allocations, [this](const TaskKey& key) {
       return cluster_.jobs.at(key.job).spec.kind == wire::JobKind::service;
     });
     if (next == nullptr && machine.state == MachineState::up && only_replicas) next = &machine;
--- a/src/control/zone_coordinator.h
+++ b/src/control/zone_coordinator.h
@@ -25,7 +25,8 @@
 
   // What another controller that asks is delegated; nothing when it is none of the settings, its request is stale, or nothing
   // can be delegated now.
-  [[nodiscard]] std::optional<zone::Grant> on_delegation_request(const zone::Ask& request, Instant now);
+  [[nodiscard]] std::optional<zone::LeaseDelegation> on_delegation_request(const zone::DelegationRequest& request,
+                                                                           Instant now);
   // Looks at the machines of each zone and logs what has changed.
   void observe_zones(Instant now);
   // Moves services out of zones that are out of service, one machine after the other; all other work runs out.
@@ -34,7 +35,7 @@
  private:
   [[nodiscard]] std::vector<MachineId> delegation_exceptions(const std::string& zone, Instant now) const;
   [[nodiscard]] bool must_stop_tasks(const Machine& machine) const;
-  [[nodiscard]] std::map<std::string, zone::Sighting> sight_zones(Instant now) const;
+  [[nodiscard]] std::map<std::string, zone::ZoneObservation> sight_zones(Instant now) const;
 
   ClusterState& cluster_;
   const Leadership& leadership_;
--- a/src/foresight/foresight.cpp
+++ b/src/foresight/foresight.cpp
@@ -45,15 +45,17 @@
   const std::string machines = std::to_string(number) + " more of " + need.kind + " up by " + clock_of(minute);
   const std::string room = "room in it for " + plural(number, "more task");
   switch (need.lack) {
-    case Lack::nothing: break;
-    case Lack::time:
+    case ShortfallReason::nothing: break;
+    case ShortfallReason::time:
       return who + " can't end by the deadline even if all of it runs now: only a shorter or an earlier job would help";
-    case Lack::type: return late + "no machine type that it may use has room; smaller tasks or other types would help";
-    case Lack::team_limit: return late + "the team's limit is used up; " + room + " would help";
-    case Lack::class_cap: return late + "its class's cap for the team keeps it back; " + room + " would help";
-    case Lack::boot: return late + "a machine rented now boots too late; " + machines + " would help";
-    case Lack::room: return late + "no room, and the settings forbid renting; " + machines + " would help";
-    case Lack::offer: return late + "no room, and none to rent; " + machines + " would help";
+    case ShortfallReason::type:
+      return late + "no machine type that it may use has room; smaller tasks or other types would help";
+    case ShortfallReason::team_limit: return late + "the team's limit is used up; " + room + " would help";
+    case ShortfallReason::class_cap:
+      return late + "its class's cap for the team keeps it back; " + room + " would help";
+    case ShortfallReason::boot: return late + "a machine rented now boots too late; " + machines + " would help";
+    case ShortfallReason::room: return late + "no room, and the settings forbid renting; " + machines + " would help";
+    case ShortfallReason::offer: return late + "no room, and none to rent; " + machines + " would help";
   }
   return late + "room would help, nothing is known to lack";
 }
@@ -62,28 +64,28 @@
 
 bool in_time(const Work& work, const Kind& kind, Instant now) { return now + kind.ready() + work.run <= work.by; }
 
-Prospect look(const Work& work, Instant now) {
-  Prospect prospect{.end = work.end};
-  if (work.end && *work.end <= work.by) return prospect;
+DeadlineForecast forecast_deadline(const Work& work, Instant now) {
+  DeadlineForecast forecast{.end = work.end};
+  if (work.end && *work.end <= work.by) return forecast;
   if (work.waiting == 0 || now + work.run > work.by) {
-    prospect.lack = Lack::time;
-    return prospect;
+    forecast.lack = ShortfallReason::time;
+    return forecast;
   }
   if (work.kinds.empty()) {
-    prospect.lack = Lack::type;
-    return prospect;
+    forecast.lack = ShortfallReason::type;
+    return forecast;
   }
   const std::uint64_t needed = at_once(work, now);
   if (work.limit && *work.limit < needed) {
-    prospect.lack = Lack::team_limit;
-    prospect.tasks = needed - *work.limit;
-    return prospect;
+    forecast.lack = ShortfallReason::team_limit;
+    forecast.tasks = needed - *work.limit;
+    return forecast;
   }
   const std::uint64_t uncapped = work.waiting - std::min(work.capped, work.waiting);
   if (uncapped < needed) {
-    prospect.lack = Lack::class_cap;
-    prospect.tasks = needed - uncapped;
-    return prospect;
+    forecast.lack = ShortfallReason::class_cap;
+    forecast.tasks = needed - uncapped;
+    return forecast;
   }
   const Kind* soonest = nullptr;  // to rent, in time
   const Kind* fewest = nullptr;   // whether it may be had or not
@@ -91,7 +93,7 @@
   bool any_in_time = false;
   for (const Kind& kind : work.kinds) {
     const bool timely = in_time(work, kind, now);
-    if (timely && kind.to_rent && work.may_rent && (soonest == nullptr || kind.ready() < soonest->ready())) {
+    if (timely && kind.can_scale_out && work.can_scale_out && (soonest == nullptr || kind.ready() < soonest->ready())) {
       soonest = &kind;
     }
     // One that could be up in time rather than one that can't.
@@ -102,18 +104,20 @@
     any_in_time = any_in_time || timely;
   }
   if (soonest != nullptr) {
-    prospect.end = now + soonest->ready() + work.run;
-    return prospect;
+    forecast.end = now + soonest->ready() + work.run;
+    return forecast;
   }
-  prospect.lack = !work.may_rent ? Lack::room : any_in_time ? Lack::offer : Lack::boot;
-  prospect.kind = fewest->name;
-  prospect.machines = machines(*fewest);
-  prospect.up_by = work.by - work.run - fewest->fetch;
-  return prospect;
+  forecast.lack = !work.can_scale_out ? ShortfallReason::room
+                  : any_in_time       ? ShortfallReason::offer
+                                      : ShortfallReason::boot;
+  forecast.kind = fewest->name;
+  forecast.machines = machines(*fewest);
+  forecast.up_by = work.by - work.run - fewest->fetch;
+  return forecast;
 }
 
 std::string in_words(const Need& need, const std::vector<std::string>& told) {
-  const bool counts_tasks = need.lack == Lack::team_limit || need.lack == Lack::class_cap;
+  const bool counts_tasks = need.lack == ShortfallReason::team_limit || need.lack == ShortfallReason::class_cap;
   const std::uint64_t number = round_up(std::max<std::uint64_t>(counts_tasks ? need.tasks : need.machines, 1));
   const std::int64_t minute = need.up_by_ms / 60'000;
   // Clocks are compared anew for each plan, so that a time on the edge of a minute wavers.
--- a/src/foresight/foresight.h
+++ b/src/foresight/foresight.h
@@ -21,15 +21,15 @@
   Instant by;    // by the clock that is ahead of all others
   int step = 0;  // of slack, as recorded
 };
-using Dues = std::map<JobId, Due>;
+using DueJobs = std::map<JobId, Due>;
 
 // A kind of machine that one task of the work fits.
 struct Kind {
   std::string name;
-  Millis boot{};          // from the wish for one until it is up
-  Millis fetch{};         // of the work's image
-  std::uint64_t fit = 1;  // tasks at once
-  bool to_rent = false;   // one more may be had at a price that is paid for late work
+  Millis boot{};               // from the wish for one until it is up
+  Millis fetch{};              // of the work's image
+  std::uint64_t fit = 1;       // tasks at once
+  bool can_scale_out = false;  // one more may be had at a price that is paid for late work
   [[nodiscard]] Millis ready() const { return boot + fetch; }
 };
 
@@ -42,11 +42,11 @@
   std::optional<Instant> end;          // by the plan; nothing: some task has neither a place nor a booking
   std::optional<std::uint64_t> limit;  // more tasks that the team's limit lets run now; nothing: it has none
   std::uint64_t capped = 0;            // of those that wait, kept back by the class's cap for the team
-  bool may_rent = true;                // by the settings
+  bool can_scale_out = true;           // by the settings
   std::vector<Kind> kinds;
 };
 
-enum class Lack : std::uint8_t {
+enum class ShortfallReason : std::uint8_t {
   nothing,
   time,        // it would end too late if all of it began now
   type,        // no kind of machine has room for a task
@@ -57,8 +57,8 @@
   offer,       // the cloud has none, or none at that price
 };
 
-struct Prospect {
-  Lack lack = Lack::nothing;
+struct DeadlineForecast {
+  ShortfallReason lack = ShortfallReason::nothing;
   std::optional<Instant> end;  // when it is expected to end: by the plan, or on machines that are rented now
   std::uint64_t tasks = 0;     // more of them at once would help, for want of a limit or a cap
   std::string kind;            // or this kind of machine,
@@ -66,14 +66,14 @@
   Instant up_by;               // up by then
 };
 
-[[nodiscard]] Prospect look(const Work& work, Instant now);
+[[nodiscard]] DeadlineForecast forecast_deadline(const Work& work, Instant now);
 
 // Whether machines of the kind that are asked for now would run a task of the work in time.
 [[nodiscard]] bool in_time(const Work& work, const Kind& kind, Instant now);
 
 // The same for several jobs that lack the same.
 struct Need {
-  Lack lack = Lack::nothing;
+  ShortfallReason lack = ShortfallReason::nothing;
   std::string job;  // one of them
   std::uint64_t jobs = 1;
   std::string kind;
--- a/src/health/health.cpp
+++ b/src/health/health.cpp
@@ -18,7 +18,7 @@
 }
 
 void HealthCheck::on_state(Instant at) {
-  if (!heard_ || at - *heard_ >= constants::kPeerSilence) steady_since_ = at;
+  if (!heard_ || at - *heard_ >= constants::kPeerSilenceTimeout) steady_since_ = at;
   heard_ = std::max(at, heard_.value_or(at));
 }
 
@@ -34,19 +34,20 @@
 
 Verdict HealthCheck::assess(Instant at) const {
   const Millis silent = silent_for(at);
-  if (silent < constants::kStateSilence) return Verdict::served;
+  if (silent < constants::kStoreSilenceTimeout) return Verdict::served;
   bool any = false;
   for (const auto& [unused, heard] : contacts_) {
     const Millis age = at - heard.asked;
-    if (age >= constants::kWordKept) continue;
+    if (age >= constants::kPeerStatusTtl) continue;
     any = true;
     // One that is served again only since a moment ago may just be the first to notice that an outage is over.
-    if (heard.contact.silent + age < constants::kPeerSilence && heard.contact.steady >= constants::kServedElsewhere) {
+    if (heard.contact.silent + age < constants::kPeerSilenceTimeout &&
+        heard.contact.steady >= constants::kPeerServedInterval) {
       return Verdict::alone;
     }
   }
   if (any) return Verdict::shared;
-  return siblings_ > 0 && silent >= constants::kCutOff ? Verdict::cut_off : Verdict::unheard;
+  return siblings_ > 0 && silent >= constants::kIsolationTimeout ? Verdict::cut_off : Verdict::unheard;
 }
 
 void write_contact(wire::Value::Map& map, const StateContact& contact) {
@@ -57,7 +58,7 @@
 std::optional<StateContact> contact_from(const wire::Value& value) {
   if (value["state_silent_ms"].is_null()) return std::nullopt;
   const auto span = [&](const char* field) {
-    const auto most = static_cast<std::uint64_t>(constants::kForGood.count());  // so that sums stay small
+    const auto most = static_cast<std::uint64_t>(constants::kUnboundedWait.count());  // so that sums stay small
     return Millis(static_cast<std::int64_t>(std::min(value.count(field), most)));
   };
   return StateContact{.silent = span("state_silent_ms"), .steady = span("state_steady_ms")};
--- a/src/inventory/machine_inventory.cpp
+++ b/src/inventory/machine_inventory.cpp
@@ -25,26 +25,27 @@
   return {.machine = machine, .fresh = fresh};
 }
 
-bool MachineInventory::news(const wire::Report& report) const {
-  if (gone_.contains(report.machine) && kept(Guard::report_returned)) return false;
-  const auto known = machines_.find(report.machine);
-  if (known == machines_.end() || !known->second.reported || !kept(Guard::report_order)) return true;
-  return std::tie(report.session, report.sequence) > std::tie(known->second.session, known->second.sequence);
+bool MachineInventory::news(const wire::Heartbeat& heartbeat) const {
+  if (gone_.contains(heartbeat.machine) && kept(Guard::report_returned)) return false;
+  const auto known = machines_.find(heartbeat.machine);
+  if (known == machines_.end() || !known->second.has_reported || !kept(Guard::report_order)) return true;
+  return std::tie(heartbeat.incarnation, heartbeat.sequence) >
+         std::tie(known->second.incarnation, known->second.sequence);
 }
 
-bool MachineInventory::newest(const wire::Report& report) const {
-  const auto known = machines_.find(report.machine);
-  return known != machines_.end() &&
-         std::tie(report.session, report.sequence) == std::tie(known->second.session, known->second.sequence);
+bool MachineInventory::newest(const wire::Heartbeat& heartbeat) const {
+  const auto known = machines_.find(heartbeat.machine);
+  return known != machines_.end() && std::tie(heartbeat.incarnation, heartbeat.sequence) ==
+                                         std::tie(known->second.incarnation, known->second.sequence);
 }
 
-bool MachineInventory::hear(Machine& machine, const wire::Report& report, Term term, Instant now) {
+bool MachineInventory::hear(Machine& machine, const wire::Heartbeat& heartbeat, Term term, Instant now) {
   const bool booted = machine.state == MachineState::booting;
-  if (!machine.reported || booted || machine.type.empty()) {
-    machine.address = report.address;
-    machine.type = report.type;
-    machine.zone = report.zone;
-    machine.spot = report.spot;
+  if (!machine.has_reported || booted || machine.type.empty()) {
+    machine.address = heartbeat.address;
+    machine.type = heartbeat.type;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
     if (booted) {
       machine.state = MachineState::up;
       spdlog::info("machine_up machine={} type={} zone={} spot={} boot_s={:.1f}", machine.id.text(), machine.type,
@@ -52,12 +53,12 @@
     }
     machine.ready = now;
   }
-  machine.reported = true;
+  machine.has_reported = true;
   machine.hinted = Hinted::no;
-  machine.session = report.session;
-  machine.sequence = report.sequence;
-  machine.last_report = now;
-  machine.saw_term = report.term == term;
+  machine.incarnation = heartbeat.incarnation;
+  machine.sequence = heartbeat.sequence;
+  machine.last_heartbeat = now;
+  machine.saw_term = heartbeat.term == term;
   machine.expired = false;
   return booted;
 }
@@ -89,8 +90,8 @@
   const auto known = machines_.find(id);
   if (known == machines_.end()) return true;
   // Unproved is never gone: what may run there has to find its machine.
-  if (!known->second.runs.empty()) {
-    spdlog::error("machine_kept machine={} allocations={}", id.text(), known->second.runs.size());
+  if (!known->second.allocations.empty()) {
+    spdlog::error("machine_kept machine={} allocations={}", id.text(), known->second.allocations.size());
     return false;
   }
   machines_.erase(known);
@@ -98,38 +99,39 @@
 }
 
 bool MachineInventory::silent(const Machine& machine, Instant now) const {
-  if (machine.reported) return now - machine.last_report >= spans_.silence;
+  if (machine.has_reported) return now - machine.last_heartbeat >= spans_.silence;
   // Its worker has had the time to find this leader.
   return now - machine.known > spans_.detour;
 }
 
 bool MachineInventory::usable(const Machine& machine, Instant now) const {
-  return machine.state == MachineState::up && machine.reported &&
-         (!machine.strangers || !kept(Guard::stranger_unusable)) &&
+  return machine.state == MachineState::up && machine.has_reported &&
+         (!machine.has_unknown_tasks || !kept(Guard::stranger_unusable)) &&
          (!machine.expired || !kept(Guard::expired_unusable)) && !silent(machine, now);
 }
 
-Instant MachineInventory::lease_end(const Machine& machine, Instant others_until, Instant granted_until) const {
+Instant MachineInventory::lease_end(const Machine& machine, Instant older_leaders_until,
+                                    Instant delegated_until) const {
   // Whoever may answer the worker may renew its lease: this leader only, once the worker has seen its term;
   // before that also an older leader, until its fence.
-  Instant renewed = machine.reported && kept(Guard::lease_last_report) ? machine.last_report : Instant{};
-  if (!machine.saw_term && kept(Guard::lease_older_leaders)) renewed = std::max(renewed, others_until);
+  Instant renewed = machine.has_reported && kept(Guard::lease_last_report) ? machine.last_heartbeat : Instant{};
+  if (!machine.saw_term && kept(Guard::lease_older_leaders)) renewed = std::max(renewed, older_leaders_until);
   // And in this term whoever holds a grant for its zone.
-  if (kept(Guard::lease_grants)) renewed = std::max(renewed, granted_until);
+  if (kept(Guard::lease_grants)) renewed = std::max(renewed, delegated_until);
   return renewed + spans_.lease;
 }
 
-bool MachineInventory::lease_over(const Machine& machine, Instant others_until, Instant granted_until,
-                                  Instant now) const {
-  return (!machine.reported || now > machine.last_report + spans_.lease || !kept(Guard::lease_last_report)) &&
-         now > lease_end(machine, others_until, granted_until);
+bool MachineInventory::is_lease_expired(const Machine& machine, Instant older_leaders_until, Instant delegated_until,
+                                        Instant now) const {
+  return (!machine.has_reported || now > machine.last_heartbeat + spans_.lease || !kept(Guard::lease_last_report)) &&
+         now > lease_end(machine, older_leaders_until, delegated_until);
 }
 
 std::size_t MachineInventory::unheard(Instant now) const {
   std::size_t silent = 0;
   for (const auto& [unused, machine] : machines_) {
-    if (!machine.reported || machine.expired) continue;
-    if (now - machine.last_report <= spans_.detour) return 0;
+    if (!machine.has_reported || machine.expired) continue;
+    if (now - machine.last_heartbeat <= spans_.detour) return 0;
     ++silent;
   }
   return silent;
--- a/src/inventory/machine_inventory.h
+++ b/src/inventory/machine_inventory.h
@@ -30,7 +30,7 @@
 
 // The tasks that are placed on a machine and not proved gone. Only the job table changes it, together with the runs
 // themselves, so that the two can't part.
-class RunsHere {
+class MachineAllocations {
  public:
   [[nodiscard]] auto begin() const { return keys_.begin(); }
   [[nodiscard]] auto end() const { return keys_.end(); }
@@ -62,18 +62,18 @@
   std::string zone;
   bool spot = false;
   MachineState state = MachineState::booting;
-  Instant since;          // rented or first heard of
-  Instant ready;          // while booting: when it is expected
-  bool reported = false;  // to this leader
+  Instant since;              // rented or first heard of
+  Instant ready;              // while booting: when it is expected
+  bool has_reported = false;  // to this leader
   Hinted hinted = Hinted::no;
   bool saw_term = false;  // its worker has seen our term: only we can renew its lease
-  SessionNo session;
+  AgentIncarnation incarnation;
   std::uint64_t sequence = 0;
-  Instant last_report;
+  Instant last_heartbeat;
   bool expired = false;  // its last known session has certainly ended
-  RunsHere runs;
-  bool halting = false;    // some of them may have to be stopped
-  bool strangers = false;  // its newest report has tasks that we didn't place there
+  MachineAllocations allocations;
+  bool stopping = false;           // some of them may have to be stopped
+  bool has_unknown_tasks = false;  // its newest report has tasks that we didn't place there
   std::set<std::string> images;
   int errors = 0;
   std::optional<Instant> idle_since;
@@ -120,15 +120,15 @@
   // ---- words of it ----
   // Whether the report teaches anything: one of a machine whose return was confirmed, or that is not newer than the last
   // that was taken, was held up on its way.
-  [[nodiscard]] bool news(const wire::Report& report) const;
+  [[nodiscard]] bool news(const wire::Heartbeat& heartbeat) const;
   // Takes a report that is news. True when the machine was not known to be up until now.
-  bool hear(Machine& machine, const wire::Report& report, Term term, Instant now);
+  bool hear(Machine& machine, const wire::Heartbeat& heartbeat, Term term, Instant now);
   // Whether the report is the newest that was taken.
-  [[nodiscard]] bool newest(const wire::Report& report) const;
+  [[nodiscard]] bool newest(const wire::Heartbeat& heartbeat) const;
   // Takes an entry of the cloud's list; nothing when it is of an old list. `boot`: how long its type takes.
   std::optional<Known> list(const wire::ListedMachine& entry, Millis boot, Instant now);
   // The cloud has confirmed that it was returned: an old list or report may still show it.
-  void on_returned(const MachineId& id) { gone_.insert(id); }
+  void on_scaled_in(const MachineId& id) { gone_.insert(id); }
   [[nodiscard]] bool gone(const MachineId& id) const { return gone_.contains(id); }
   // Never one that something may run on: false, and then it stays.
   bool forget(const MachineId& id);
@@ -138,10 +138,11 @@
   // Whether it can take work, as far as it is known itself: suspects get none before they are lost.
   [[nodiscard]] bool usable(const Machine& machine, Instant now) const;
   // Up to when its tasks may run on, if nothing more is heard of it: nobody can renew its lease for longer.
-  // `others_until`: older leaders may renew leases until then; `granted_until`: the same of who holds a grant.
-  [[nodiscard]] Instant lease_end(const Machine& machine, Instant others_until, Instant granted_until) const;
+  // `older_leaders_until`: older leaders may renew leases until then; `delegated_until`: the same of who holds a grant.
+  [[nodiscard]] Instant lease_end(const Machine& machine, Instant older_leaders_until, Instant delegated_until) const;
   // The same, but sooner known.
-  [[nodiscard]] bool lease_over(const Machine& machine, Instant others_until, Instant granted_until, Instant now) const;
+  [[nodiscard]] bool is_lease_expired(const Machine& machine, Instant older_leaders_until, Instant delegated_until,
+                                      Instant now) const;
   // How many have reported and whose lease may not have ended, if none of them was heard within the detour's span.
   [[nodiscard]] std::size_t unheard(Instant now) const;
   [[nodiscard]] std::map<Kind, std::size_t> held() const;
--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -5,7 +5,7 @@
 namespace foxshunt::jobs {
 
 bool Job::in_flight() const {
-  return std::ranges::any_of(parts, [](const Part& part) { return part.in_flight; });
+  return std::ranges::any_of(shards, [](const JobShard& shard) { return shard.in_flight; });
 }
 
 }  // namespace foxshunt::jobs
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -36,15 +36,15 @@
 };
 
 // A task's placement on a machine, from the moment it is decided until it is proved gone.
-struct Run {
-  AttemptNo attempt;
+struct Allocation {
+  AttemptNumber attempt;
   MachineId machine;
-  SessionNo session;
+  AgentIncarnation incarnation;
   DurableFlag durable;   // only then may the start command be sent
   bool adopted = false;  // of an earlier leader's record
-  bool halting = false;
+  bool stopping = false;
   double grace_s = 0;
-  Instant halt_due;                     // when the halt is sent directly, if it is still needed
+  Instant stop_due;                     // when the halt is sent directly, if it is still needed
   std::optional<wire::TaskState> seen;  // as last reported
   Instant placed;
   std::optional<Instant> running_since;
@@ -54,38 +54,40 @@
 
 // The runs of a part, by their tasks' indices in the job. Their fields may be changed through it; only the job table adds
 // and removes runs, so that none that may be running can be lost.
-class PartRuns {
+class ShardAllocations {
  public:
-  using Map = std::map<std::uint32_t, Run>;
-
-  [[nodiscard]] Map::iterator begin() { return runs_.begin(); }
-  [[nodiscard]] Map::iterator end() { return runs_.end(); }
-  [[nodiscard]] Map::const_iterator begin() const { return runs_.begin(); }
-  [[nodiscard]] Map::const_iterator end() const { return runs_.end(); }
-  [[nodiscard]] Map::iterator find(std::uint32_t index) { return runs_.find(index); }
-  [[nodiscard]] Map::const_iterator find(std::uint32_t index) const { return runs_.find(index); }
-  [[nodiscard]] Run& at(std::uint32_t index) { return runs_.at(index); }
-  [[nodiscard]] const Run& at(std::uint32_t index) const { return runs_.at(index); }
-  [[nodiscard]] bool contains(std::uint32_t index) const { return runs_.contains(index); }
-  [[nodiscard]] bool empty() const { return runs_.empty(); }
-  [[nodiscard]] std::size_t size() const { return runs_.size(); }
+  using Map = std::map<std::uint32_t, Allocation>;
+
+  [[nodiscard]] Map::iterator begin() { return allocations_.begin(); }
+  [[nodiscard]] Map::iterator end() { return allocations_.end(); }
+  [[nodiscard]] Map::const_iterator begin() const { return allocations_.begin(); }
+  [[nodiscard]] Map::const_iterator end() const { return allocations_.end(); }
+  [[nodiscard]] Map::iterator find(std::uint32_t index) { return allocations_.find(index); }
+  [[nodiscard]] Map::const_iterator find(std::uint32_t index) const { return allocations_.find(index); }
+  [[nodiscard]] Allocation& at(std::uint32_t index) { return allocations_.at(index); }
+  [[nodiscard]] const Allocation& at(std::uint32_t index) const { return allocations_.at(index); }
+  [[nodiscard]] bool contains(std::uint32_t index) const { return allocations_.contains(index); }
+  [[nodiscard]] bool empty() const { return allocations_.empty(); }
+  [[nodiscard]] std::size_t size() const { return allocations_.size(); }
 
  private:
   friend class JobTable;
-  Run& add(std::uint32_t index, const Run& run) { return runs_.emplace(index, run).first->second; }
-  void remove(Map::iterator run) { runs_.erase(run); }
+  Allocation& add(std::uint32_t index, const Allocation& allocation) {
+    return allocations_.emplace(index, allocation).first->second;
+  }
+  void remove(Map::iterator allocation) { allocations_.erase(allocation); }
 
-  Map runs_;
+  Map allocations_;
 };
 
-struct Part {
-  Revision mark;          // of its own key, in a job of several parts
+struct JobShard {
+  Revision revision;      // of its own key, in a job of several parts
   bool recorded = false;  // that key may be there: also by a write that had no answer
   bool reload = false;    // a write met a record at another revision than `mark`
-  AttemptNo next{1};
+  AttemptNumber next{1};
   std::vector<bool> done;
   std::uint32_t done_count = 0;
-  PartRuns runs;
+  ShardAllocations allocations;
   bool dirty = false;      // memory is ahead of the record
   Instant dirty_since;     // that or the write under way
   bool in_flight = false;  // a transaction on it is under way
@@ -112,27 +114,27 @@
   Amounts each;
   Instant submitted;
   std::int64_t submitted_wall_ms = 0;
-  Revision mark;  // of live/<job>
-  std::vector<Part> parts;
+  Revision revision;  // of live/<job>
+  std::vector<JobShard> shards;
   std::uint32_t done_count = 0;
-  std::uint32_t runs_count = 0;
-  bool withdrawn = false;
-  bool had_runs = false;  // there may be a linger/ record
-  bool begun = false;     // seen running by this leader
-  Instant shown;          // when the counts of a job in parts were last written
-  bool reload = false;    // a write met a record that is not the one in memory
-  Instant not_before;     // after errors
-  int errors = 0;         // in a row, on different machines
+  std::uint32_t allocation_count = 0;
+  bool cancelled = false;
+  bool had_allocations = false;  // there may be a linger/ record
+  bool begun = false;            // seen running by this leader
+  Instant shown;                 // when the counts of a job in parts were last written
+  bool reload = false;           // a write met a record that is not the one in memory
+  Instant not_before;            // after errors
+  int errors = 0;                // in a row, on different machines
   std::set<MachineId> failed_on;
   std::map<std::uint32_t, Millis> saved;  // progress known to be saved, by task
   std::optional<Instant> gather_until;    // a gang that lacks a task before its start gets another one until then
   bool in_stages = false;                 // a gang whose tasks that fetch longest are placed first
 
-  [[nodiscard]] std::uint32_t pending() const { return spec.tasks - done_count - runs_count; }
+  [[nodiscard]] std::uint32_t pending() const { return spec.tasks - done_count - allocation_count; }
   // Whether all tasks are done and nothing may run any more.
-  [[nodiscard]] bool is_complete() const { return !withdrawn && done_count == spec.tasks && runs_count == 0; }
+  [[nodiscard]] bool is_complete() const { return !cancelled && done_count == spec.tasks && allocation_count == 0; }
   // Whether no task is wanted and nothing may run any more.
-  [[nodiscard]] bool is_removable() const { return withdrawn && runs_count == 0; }
+  [[nodiscard]] bool is_removable() const { return cancelled && allocation_count == 0; }
   // Whether a write on any of it is under way.
   [[nodiscard]] bool in_flight() const;
 };
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -7,22 +7,22 @@
 
 namespace foxshunt::jobs {
 
-Run* JobTable::find_run(const TaskKey& task) {
+Allocation* JobTable::find_allocation(const TaskKey& task) {
   const auto job = jobs_.find(task.job);
   if (job == jobs_.end() || task.index >= job->second.spec.tasks) return nullptr;
-  Part& part = job->second.parts[task.index / constants::kTasksPerPart];
-  const auto run = part.runs.find(task.index);
-  return run == part.runs.end() ? nullptr : &run->second;
+  JobShard& shard = job->second.shards[task.index / constants::kTasksPerShard];
+  const auto allocation = shard.allocations.find(task.index);
+  return allocation == shard.allocations.end() ? nullptr : &allocation->second;
 }
 
 std::vector<std::uint32_t> JobTable::pending_tasks(const Job& job, std::uint32_t most) {
   std::vector<std::uint32_t> tasks;
-  for (std::uint32_t number = 0; number < job.parts.size() && tasks.size() < most; ++number) {
-    const Part& part = job.parts[number];
-    if (part.done_count + part.runs.size() == part.done.size()) continue;
-    for (std::uint32_t at = 0; at < part.done.size() && tasks.size() < most; ++at) {
-      const std::uint32_t index = number * constants::kTasksPerPart + at;
-      if (!part.done[at] && !part.runs.contains(index)) tasks.push_back(index);
+  for (std::uint32_t number = 0; number < job.shards.size() && tasks.size() < most; ++number) {
+    const JobShard& shard = job.shards[number];
+    if (shard.done_count + shard.allocations.size() == shard.done.size()) continue;
+    for (std::uint32_t at = 0; at < shard.done.size() && tasks.size() < most; ++at) {
+      const std::uint32_t index = number * constants::kTasksPerShard + at;
+      if (!shard.done[at] && !shard.allocations.contains(index)) tasks.push_back(index);
     }
   }
   return tasks;
@@ -35,19 +35,19 @@
 
 bool JobTable::settled(const TaskKey& task) const {
   const auto entry = jobs_.find(task.job);
-  if (entry == jobs_.end() || task.index >= entry->second.spec.tasks || entry->second.withdrawn) return true;
-  return entry->second.parts[task.index / constants::kTasksPerPart].settled();
+  if (entry == jobs_.end() || task.index >= entry->second.spec.tasks || entry->second.cancelled) return true;
+  return entry->second.shards[task.index / constants::kTasksPerShard].settled();
 }
 
 bool JobTable::all_durable(const Job& job) {
-  return std::ranges::all_of(job.parts, [](const Part& part) {
-    return std::ranges::all_of(part.runs, [](const auto& entry) { return entry.second.durable; });
+  return std::ranges::all_of(job.shards, [](const JobShard& shard) {
+    return std::ranges::all_of(shard.allocations, [](const auto& entry) { return entry.second.durable; });
   });
 }
 
 // ---- records ----
 
-Job& JobTable::add(const state::JobRecord& record, Revision mark, std::int64_t wall_ms,
+Job& JobTable::add(const state::JobRecord& record, Revision revision, std::int64_t wall_ms,
                    inventory::MachineInventory& machines, Instant now) {
   Job& job = jobs_[record.spec.id];
   job.spec = record.spec;
@@ -55,49 +55,50 @@
   job.submitted_wall_ms = record.submitted_wall_ms;
   job.submitted = now - Millis(std::max<std::int64_t>(0, wall_ms - record.submitted_wall_ms));
   job.not_before = job.submitted;
-  job.mark = mark;
-  job.parts.resize(state::parts_of(record.spec.tasks));
-  for (std::uint32_t part = 0; part < job.parts.size(); ++part) {
-    job.parts[part].done.resize(state::part_size(record.spec.tasks, part));
+  job.revision = revision;
+  job.shards.resize(state::shard_count(record.spec.tasks));
+  for (std::uint32_t shard = 0; shard < job.shards.size(); ++shard) {
+    job.shards[shard].done.resize(state::shard_size(record.spec.tasks, shard));
   }
-  if (record.whole) adopt_part(job, 0, *record.whole, machines, now);
+  if (record.whole) adopt_shard(job, 0, *record.whole, machines, now);
   return job;
 }
 
-void JobTable::adopt_part(Job& job, std::uint32_t number, const state::PartRecord& record,
-                          inventory::MachineInventory& machines, Instant now) {
-  Part& part = job.parts[number];
-  part.next = record.next;
-  part.done = record.done;
-  part.done_count = static_cast<std::uint32_t>(std::ranges::count(part.done, true));
-  job.done_count += part.done_count;
-  for (const state::RunRecord& record_run : record.runs) {
-    Run run{.attempt = record_run.attempt, .machine = record_run.machine, .session = record_run.session};
-    run.durable.set();
-    run.adopted = true;
-    run.placed = now;
-    machines.know(run.machine, now).machine.runs.insert({job.spec.id, record_run.index});
+void JobTable::adopt_shard(Job& job, std::uint32_t number, const state::JobShardRecord& record,
+                           inventory::MachineInventory& machines, Instant now) {
+  JobShard& shard = job.shards[number];
+  shard.next = record.next;
+  shard.done = record.done;
+  shard.done_count = static_cast<std::uint32_t>(std::ranges::count(shard.done, true));
+  job.done_count += shard.done_count;
+  for (const state::AllocationRecord& record_run : record.allocations) {
+    Allocation allocation{
+        .attempt = record_run.attempt, .machine = record_run.machine, .incarnation = record_run.incarnation};
+    allocation.durable.set();
+    allocation.adopted = true;
+    allocation.placed = now;
+    machines.know(allocation.machine, now).machine.allocations.insert({job.spec.id, record_run.index});
     team_use_[job.spec.team] += job.each;
-    part.runs.add(record_run.index, run);
-    ++job.runs_count;
-    job.had_runs = true;
+    shard.allocations.add(record_run.index, allocation);
+    ++job.allocation_count;
+    job.had_allocations = true;
   }
 }
 
-bool JobTable::on_record(const JobId& id, Revision mark) {
+bool JobTable::on_record(const JobId& id, Revision revision) {
   if (ended_.contains(id)) return false;
   const auto known = jobs_.find(id);
   if (known == jobs_.end()) return true;
   Job& job = known->second;
   // Only this leader changes a live record, so memory is ahead; the event tells at most the record's mark.
-  if (!job.in_flight() && mark > job.mark) job.mark = mark;
+  if (!job.in_flight() && revision > job.revision) job.revision = revision;
   return false;
 }
 
 Job* JobTable::on_removed(const JobId& id) {
   ended_.erase(id);
   const auto known = jobs_.find(id);
-  if (known == jobs_.end() || known->second.withdrawn) return nullptr;
+  if (known == jobs_.end() || known->second.cancelled) return nullptr;
   Job& job = known->second;
   // While a write is under way its answer decides: it may have been this leader that removed the record.
   if (job.in_flight()) {
@@ -110,9 +111,10 @@
 std::optional<Reload> JobTable::next_reload() const {
   for (const auto& [id, job] : jobs_) {
     if (job.in_flight()) continue;
-    if (job.reload) return Reload{.job = id, .part = {}};
-    const auto part = std::ranges::find_if(job.parts, &Part::reload);
-    if (part != job.parts.end()) return Reload{.job = id, .part = static_cast<std::uint32_t>(part - job.parts.begin())};
+    if (job.reload) return Reload{.job = id, .shard = {}};
+    const auto shard = std::ranges::find_if(job.shards, &JobShard::reload);
+    if (shard != job.shards.end())
+      return Reload{.job = id, .shard = static_cast<std::uint32_t>(shard - job.shards.begin())};
   }
   return std::nullopt;
 }
@@ -121,50 +123,50 @@
   return std::ranges::any_of(jobs_, [](const auto& entry) { return entry.second.reload; });
 }
 
-Job* JobTable::on_reloaded(const Reload& reload, std::optional<Revision> mark) {
+Job* JobTable::on_reloaded(const Reload& reload, std::optional<Revision> revision) {
   const auto known = jobs_.find(reload.job);
   if (known == jobs_.end()) return nullptr;
   Job& job = known->second;
-  if (reload.part) {
+  if (reload.shard) {
     // Only leaders write it, and this one is the last: it is this one's own write, whose answer did not come.
-    Part& part = job.parts.at(*reload.part);
-    if (part.reload) part.mark = mark.value_or(Revision{});
-    part.reload = false;
+    JobShard& shard = job.shards.at(*reload.shard);
+    if (shard.reload) shard.revision = revision.value_or(Revision{});
+    shard.reload = false;
     return nullptr;
   }
   if (!job.reload) return nullptr;
   job.reload = false;
-  if (mark) {
-    job.mark = *mark;
+  if (revision) {
+    job.revision = *revision;
     return nullptr;
   }
   ended_.insert(reload.job);
   return &job;
 }
 
-std::vector<std::uint32_t> JobTable::withdraw(Job& job) {
-  job.withdrawn = true;
+std::vector<std::uint32_t> JobTable::cancel(Job& job) {
+  job.cancelled = true;
   job.reload = false;
   std::vector<std::uint32_t> never_told;
-  for (std::uint32_t number = 0; number < job.parts.size(); ++number) {
-    Part& part = job.parts[number];
+  for (std::uint32_t number = 0; number < job.shards.size(); ++number) {
+    JobShard& shard = job.shards[number];
     dirty_.erase({job.spec.id, number});
-    part.dirty = false;
-    part.reload = false;
-    for (const auto& [index, run] : part.runs) {
+    shard.dirty = false;
+    shard.reload = false;
+    for (const auto& [index, allocation] : shard.allocations) {
       // Without a confirmed record its start command was never sent, and never will be.
-      if (!run.durable) never_told.push_back(index);
+      if (!allocation.durable) never_told.push_back(index);
     }
   }
-  if (job.runs_count == 0) dirty_.insert({job.spec.id, 0});
+  if (job.allocation_count == 0) dirty_.insert({job.spec.id, 0});
   return never_told;
 }
 
 void JobTable::touch(Job& job, std::uint32_t number, Instant now) {
-  Part& part = job.parts[number];
-  if (part.settled()) part.dirty_since = now;
-  part.dirty = true;
-  if (!job.withdrawn || job.runs_count == 0) dirty_.insert({job.spec.id, job.withdrawn ? 0 : number});
+  JobShard& shard = job.shards[number];
+  if (shard.settled()) shard.dirty_since = now;
+  shard.dirty = true;
+  if (!job.cancelled || job.allocation_count == 0) dirty_.insert({job.spec.id, job.cancelled ? 0 : number});
 }
 
 Job JobTable::take_out(const JobId& id) {
@@ -174,41 +176,42 @@
 
 // ---- runs ----
 
-Run& JobTable::place(Job& job, std::uint32_t index, AttemptNo attempt, inventory::Machine& machine, Instant now) {
-  Part& part = job.parts[index / constants::kTasksPerPart];
-  Run run{.attempt = attempt, .machine = machine.id, .session = machine.session};
-  run.placed = now;
-  machine.runs.insert({job.spec.id, index});
+Allocation& JobTable::place(Job& job, std::uint32_t index, AttemptNumber attempt, inventory::Machine& machine,
+                            Instant now) {
+  JobShard& shard = job.shards[index / constants::kTasksPerShard];
+  Allocation allocation{.attempt = attempt, .machine = machine.id, .incarnation = machine.incarnation};
+  allocation.placed = now;
+  machine.allocations.insert({job.spec.id, index});
   team_use_[job.spec.team] += job.each;
-  part.next = std::max(part.next, attempt.next());
-  ++job.runs_count;
-  touch(job, index / constants::kTasksPerPart, now);
-  return part.runs.add(index, run);
+  shard.next = std::max(shard.next, attempt.next());
+  ++job.allocation_count;
+  touch(job, index / constants::kTasksPerShard, now);
+  return shard.allocations.add(index, allocation);
 }
 
 void JobTable::mark_done(Job& job, std::uint32_t index) {
-  Part& part = job.parts[index / constants::kTasksPerPart];
-  if (part.done[index % constants::kTasksPerPart]) return;
-  part.done[index % constants::kTasksPerPart] = true;
-  ++part.done_count;
+  JobShard& shard = job.shards[index / constants::kTasksPerShard];
+  if (shard.done[index % constants::kTasksPerShard]) return;
+  shard.done[index % constants::kTasksPerShard] = true;
+  ++shard.done_count;
   ++job.done_count;
 }
 
-std::optional<Run> JobTable::prove_gone(Job& job, std::uint32_t index, inventory::MachineInventory& machines,
-                                        Instant now) {
-  const std::uint32_t number = index / constants::kTasksPerPart;
-  Part& part = job.parts[number];
-  const auto entry = part.runs.find(index);
-  if (entry == part.runs.end()) return std::nullopt;
-  const Run run = entry->second;
-  part.runs.remove(entry);
-  --job.runs_count;
+std::optional<Allocation> JobTable::confirm_terminated(Job& job, std::uint32_t index,
+                                                       inventory::MachineInventory& machines, Instant now) {
+  const std::uint32_t number = index / constants::kTasksPerShard;
+  JobShard& shard = job.shards[number];
+  const auto entry = shard.allocations.find(index);
+  if (entry == shard.allocations.end()) return std::nullopt;
+  const Allocation allocation = entry->second;
+  shard.allocations.remove(entry);
+  --job.allocation_count;
   team_use_[job.spec.team] -= job.each;
-  if (const auto machine = machines.find(run.machine); machine != machines.end()) {
-    machine->second.runs.erase({job.spec.id, index});
+  if (const auto machine = machines.find(allocation.machine); machine != machines.end()) {
+    machine->second.allocations.erase({job.spec.id, index});
   }
   touch(job, number, now);
-  return run;
+  return allocation;
 }
 
 }  // namespace foxshunt::jobs
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -5,9 +5,9 @@
 // It keeps two invariants, each in one place:
 //
 //   Durable before start. Nothing is started whose placement the store may not hold. Run::durable says that it does; it
-//   is set by make_durable(), when a write is known to have succeeded, and by adopt_part(), for what a record holds.
+//   is set by make_durable(), when a write is known to have succeeded, and by adopt_shard(), for what a record holds.
 //
-//   Confirmed before removal. Nothing that may run leaves the table unconfirmed. A run leaves it by prove_gone() alone,
+//   Confirmed before removal. Nothing that may run leaves the table unconfirmed. A run leaves it by confirm_terminated() alone,
 //   and a job is taken out, or its records are removed, when it has no run left (Job::is_complete, is_removable).
 //
 // Pure: the time is passed in. Not thread-safe.
@@ -36,9 +36,11 @@
 // A record that has to be read again: the job's own, or that of a part.
 struct Reload {
   JobId job;
-  std::optional<std::uint32_t> part;
+  std::optional<std::uint32_t> shard;
 
-  [[nodiscard]] std::string key() const { return part ? state::part_key(job, *part) : state::live_key(job); }
+  [[nodiscard]] std::string key() const {
+    return shard ? state::job_shard_key(job, *shard) : state::active_job_key(job);
+  }
 };
 
 class JobTable {
@@ -54,7 +56,7 @@
   [[nodiscard]] const Job& at(const JobId& id) const { return jobs_.at(id); }
   [[nodiscard]] std::size_t size() const { return jobs_.size(); }
   [[nodiscard]] const std::map<JobId, Job>& all() const { return jobs_; }
-  [[nodiscard]] Run* find_run(const TaskKey& task);
+  [[nodiscard]] Allocation* find_allocation(const TaskKey& task);
   // Tasks that are neither done nor placed, lowest first.
   [[nodiscard]] static std::vector<std::uint32_t> pending_tasks(const Job& job, std::uint32_t most);
   // Everything that is placed and not proved gone.
@@ -65,46 +67,47 @@
 
   // ---- records, in the order of their revisions ----
   // `wall_ms`: now, by the time of day. What the record places is adopted, on machines that may be known by it alone.
-  Job& add(const state::JobRecord& record, Revision mark, std::int64_t wall_ms, inventory::MachineInventory& machines,
-           Instant now);
-  void adopt_part(Job& job, std::uint32_t number, const state::PartRecord& record,
-                  inventory::MachineInventory& machines, Instant now);
+  Job& add(const state::JobRecord& record, Revision revision, std::int64_t wall_ms,
+           inventory::MachineInventory& machines, Instant now);
+  void adopt_shard(Job& job, std::uint32_t number, const state::JobShardRecord& record,
+                   inventory::MachineInventory& machines, Instant now);
   // The watch tells of live/<job>. True when that job is to be added.
-  [[nodiscard]] bool on_record(const JobId& id, Revision mark);
+  [[nodiscard]] bool on_record(const JobId& id, Revision revision);
   // The watch tells that live/<job> is gone. The job that is to be withdrawn, if that was not this leader's own doing.
   [[nodiscard]] Job* on_removed(const JobId& id);
   // What has to be read again, and the revision that was found. The job that is to be withdrawn, if its record is gone.
   [[nodiscard]] std::optional<Reload> next_reload() const;
   // Whether any job's own record has to be, now or when the write under way has ended.
   [[nodiscard]] bool has_unread() const;
-  [[nodiscard]] Job* on_reloaded(const Reload& reload, std::optional<Revision> mark);
+  [[nodiscard]] Job* on_reloaded(const Reload& reload, std::optional<Revision> revision);
   // No task of it is wanted any more. Those whose placement was never told to a machine, nor will be, are given back:
   // they are proved by that.
-  [[nodiscard]] std::vector<std::uint32_t> withdraw(Job& job);
+  [[nodiscard]] std::vector<std::uint32_t> cancel(Job& job);
 
   // ---- runs ----
-  Run& place(Job& job, std::uint32_t index, AttemptNo attempt, inventory::Machine& machine, Instant now);
+  Allocation& place(Job& job, std::uint32_t index, AttemptNumber attempt, inventory::Machine& machine, Instant now);
   void mark_done(Job& job, std::uint32_t index);
   // The only way in which a run leaves memory. Gives back what it was.
-  std::optional<Run> prove_gone(Job& job, std::uint32_t index, inventory::MachineInventory& machines, Instant now);
+  std::optional<Allocation> confirm_terminated(Job& job, std::uint32_t index, inventory::MachineInventory& machines,
+                                               Instant now);
 
   // ---- writes ----
   [[nodiscard]] bool writes_wanted() const { return !dirty_.empty(); }
   // Of all that may be written now, what fits one transaction: at most `ops_most` changes, conditioned on the term's
   // record.
-  [[nodiscard]] std::optional<WriteBatch> begin_write(Revision term_mark, std::size_t ops_most, Instant now);
+  [[nodiscard]] std::optional<WriteBatch> begin_write(Revision term_revision, std::size_t ops_most, Instant now);
   // Jobs that nothing is left of, in memory and in the records, are given back.
   std::vector<Job> end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
 
   // The first inconsistency of the table, in words; for tests.
-  [[nodiscard]] std::optional<std::string> disagreement(const inventory::MachineInventory& machines) const;
+  [[nodiscard]] std::optional<std::string> find_inconsistency(const inventory::MachineInventory& machines) const;
 
  private:
   class ConsistencyCheck;  // in job_table_consistency.cpp
 
   struct PartKey {
     JobId job;
-    std::uint32_t part = 0;
+    std::uint32_t shard = 0;
     friend auto operator<=>(const PartKey&, const PartKey&) = default;
   };
   using DirtyParts = std::set<PartKey>;
@@ -122,7 +125,7 @@
   void on_updated(Job& job, const WriteItem& item, Revision revision, Instant now);
   void on_finished(Job& job, Instant now);
   void on_records_removed(Job& job, const WriteItem& item);
-  static void make_durable(Part& part, const std::vector<RunReference>& written, Instant now);
+  static void make_durable(JobShard& shard, const std::vector<AllocationReference>& written, Instant now);
 
   std::map<JobId, Job> jobs_;
   DirtyParts dirty_;                         // memory is ahead of their records
--- a/src/jobs/job_table_consistency.cpp
+++ b/src/jobs/job_table_consistency.cpp
@@ -26,13 +26,13 @@
   Finding check_job(const JobId& id, const Job& job) {
     std::uint32_t done = 0;
     std::uint32_t runs = 0;
-    for (std::uint32_t number = 0; number < job.parts.size(); ++number) {
+    for (std::uint32_t number = 0; number < job.shards.size(); ++number) {
       if (Finding found = check_part(id, job, number)) return found;
-      done += job.parts[number].done_count;
-      runs += static_cast<std::uint32_t>(job.parts[number].runs.size());
+      done += job.shards[number].done_count;
+      runs += static_cast<std::uint32_t>(job.shards[number].allocations.size());
     }
     if (done != job.done_count) return id.text() + ": its tasks done are miscounted";
-    if (runs != job.runs_count) return id.text() + ": its runs are miscounted";
+    if (runs != job.allocation_count) return id.text() + ": its runs are miscounted";
     if (job.is_removable() && !job.in_flight() && !table_.dirty_.contains({id, 0})) {
       return id.text() + ": nobody removes what is left of it";
     }
@@ -40,34 +40,35 @@
   }
 
   Finding check_part(const JobId& id, const Job& job, std::uint32_t number) {
-    const Part& part = job.parts[number];
+    const JobShard& shard = job.shards[number];
     const std::string where = id.text() + " part " + std::to_string(number);
-    const auto done = static_cast<std::uint32_t>(std::ranges::count(part.done, true));
-    if (part.done_count != done) return where + ": its tasks done are miscounted";
-    for (const auto& [index, run] : part.runs) {
+    const auto done = static_cast<std::uint32_t>(std::ranges::count(shard.done, true));
+    if (shard.done_count != done) return where + ": its tasks done are miscounted";
+    for (const auto& [index, allocation] : shard.allocations) {
       const TaskKey key{id, index};
-      if (index / constants::kTasksPerPart != number || index >= job.spec.tasks) return key.text() + ": not its part";
-      if (Finding found = check_run(key, part, run)) return found;
-      ++on_machine_[run.machine];
+      if (index / constants::kTasksPerShard != number || index >= job.spec.tasks) return key.text() + ": not its part";
+      if (Finding found = check_allocation(key, shard, allocation)) return found;
+      ++on_machine_[allocation.machine];
       used_[job.spec.team] += job.each;
     }
-    if (part.dirty && !job.withdrawn && !table_.dirty_.contains({id, number})) return where + ": nobody writes it";
+    if (shard.dirty && !job.cancelled && !table_.dirty_.contains({id, number})) return where + ": nobody writes it";
     return std::nullopt;
   }
 
-  [[nodiscard]] Finding check_run(const TaskKey& key, const Part& part, const Run& run) const {
-    if (run.attempt >= part.next && !run.adopted) return key.text() + ": its attempt may be given again";
-    if (!run.durable && part.settled()) return key.text() + ": nobody writes its placement";
-    const auto machine = machines_.find(run.machine);
+  [[nodiscard]] Finding check_allocation(const TaskKey& key, const JobShard& shard,
+                                         const Allocation& allocation) const {
+    if (allocation.attempt >= shard.next && !allocation.adopted) return key.text() + ": its attempt may be given again";
+    if (!allocation.durable && shard.settled()) return key.text() + ": nobody writes its placement";
+    const auto machine = machines_.find(allocation.machine);
     if (machine == machines_.end()) return key.text() + ": its machine is not known";
-    if (!machine->second.runs.contains(key)) return key.text() + ": its machine does not have it";
+    if (!machine->second.allocations.contains(key)) return key.text() + ": its machine does not have it";
     return std::nullopt;
   }
 
   [[nodiscard]] Finding check_machines() const {
     for (const auto& [id, machine] : machines_) {
       const auto known = on_machine_.find(id);
-      if (machine.runs.size() != (known == on_machine_.end() ? 0 : known->second)) {
+      if (machine.allocations.size() != (known == on_machine_.end() ? 0 : known->second)) {
         return id.text() + ": it has runs that no job has";
       }
     }
@@ -89,7 +90,7 @@
   std::map<MachineId, std::size_t> on_machine_;  // runs, as the jobs say
 };
 
-std::optional<std::string> JobTable::disagreement(const inventory::MachineInventory& machines) const {
+std::optional<std::string> JobTable::find_inconsistency(const inventory::MachineInventory& machines) const {
   return ConsistencyCheck(*this, machines).check_all();
 }
 
--- a/src/jobs/job_table_writes.cpp
+++ b/src/jobs/job_table_writes.cpp
@@ -23,16 +23,16 @@
   return job.is_complete() ? WriteItem::Kind::finish : WriteItem::Kind::update;
 }
 
-bool can_write(const Job& job, std::uint32_t part, const WriteBatchBuilder& batch) {
-  if (job.reload || job.parts[part].reload) return false;
+bool can_write(const Job& job, std::uint32_t shard, const WriteBatchBuilder& batch) {
+  if (job.reload || job.shards[shard].reload) return false;
   if (!batch.has_job(job.spec.id)) return !job.in_flight();
   // Several parts of a job may be updated by one transaction; nothing else is written of it twice.
-  return next_write(job) == WriteItem::Kind::update && job.parts.size() > 1;
+  return next_write(job) == WriteItem::Kind::update && job.shards.size() > 1;
 }
 
-void add_next_write(Job& job, std::uint32_t part, WriteBatchBuilder& batch, Instant now) {
+void add_next_write(Job& job, std::uint32_t shard, WriteBatchBuilder& batch, Instant now) {
   switch (next_write(job)) {
-    case WriteItem::Kind::update: batch.add_update(job, part, now); break;
+    case WriteItem::Kind::update: batch.add_update(job, shard, now); break;
     case WriteItem::Kind::finish: batch.add_finish(job); break;
     case WriteItem::Kind::remove: batch.add_removal(job); break;
   }
@@ -42,7 +42,7 @@
 bool leaves_no_record(const Job& job, const WriteItem& item) {
   switch (item.kind) {
     case WriteItem::Kind::update: return false;
-    case WriteItem::Kind::finish: return job.parts.size() == 1;
+    case WriteItem::Kind::finish: return job.shards.size() == 1;
     case WriteItem::Kind::remove: return item.removes_last;
   }
   return false;
@@ -52,8 +52,8 @@
 
 // ---- begin ----
 
-std::optional<WriteBatch> JobTable::begin_write(Revision term_mark, std::size_t ops_most, Instant now) {
-  WriteBatchBuilder batch(term_mark, ops_most);
+std::optional<WriteBatch> JobTable::begin_write(Revision term_revision, std::size_t ops_most, Instant now) {
+  WriteBatchBuilder batch(term_revision, ops_most);
   for (auto at = dirty_.begin(); at != dirty_.end();) {
     const auto entry = jobs_.find(at->job);
     if (entry == jobs_.end()) {
@@ -62,12 +62,12 @@
     }
     Job& job = entry->second;
     const PartKey key = *at;
-    if (!can_write(job, key.part, batch)) {
+    if (!can_write(job, key.shard, batch)) {
       ++at;
       continue;
     }
     if (!batch.has_room_for(job, next_write(job))) break;
-    add_next_write(job, key.part, batch, now);
+    add_next_write(job, key.shard, batch, now);
     at = next_write(job) == WriteItem::Kind::update ? on_part_write_begun(job, key) : on_job_write_begun(job);
   }
   if (batch.is_empty()) return std::nullopt;
@@ -75,16 +75,16 @@
 }
 
 JobTable::DirtyParts::iterator JobTable::on_part_write_begun(Job& job, const PartKey& key) {
-  Part& part = job.parts[key.part];
-  part.dirty = false;
-  part.in_flight = true;
+  JobShard& shard = job.shards[key.shard];
+  shard.dirty = false;
+  shard.in_flight = true;
   dirty_.erase(key);
   return dirty_.upper_bound(key);
 }
 
 JobTable::DirtyParts::iterator JobTable::on_job_write_begun(Job& job) {
-  for (Part& part : job.parts) part.dirty = false;
-  job.parts.front().in_flight = true;
+  for (JobShard& shard : job.shards) shard.dirty = false;
+  job.shards.front().in_flight = true;
   return erase_dirty_parts(job.spec.id);
 }
 
@@ -100,13 +100,13 @@
     const auto entry = jobs_.find(item.job);
     if (entry == jobs_.end()) continue;
     Job& job = entry->second;
-    Part& part = job.parts[item.part];
-    part.in_flight = false;
+    JobShard& shard = job.shards[item.shard];
+    shard.in_flight = false;
     if (result.answer != kv::Answer::ok) {
       on_write_failed(job, item, result);
       continue;
     }
-    if (part.dirty) part.dirty_since = now;  // what has come meanwhile waits for the next write
+    if (shard.dirty) shard.dirty_since = now;  // what has come meanwhile waits for the next write
     switch (item.kind) {
       case WriteItem::Kind::update: on_updated(job, item, result.revision, now); break;
       case WriteItem::Kind::finish: on_finished(job, now); break;
@@ -120,33 +120,33 @@
 // Without an answer the write may be applied yet. The next write is conditioned on the same revision, so that one of the two
 // fails, and a start command waits for a write that is known to have succeeded.
 void JobTable::on_write_failed(Job& job, const WriteItem& item, const kv::TxnResult& result) {
-  job.parts[item.part].dirty = true;
-  dirty_.insert({item.job, item.part});
+  job.shards[item.shard].dirty = true;
+  dirty_.insert({item.job, item.shard});
   if (item.kind == WriteItem::Kind::remove) return;
   if (result.answer != kv::Answer::conflict || !kept(Guard::write_reload)) return;
   const auto has_failed = [&](const std::string& key) {
     return std::ranges::find(result.failed, key) != result.failed.end();
   };
-  if (has_failed(state::live_key(item.job)) || has_failed(state::over_key(item.job))) job.reload = true;
-  if (has_failed(state::part_key(item.job, item.part))) job.parts[item.part].reload = true;
+  if (has_failed(state::active_job_key(item.job)) || has_failed(state::finished_job_key(item.job))) job.reload = true;
+  if (has_failed(state::job_shard_key(item.job, item.shard))) job.shards[item.shard].reload = true;
 }
 
 void JobTable::on_updated(Job& job, const WriteItem& item, Revision revision, Instant now) {
-  Part& part = job.parts[item.part];
-  if (job.parts.size() == 1 || item.header) job.mark = revision;
-  if (job.parts.size() > 1) part.mark = revision;
-  make_durable(part, item.not_durable, now);
-  if (!item.not_durable.empty()) job.had_runs = true;
+  JobShard& shard = job.shards[item.shard];
+  if (job.shards.size() == 1 || item.header) job.revision = revision;
+  if (job.shards.size() > 1) shard.revision = revision;
+  make_durable(shard, item.not_durable, now);
+  if (!item.not_durable.empty()) job.had_allocations = true;
 }
 
 // The one place where a placement of this leader becomes durable. A run that has ended since, or has given way to another
 // attempt, is passed over.
-void JobTable::make_durable(Part& part, const std::vector<RunReference>& written, Instant now) {
+void JobTable::make_durable(JobShard& shard, const std::vector<AllocationReference>& written, Instant now) {
   for (const auto& [index, attempt] : written) {
-    const auto run = part.runs.find(index);
-    if (run == part.runs.end() || run->second.attempt != attempt) continue;
-    run->second.durable.set();
-    run->second.placed = now;
+    const auto allocation = shard.allocations.find(index);
+    if (allocation == shard.allocations.end() || allocation->second.attempt != attempt) continue;
+    allocation->second.durable.set();
+    allocation->second.placed = now;
   }
 }
 
@@ -155,15 +155,15 @@
   spdlog::info("job_finished job={} tasks={} since_submission_s={:.1f}", id.text(), job.spec.tasks,
                std::chrono::duration<double>(now - job.submitted).count());
   ended_.insert(id);
-  if (job.parts.size() == 1) return;
-  job.withdrawn = true;  // what is left of it, the parts, is removed like that of a withdrawn job
+  if (job.shards.size() == 1) return;
+  job.cancelled = true;  // what is left of it, the parts, is removed like that of a withdrawn job
   dirty_.insert({id, 0});
 }
 
 void JobTable::on_records_removed(Job& job, const WriteItem& item) {
   for (const std::uint32_t removed : item.removed_parts) {
-    job.parts[removed].mark = Revision{};
-    job.parts[removed].recorded = false;
+    job.shards[removed].revision = Revision{};
+    job.shards[removed].recorded = false;
   }
   if (!item.removes_last) dirty_.insert({item.job, 0});
 }
--- a/src/jobs/write_batch.cpp
+++ b/src/jobs/write_batch.cpp
@@ -15,18 +15,21 @@
 
 namespace {
 
-state::PartRecord part_record(const Part& part) {
-  state::PartRecord record{.next = part.next, .done = part.done, .runs = {}};
-  for (const auto& [index, run] : part.runs) {
-    record.runs.push_back({.index = index, .attempt = run.attempt, .machine = run.machine, .session = run.session});
+state::JobShardRecord part_record(const JobShard& shard) {
+  state::JobShardRecord record{.next = shard.next, .done = shard.done, .allocations = {}};
+  for (const auto& [index, allocation] : shard.allocations) {
+    record.allocations.push_back({.index = index,
+                                  .attempt = allocation.attempt,
+                                  .machine = allocation.machine,
+                                  .incarnation = allocation.incarnation});
   }
   return record;
 }
 
-std::vector<RunReference> not_durable_runs(const Part& part) {
-  std::vector<RunReference> found;
-  for (const auto& [index, run] : part.runs) {
-    if (!run.durable) found.push_back({.index = index, .attempt = run.attempt});
+std::vector<AllocationReference> not_durable_runs(const JobShard& shard) {
+  std::vector<AllocationReference> found;
+  for (const auto& [index, allocation] : shard.allocations) {
+    if (!allocation.durable) found.push_back({.index = index, .attempt = allocation.attempt});
   }
   return found;
 }
@@ -39,14 +42,14 @@
 // The least that an item of this kind changes. A removal makes do with what room there is.
 std::size_t changes_needed(const Job& job, WriteItem::Kind kind) {
   if (kind != WriteItem::Kind::finish) return 1;
-  return job.parts.size() > 1 ? 3 : 2;
+  return job.shards.size() > 1 ? 3 : 2;
 }
 
 }  // namespace
 
-WriteBatchBuilder::WriteBatchBuilder(Revision term_mark, std::size_t max_changes)
-    : max_changes_(max_changes), batch_{.term_mark = term_mark, .items = {}, .txn = {}} {
-  if (kept(Guard::write_term)) require(state::kTermKey, term_mark);
+WriteBatchBuilder::WriteBatchBuilder(Revision term_revision, std::size_t max_changes)
+    : max_changes_(max_changes), batch_{.term_revision = term_revision, .items = {}, .txn = {}} {
+  if (kept(Guard::write_term)) require(state::kTermKey, term_revision);
 }
 
 bool WriteBatchBuilder::has_job(const JobId& job) const {
@@ -55,36 +58,36 @@
 
 bool WriteBatchBuilder::has_room_for(const Job& job, WriteItem::Kind kind) const {
   const bool changes_fit = batch_.txn.changes.size() + changes_needed(job, kind) <= max_changes_;
-  const bool conditions_fit = batch_.txn.conditions.size() + constants::kMaxWriteItemConditions <=
+  const bool conditions_fit = batch_.txn.preconditions.size() + constants::kMaxWriteItemConditions <=
                               constants::kMaxConditionsPerChange * max_changes_;
   return changes_fit && conditions_fit && bytes_ <= constants::kMaxWriteBatchBytes;
 }
 
 void WriteBatchBuilder::add_update(Job& job, std::uint32_t number, Instant now) {
   require_active_record(job);
-  Part& part = job.parts[number];
+  JobShard& shard = job.shards[number];
   WriteItem item{.kind = WriteItem::Kind::update,
                  .job = job.spec.id,
-                 .part = number,
-                 .not_durable = not_durable_runs(part),
+                 .shard = number,
+                 .not_durable = not_durable_runs(shard),
                  .removed_parts = {}};
-  if (job.parts.size() == 1) {
+  if (job.shards.size() == 1) {
     state::JobRecord whole = job_header(job);
-    whole.whole = part_record(part);
-    set(state::live_key(job.spec.id), state::to_value(whole));
+    whole.whole = part_record(shard);
+    set(state::active_job_key(job.spec.id), state::to_value(whole));
   } else {
-    const std::string key = state::part_key(job.spec.id, number);
-    if (kept(Guard::write_part)) require(key, part.mark);
-    part.recorded = true;
-    set(key, state::to_value(part_record(part)));
+    const std::string key = state::job_shard_key(job.spec.id, number);
+    if (kept(Guard::write_part)) require(key, shard.revision);
+    shard.recorded = true;
+    set(key, state::to_value(part_record(shard)));
     // The counts that users are shown may be out of date a little.
-    if (now - job.shown >= constants::kShowEvery && free_changes() > 0) {
+    if (now - job.shown >= constants::kDisplayedCountsInterval && free_changes() > 0) {
       job.shown = now;
       item.header = true;
       state::JobRecord header = job_header(job);
       header.done_shown = job.done_count;
-      header.running_shown = job.runs_count;
-      set(state::live_key(job.spec.id), state::to_value(header));
+      header.running_shown = job.allocation_count;
+      set(state::active_job_key(job.spec.id), state::to_value(header));
     }
   }
   batch_.items.push_back(std::move(item));
@@ -93,41 +96,41 @@
 void WriteBatchBuilder::add_finish(const Job& job) {
   const JobId& id = job.spec.id;
   require_active_record(job);
-  require(state::over_key(id), Revision{});
-  remove(state::live_key(id));
+  require(state::finished_job_key(id), Revision{});
+  remove(state::active_job_key(id));
   const wire::JobStatus status{.id = id, .state = wire::JobState::done, .done = job.spec.tasks, .running = 0};
-  set(state::over_key(id), state::over_value(status));
+  set(state::finished_job_key(id), state::finished_job_value(status));
   // The parts are removed later, some at a time. Until then a new leader has to find the job.
-  if (job.parts.size() > 1) set(state::linger_key(id), state::to_value(job_header(job)));
+  if (job.shards.size() > 1) set(state::terminating_job_key(id), state::to_value(job_header(job)));
   batch_.items.push_back(
-      {.kind = WriteItem::Kind::finish, .job = id, .part = 0, .not_durable = {}, .removed_parts = {}});
+      {.kind = WriteItem::Kind::finish, .job = id, .shard = 0, .not_durable = {}, .removed_parts = {}});
 }
 
 void WriteBatchBuilder::add_removal(const Job& job) {
   const JobId& id = job.spec.id;
-  WriteItem item{.kind = WriteItem::Kind::remove, .job = id, .part = 0, .not_durable = {}, .removed_parts = {}};
-  if (job.parts.size() > 1) {
+  WriteItem item{.kind = WriteItem::Kind::remove, .job = id, .shard = 0, .not_durable = {}, .removed_parts = {}};
+  if (job.shards.size() > 1) {
     // The last change is left for the job's own record.
-    for (std::uint32_t part = 0; part < job.parts.size() && free_changes() > 1; ++part) {
-      if (!job.parts[part].recorded) continue;
-      remove(state::part_key(id, part));
-      item.removed_parts.push_back(part);
+    for (std::uint32_t shard = 0; shard < job.shards.size() && free_changes() > 1; ++shard) {
+      if (!job.shards[shard].recorded) continue;
+      remove(state::job_shard_key(id, shard));
+      item.removed_parts.push_back(shard);
     }
   }
-  const auto recorded = std::ranges::count_if(job.parts, [](const Part& part) { return part.recorded; });
+  const auto recorded = std::ranges::count_if(job.shards, [](const JobShard& shard) { return shard.recorded; });
   if (static_cast<std::size_t>(recorded) == item.removed_parts.size()) {
-    remove(state::linger_key(id));
+    remove(state::terminating_job_key(id));
     item.removes_last = true;
   }
   batch_.items.push_back(std::move(item));
 }
 
-void WriteBatchBuilder::require(std::string key, Revision mark) {
-  batch_.txn.conditions.push_back({.key = std::move(key), .mark = mark});
+void WriteBatchBuilder::require(std::string key, Revision revision) {
+  batch_.txn.preconditions.push_back({.key = std::move(key), .revision = revision});
 }
 
 void WriteBatchBuilder::require_active_record(const Job& job) {
-  if (!has_job(job.spec.id) && kept(Guard::write_job)) require(state::live_key(job.spec.id), job.mark);
+  if (!has_job(job.spec.id) && kept(Guard::write_job)) require(state::active_job_key(job.spec.id), job.revision);
 }
 
 void WriteBatchBuilder::set(std::string key, wire::Value data) {
--- a/src/jobs/write_batch.h
+++ b/src/jobs/write_batch.h
@@ -15,9 +15,9 @@
 namespace foxshunt::jobs {
 
 // A run of the item's job: the same task in another attempt is another run.
-struct RunReference {
+struct AllocationReference {
   std::uint32_t index = 0;  // of the task in its job
-  AttemptNo attempt;
+  AttemptNumber attempt;
 };
 
 // What a batch does to the records of one job, or of one of its parts.
@@ -29,15 +29,15 @@
   };
   Kind kind = Kind::update;
   JobId job;
-  std::uint32_t part = 0;                    // update: the part that is written; otherwise 0
-  bool header = false;                       // update: the job's own record is written as well
-  std::vector<RunReference> not_durable;     // update: runs that become durable by this write
-  std::vector<std::uint32_t> removed_parts;  // remove: parts whose records it removes
-  bool removes_last = false;                 // remove: no record of the job is left after it
+  std::uint32_t shard = 0;                       // update: the part that is written; otherwise 0
+  bool header = false;                           // update: the job's own record is written as well
+  std::vector<AllocationReference> not_durable;  // update: runs that become durable by this write
+  std::vector<std::uint32_t> removed_parts;      // remove: parts whose records it removes
+  bool removes_last = false;                     // remove: no record of the job is left after it
 };
 
 struct WriteBatch {
-  Revision term_mark;  // of the lead from whose job table it is built
+  Revision term_revision;  // of the lead from whose job table it is built
   std::vector<WriteItem> items;
   kv::Txn txn;
 };
@@ -47,7 +47,7 @@
 class WriteBatchBuilder {
  public:
   // `max_changes`: what one transaction may change.
-  WriteBatchBuilder(Revision term_mark, std::size_t max_changes);
+  WriteBatchBuilder(Revision term_revision, std::size_t max_changes);
 
   [[nodiscard]] bool is_empty() const { return batch_.items.empty(); }
   [[nodiscard]] bool has_job(const JobId& job) const;
@@ -56,7 +56,7 @@
 
   // Adds the part as it is in memory. Notes in the job what it writes: that the part has a record, and when its displayed
   // counts were last written.
-  void add_update(Job& job, std::uint32_t part, Instant now);
+  void add_update(Job& job, std::uint32_t shard, Instant now);
   void add_finish(const Job& job);
   // Removes as many records of parts as fit, and the job's last record if no part is left then.
   void add_removal(const Job& job);
@@ -64,7 +64,7 @@
   [[nodiscard]] WriteBatch take() { return std::move(batch_); }
 
  private:
-  void require(std::string key, Revision mark);
+  void require(std::string key, Revision revision);
   void require_active_record(const Job& job);
   void set(std::string key, wire::Value data);
   void remove(std::string key);
--- a/src/kv/budget.cpp
+++ b/src/kv/budget.cpp
@@ -7,7 +7,7 @@
 
 namespace foxshunt::kv {
 
-RateBudget::RateBudget(double requests_per_s, double changes_per_s, double share)
+RateLimiter::RateLimiter(double requests_per_s, double changes_per_s, double share)
     : requests_per_s_(requests_per_s),
       changes_per_s_(changes_per_s),
       share_(share),
@@ -15,13 +15,13 @@
       changes_(changes_per_s * share),
       last_(Clock::now()) {}
 
-void RateBudget::set_share(double share) {
+void RateLimiter::set_share(double share) {
   const std::lock_guard lock(mutex_);
   refill(Clock::now());
   share_ = share;
 }
 
-void RateBudget::refill(Clock::time_point now) {
+void RateLimiter::refill(Clock::time_point now) {
   const double passed_s = std::chrono::duration<double>(now - last_).count();
   last_ = now;
   // Limits allow bursts of one second's worth.
@@ -29,13 +29,13 @@
   changes_ = std::min(changes_per_s_ * share_, changes_ + passed_s * changes_per_s_ * share_);
 }
 
-bool RateBudget::take(double changes, Urgency urgency, Clock::time_point until) {
+bool RateLimiter::take(double changes, Urgency urgency, Clock::time_point until) {
   while (true) {
     double wait_s = 0;
     {
       const std::lock_guard lock(mutex_);
       refill(Clock::now());
-      const double reserve = urgency == Urgency::user ? constants::kFrontReserve : 0;
+      const double reserve = urgency == Urgency::user ? constants::kUserRequestRateReserve : 0;
       const double request_rate = requests_per_s_ * share_;
       const double change_rate = changes_per_s_ * share_;
       // A transaction larger than the bucket goes when the bucket is full and leaves a debt.
@@ -56,7 +56,7 @@
   }
 }
 
-void RateBudget::overdrawn() {
+void RateLimiter::overdrawn() {
   const std::lock_guard lock(mutex_);
   refill(Clock::now());
   requests_ = std::min(requests_, 0.0);
--- a/src/kv/budget.h
+++ b/src/kv/budget.h
@@ -11,11 +11,11 @@
 enum class Urgency { duty, user };
 
 // Thread-safe.
-class RateBudget {
+class RateLimiter {
  public:
   using Clock = std::chrono::steady_clock;
 
-  RateBudget(double requests_per_s, double changes_per_s, double share);
+  RateLimiter(double requests_per_s, double changes_per_s, double share);
 
   // The part of the limits that this node may use; it is larger for the leader.
   void set_share(double share);
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -45,29 +45,31 @@
 }
 
 wire::Value to_value(const Txn& txn) {
-  wire::Value::List conditions;
-  for (const Condition& condition : txn.conditions) {
-    conditions.emplace_back(wire::Value::Map{{kKeyField, condition.key}, {kRevisionField, condition.mark.number()}});
+  wire::Value::List preconditions;
+  for (const Precondition& condition : txn.preconditions) {
+    preconditions.emplace_back(
+        wire::Value::Map{{kKeyField, condition.key}, {kRevisionField, condition.revision.number()}});
   }
   wire::Value::List changes;
   for (const Change& change : txn.changes) changes.push_back(to_value(change));
-  return wire::Value::Map{{kPreconditionsField, std::move(conditions)}, {kChangesField, std::move(changes)}};
+  return wire::Value::Map{{kPreconditionsField, std::move(preconditions)}, {kChangesField, std::move(changes)}};
 }
 
 std::string list_path(const std::string& prefix, const std::string& from) {
   std::string path = "/kv?starts=" + prefix;
   if (!from.empty()) path += "&from=" + from;
-  return path + "&most=" + std::to_string(constants::kStateItemsMost);
+  return path + "&most=" + std::to_string(constants::kMaxStoreListPage);
 }
 
 }  // namespace
 
-Client::Client(net::Address to, RateBudget& budget, Urgency urgency)
-    : http_(std::move(to), constants::kStateConnectLimit), budget_(&budget), urgency_(urgency) {}
+Client::Client(net::Address to, RateLimiter& rate_limiter, Urgency urgency)
+    : http_(std::move(to), constants::kStoreConnectTimeout), budget_(&rate_limiter), urgency_(urgency) {}
 
 Client::Raw Client::call(const std::string& method, const std::string& path, const wire::Value* body, double changes,
                          net::Deadline until) {
-  const auto turn = urgency_ == Urgency::user ? std::min(until, net::Clock::now() + constants::kBudgetWait) : until;
+  const auto turn =
+      urgency_ == Urgency::user ? std::min(until, net::Clock::now() + constants::kRateLimiterWaitTimeout) : until;
   if (!budget_->take(changes, urgency_, turn)) return {.answer = Answer::refused, .body = {}};
   const auto answer = http_.call(
       {.method = method, .path = path, .body = body == nullptr ? std::string() : wire::encode(*body)}, until);
@@ -91,10 +93,10 @@
 
 GetResult Client::get(const std::string& key, net::Deadline until) {
   const Raw raw = call("GET", "/kv/" + key, nullptr, 0, until);
-  GetResult result{.answer = raw.answer, .entry = {.key = key, .data = {}, .mark = {}}};
+  GetResult result{.answer = raw.answer, .entry = {.key = key, .data = {}, .revision = {}}};
   if (raw.answer != Answer::ok) return result;
   try {
-    result.entry.mark = Revision(raw.body.count(kRevisionField));
+    result.entry.revision = Revision(raw.body.count(kRevisionField));
     result.entry.data = raw.body[kDataField];
   } catch (const wire::Malformed& error) {
     spdlog::warn("store_response_malformed call=get key={} error=\"{}\"", key, error.what());
@@ -116,7 +118,7 @@
       if (from.empty()) result.revision = Revision(raw.body.count(kStoreRevisionField));
       for (const wire::Value& item : raw.body.list(kItemsField)) {
         result.entries.push_back(
-            {.key = item.text(kKeyField), .data = item[kDataField], .mark = Revision(item.count(kRevisionField))});
+            {.key = item.text(kKeyField), .data = item[kDataField], .revision = Revision(item.count(kRevisionField))});
       }
       const bool* more = raw.body[kMoreField].as_bool();
       if (more == nullptr || !*more || result.entries.empty() || result.entries.back().key == from) return result;
@@ -147,7 +149,7 @@
   return result;
 }
 
-std::optional<LeaseId> Client::grant(std::chrono::milliseconds ttl, net::Deadline until) {
+std::optional<LeaseId> Client::grant_lease(std::chrono::milliseconds ttl, net::Deadline until) {
   const wire::Value body = wire::Value::Map{{kTtlMsField, static_cast<std::uint64_t>(ttl.count())}};
   const Raw raw = call("POST", "/leases", &body, 0, until);
   if (raw.answer != Answer::ok) return std::nullopt;
@@ -167,18 +169,18 @@
   return call("DELETE", "/leases/" + std::to_string(lease.number), nullptr, 0, until).answer;
 }
 
-FollowResult Client::follow(const std::string& prefix, Revision from, std::chrono::milliseconds hold,
-                            net::Deadline until) {
+WatchResult Client::watch(const std::string& prefix, Revision from, std::chrono::milliseconds hold,
+                          net::Deadline until) {
   const Raw raw = call(
       "GET",
       "/follow?starts=" + prefix + "&from=" + std::to_string(from.number()) + "&holdMs=" + std::to_string(hold.count()),
       nullptr, 0, until);
-  FollowResult result{.answer = raw.answer, .revision = from, .events = {}};
+  WatchResult result{.answer = raw.answer, .revision = from, .events = {}};
   if (raw.answer != Answer::ok) return result;
   try {
     result.revision = Revision(raw.body.count(kStoreRevisionField));
     for (const wire::Value& item : raw.body.list(kEventsField)) {
-      Event event{.key = {}, .data = {}, .mark = Revision(item.count(kRevisionField))};
+      Event event{.key = {}, .data = {}, .revision = Revision(item.count(kRevisionField))};
       if (!item[kSetField].is_null()) {
         event.key = item.text(kSetField);
         event.data = item[kDataField];
--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -23,7 +23,7 @@
 class Client {
  public:
   // `budget` must outlive the client.
-  Client(net::Address to, RateBudget& budget, Urgency urgency);
+  Client(net::Address to, RateLimiter& rate_limiter, Urgency urgency);
 
   // The entry of a key; `not_found` when there is none.
   [[nodiscard]] GetResult get(const std::string& key, net::Deadline until);
@@ -34,14 +34,14 @@
   // Makes all changes, if all conditions hold, or none. After the answer `none` it may have been applied, or may be yet.
   [[nodiscard]] TxnResult txn(const Txn& txn, net::Deadline until);
   // A new lease; keys that are set with it are removed when it expires. Nothing if it is not known to be granted.
-  [[nodiscard]] std::optional<LeaseId> grant(std::chrono::milliseconds ttl, net::Deadline until);
+  [[nodiscard]] std::optional<LeaseId> grant_lease(std::chrono::milliseconds ttl, net::Deadline until);
   // Extends the lease by its time to live.
   [[nodiscard]] Answer touch(LeaseId lease, net::Deadline until);
   // Ends the lease, and removes its keys.
   [[nodiscard]] Answer revoke(LeaseId lease, net::Deadline until);
   // Changes of keys with the prefix after the revision `from`; the store waits for one for up to `hold`.
-  [[nodiscard]] FollowResult follow(const std::string& prefix, Revision from, std::chrono::milliseconds hold,
-                                    net::Deadline until);
+  [[nodiscard]] WatchResult watch(const std::string& prefix, Revision from, std::chrono::milliseconds hold,
+                                  net::Deadline until);
   // Ends a call that is under way in another thread.
   void abort() { http_.abort(); }
 
@@ -54,7 +54,7 @@
            net::Deadline until);
 
   net::HttpClient http_;
-  RateBudget* budget_;
+  RateLimiter* budget_;
   Urgency urgency_;
 };
 
--- a/src/kv/txn.h
+++ b/src/kv/txn.h
@@ -29,7 +29,7 @@
 struct Entry {
   std::string key;
   wire::Value data;
-  Revision mark;
+  Revision revision;
 };
 
 struct GetResult {
@@ -48,9 +48,9 @@
 };
 
 // A key must have this revision.
-struct Condition {
+struct Precondition {
   std::string key;
-  Revision mark;  // 0: must not exist
+  Revision revision;  // 0: must not exist
 };
 
 // A key is set, or removed.
@@ -62,7 +62,7 @@
 
 // All changes are made, if all conditions hold, or none.
 struct Txn {
-  std::vector<Condition> conditions;
+  std::vector<Precondition> preconditions;
   std::vector<Change> changes;
 };
 
@@ -76,10 +76,10 @@
 struct Event {
   std::string key;
   std::optional<wire::Value> data;  // nothing: removed
-  Revision mark;
+  Revision revision;
 };
 
-struct FollowResult {
+struct WatchResult {
   Answer answer = Answer::none;
   Revision revision;  // up to which nothing is missing
   std::vector<Event> events;
--- a/src/ledger/comparison.h
+++ b/src/ledger/comparison.h
@@ -7,22 +7,22 @@
 
 #include "ledger/ledger.h"
 
-namespace foxshunt::ledger {
+namespace foxshunt::record_cache {
 
 // Add it to the ledger's readers, begin() before the read, and ask differences() once the ledger has heard of everything
 // up to the read's end.
-class Comparison final : public Reader {
+class CacheVerifier final : public CacheObserver {
  public:
   void begin();
-  void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
+  void on_change(const std::string& key, const wire::Value* data, Revision revision) override;
 
   // Keys that can't be explained by changes under way: the ledger is behind what was read, lacks a key that nobody
   // removed, or holds one that was gone before the read. `from`: the revision before the read's first page.
-  [[nodiscard]] std::vector<std::string> differences(const Ledger& ledger, const std::vector<kv::Entry>& entries,
-                                                     Revision from) const;
+  [[nodiscard]] std::vector<std::string> differences(const RecordCache& record_cache,
+                                                     const std::vector<kv::Entry>& entries, Revision from) const;
 
  private:
   std::set<std::string> removed_;  // since begin()
 };
 
-}  // namespace foxshunt::ledger
+}  // namespace foxshunt::record_cache
--- a/src/ledger/jobs.h
+++ b/src/ledger/jobs.h
@@ -9,26 +9,26 @@
 #include "ledger/ledger.h"
 #include "wire/messages.h"
 
-namespace foxshunt::ledger {
+namespace foxshunt::record_cache {
 
-struct KnownJob {
+struct CachedJob {
   wire::JobSpec spec;
   std::int64_t submitted_wall_ms = 0;  // by the time of day of the node that accepted it
-  bool withdrawn = false;              // only what it may still have on machines is left of it
+  bool cancelled = false;              // only what it may still have on machines is left of it
   std::uint64_t done = 0;              // tasks
   std::uint64_t placed = 0;            // tasks that a record places on a machine
 
   [[nodiscard]] std::uint64_t waiting() const {
-    return withdrawn || spec.tasks < done + placed ? 0 : spec.tasks - done - placed;
+    return cancelled || spec.tasks < done + placed ? 0 : spec.tasks - done - placed;
   }
 };
 
-class Jobs final : public Reader {
+class Jobs final : public CacheObserver {
  public:
-  void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
+  void on_change(const std::string& key, const wire::Value* data, Revision revision) override;
 
-  [[nodiscard]] const std::map<JobId, KnownJob>& all() const { return jobs_; }
-  [[nodiscard]] const KnownJob* find(const JobId& job) const;
+  [[nodiscard]] const std::map<JobId, CachedJob>& all() const { return jobs_; }
+  [[nodiscard]] const CachedJob* find(const JobId& job) const;
   // Records that could not be read; they are passed over and told once.
   [[nodiscard]] std::uint64_t unreadable() const { return unreadable_; }
 
@@ -37,11 +37,11 @@
     std::uint64_t done = 0;
     std::uint64_t placed = 0;
   };
-  void recount(KnownJob& job) const;
+  void recount(CachedJob& job) const;
 
-  std::map<JobId, KnownJob> jobs_;
+  std::map<JobId, CachedJob> jobs_;
   std::map<JobId, std::map<std::uint32_t, Counts>> parts_;  // of jobs in several parts; may come before their job
   std::uint64_t unreadable_ = 0;
 };
 
-}  // namespace foxshunt::ledger
+}  // namespace foxshunt::record_cache
--- a/src/ledger/keeper.h
+++ b/src/ledger/keeper.h
@@ -11,14 +11,14 @@
 #include "ledger/ledger.h"
 #include "kv/txn.h"
 
-namespace foxshunt::ledger {
+namespace foxshunt::record_cache {
 
 struct Moment {
   std::int64_t wall_ms = 0;                      // by this node's time of day, within `skew_ms` of the true one
   std::chrono::steady_clock::time_point steady;  // by its steady clock
 };
 
-class Keeper : public Reader {
+class RecordController : public CacheObserver {
  public:
   // What its records' keys begin with, such as "calendar/".
   [[nodiscard]] virtual std::string prefix() const = 0;
@@ -32,4 +32,4 @@
   virtual void on_written(const kv::Txn& txn, const kv::TxnResult& result) = 0;
 };
 
-}  // namespace foxshunt::ledger
+}  // namespace foxshunt::record_cache
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -5,37 +5,37 @@
 
 #include <algorithm>
 
-namespace foxshunt::ledger {
+namespace foxshunt::record_cache {
 namespace {
 
-std::uint64_t hash_of(std::string_view key, Revision mark) {
-  return XXH3_64bits_withSeed(key.data(), key.size(), mark.number());
+std::uint64_t hash_of(std::string_view key, Revision revision) {
+  return XXH3_64bits_withSeed(key.data(), key.size(), revision.number());
 }
 
 }  // namespace
 
-Ledger::Ledger(std::vector<std::string> kept) : kept_(std::move(kept)) {}
+RecordCache::RecordCache(std::vector<std::string> kept) : kept_(std::move(kept)) {}
 
-bool Ledger::keeps(std::string_view key) const {
+bool RecordCache::keeps(std::string_view key) const {
   return std::ranges::any_of(kept_, [&](const std::string& prefix) { return key.starts_with(prefix); });
 }
 
-void Ledger::change(const std::string& key, const wire::Value* data, Revision mark) {
+void RecordCache::change(const std::string& key, const wire::Value* data, Revision revision) {
   if (keeps(key)) {
     const auto known = records_.find(key);
     if (data == nullptr) {
       if (known == records_.end()) return;
       records_.erase(known);
     } else if (known == records_.end()) {
-      records_.emplace(key, Record{.data = *data, .mark = mark});
+      records_.emplace(key, Record{.data = *data, .revision = revision});
     } else {
-      known->second = Record{.data = *data, .mark = mark};
+      known->second = Record{.data = *data, .revision = revision};
     }
   }
-  for (Reader* reader : readers_) reader->on_change(key, data, mark);
+  for (CacheObserver* reader : readers_) reader->on_change(key, data, revision);
 }
 
-void Ledger::read(const std::vector<kv::Entry>& entries, Revision from) {
+void RecordCache::read(const std::vector<kv::Entry>& entries, Revision from) {
   std::map<std::string_view, const kv::Entry*> there;
   for (const kv::Entry& entry : entries) there.emplace(entry.key, &entry);
   std::vector<std::string> gone;
@@ -45,19 +45,19 @@
   for (const std::string& key : gone) change(key, nullptr, from);
   for (const kv::Entry& entry : entries) {
     const Record* known = find(entry.key);
-    if (known == nullptr || known->mark != entry.mark) change(entry.key, &entry.data, entry.mark);
+    if (known == nullptr || known->revision != entry.revision) change(entry.key, &entry.data, entry.revision);
   }
   revision_ = from;
   whole_ = false;
 }
 
-void Ledger::heard(const std::vector<kv::Event>& events, Revision upto) {
+void RecordCache::heard(const std::vector<kv::Event>& events, Revision upto) {
   // The pages of a cold read may be newer than the revision it began at: a key is never taken back to an older change.
   for (const kv::Event& event : events) {
-    if (event.mark <= revision_) continue;
+    if (event.revision <= revision_) continue;
     const Record* known = find(event.key);
-    if (known != nullptr && known->mark >= event.mark) continue;
-    change(event.key, event.data ? &*event.data : nullptr, event.mark);
+    if (known != nullptr && known->revision >= event.revision) continue;
+    change(event.key, event.data ? &*event.data : nullptr, event.revision);
   }
   if (upto >= revision_) {
     revision_ = upto;
@@ -65,27 +65,27 @@
   }
 }
 
-const Record* Ledger::find(const std::string& key) const {
+const Record* RecordCache::find(const std::string& key) const {
   const auto found = records_.find(key);
   return found == records_.end() ? nullptr : &found->second;
 }
 
-void Ledger::each(std::string_view prefix, const Visit& visit) const {
+void RecordCache::each(std::string_view prefix, const Visit& visit) const {
   for (auto at = records_.lower_bound(prefix); at != records_.end() && at->first.starts_with(prefix); ++at) {
     visit(at->first, at->second);
   }
 }
 
-std::uint64_t Ledger::digest(std::string_view prefix) const {
+std::uint64_t RecordCache::digest(std::string_view prefix) const {
   std::uint64_t sum = 0;
-  each(prefix, [&](const std::string& key, const Record& record) { sum += hash_of(key, record.mark); });
+  each(prefix, [&](const std::string& key, const Record& record) { sum += hash_of(key, record.revision); });
   return sum;
 }
 
 std::uint64_t digest_of(const std::vector<kv::Entry>& entries) {
   std::uint64_t sum = 0;
-  for (const kv::Entry& entry : entries) sum += hash_of(entry.key, entry.mark);
+  for (const kv::Entry& entry : entries) sum += hash_of(entry.key, entry.revision);
   return sum;
 }
 
-}  // namespace foxshunt::ledger
+}  // namespace foxshunt::record_cache
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -12,30 +12,30 @@
 #include "kv/txn.h"
 #include "wire/ids.h"
 
-namespace foxshunt::ledger {
+namespace foxshunt::record_cache {
 
 struct Record {
   wire::Value data;
-  Revision mark;  // of its last change
+  Revision revision;  // of its last change
 };
 
 // Told of every change, in the order of revisions. Keys that a cold read found, or found gone, are changes as well.
-class Reader {
+class CacheObserver {
  public:
-  virtual ~Reader() = default;
+  virtual ~CacheObserver() = default;
   // `data` is null when the key was removed; `mark` is the revision of the change, or of the cold read that missed it.
-  virtual void on_change(const std::string& key, const wire::Value* data, Revision mark) = 0;
+  virtual void on_change(const std::string& key, const wire::Value* data, Revision revision) = 0;
 };
 
-class Ledger {
+class RecordCache {
  public:
   using Visit = std::function<void(const std::string& key, const Record& record)>;
 
   // `kept`: prefixes whose records are held; changes of other keys are told to readers and forgotten.
-  explicit Ledger(std::vector<std::string> kept);
+  explicit RecordCache(std::vector<std::string> kept);
 
   // Readers outlive the ledger's use; they are told in the order in which they were added.
-  void add_reader(Reader& reader) { readers_.push_back(&reader); }
+  void add_reader(CacheObserver& reader) { readers_.push_back(&reader); }
 
   [[nodiscard]] const std::vector<std::string>& kept() const { return kept_; }
 
@@ -59,10 +59,10 @@
 
  private:
   [[nodiscard]] bool keeps(std::string_view key) const;
-  void change(const std::string& key, const wire::Value* data, Revision mark);
+  void change(const std::string& key, const wire::Value* data, Revision revision);
 
   std::vector<std::string> kept_;
-  std::vector<Reader*> readers_;
+  std::vector<CacheObserver*> readers_;
   std::map<std::string, Record, std::less<>> records_;
   Revision revision_;
   bool whole_ = false;
@@ -71,4 +71,4 @@
 // The digest of entries as a cold read finds them, to be compared with Ledger::digest.
 [[nodiscard]] std::uint64_t digest_of(const std::vector<kv::Entry>& entries);
 
-}  // namespace foxshunt::ledger
+}  // namespace foxshunt::record_cache
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -96,10 +96,10 @@
 class Protocol final : public httplib::Server {
  public:
   explicit Protocol(const HttpServer::Handler& handler) {
-    set_payload_max_length(constants::kBodyLimitBytes);
+    set_payload_max_length(constants::kMaxBodyBytes);
     set_keep_alive_max_count(1'000'000);
     set_keep_alive_timeout(
-        std::chrono::seconds(std::chrono::floor<std::chrono::seconds>(constants::kServerIdleLimit)).count());
+        std::chrono::seconds(std::chrono::floor<std::chrono::seconds>(constants::kServerIdleTimeout)).count());
     // httplib's routes are regular expressions, whose matcher recurses once a character of the path: that took 16 KiB
     // of every connection's stack, and a long path overflowed it. No route is registered, so that httplib reads each
     // request and leaves it, as one that it has no route for, to the handler of errors.
@@ -121,14 +121,14 @@
     const bool good = process_request(stream, false, closed, [&body_left](httplib::Request& request) {
       if (!request.has_header("Content-Length")) return;
       const auto length = request.get_header_value<std::uint64_t>("Content-Length");
-      if (length > constants::kBodyLimitBytes || request.path.size() > constants::kPathLimitBytes) body_left = true;
+      if (length > constants::kMaxBodyBytes || request.path.size() > constants::kMaxPathBytes) body_left = true;
     });
     return stream.flush() && good && !closed && !body_left;
   }
 
  private:
   static void serve(const HttpServer::Handler& handler, const httplib::Request& request, httplib::Response& response) {
-    if (request.path.size() > constants::kPathLimitBytes) {
+    if (request.path.size() > constants::kMaxPathBytes) {
       response.status = 400;
       return;
     }
@@ -175,13 +175,13 @@
   Impl(const Address& at, ServerLimits limits, Handler handler)
       : handler_(std::move(handler)),
         protocol_(handler_),
-        listener_(listen_on(at)),
+        subscriber_(listen_on(at)),
         limits_(std::move(limits)),
         acceptor_([this](const std::stop_token& stop) { accept_loop(stop); }) {}
 
   ~Impl() {
     acceptor_.request_stop();
-    listener_.shut();
+    subscriber_.shut();
     acceptor_.join();
     std::list<Connection> rest;
     {
@@ -193,7 +193,7 @@
     // Joining happens as `rest` goes, outside the lock that finishing connections take.
   }
 
-  [[nodiscard]] Address address() const { return local_address(listener_); }
+  [[nodiscard]] Address address() const { return local_address(subscriber_); }
   [[nodiscard]] int open_connections() const { return open_; }
   [[nodiscard]] int max_connections() const { return limits_.connections; }
   [[nodiscard]] std::uint64_t refused_connections() const { return refused_; }
@@ -206,10 +206,10 @@
 
   void accept_loop(const std::stop_token& stop) {
     while (!stop.stop_requested()) {
-      const int fd = ::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC);
+      const int fd = ::accept4(subscriber_.fd(), nullptr, nullptr, SOCK_CLOEXEC);
       if (fd < 0) {
         if (stop.stop_requested()) return;
-        if (errno != EINTR && errno != ECONNABORTED) std::this_thread::sleep_for(constants::kAcceptPause);
+        if (errno != EINTR && errno != ECONNABORTED) std::this_thread::sleep_for(constants::kAcceptRetryBackoff);
         continue;
       }
       Socket socket(fd);
@@ -258,13 +258,13 @@
   void serve_all(const Socket& socket) {
     const auto stream = std::make_unique<SocketStream>(socket);
     // Whoever connects and asks nothing holds a place for a moment only.
-    socket.limit_reads(constants::kServerRequestLimit);
+    socket.limit_reads(constants::kServerRequestTimeout);
     if (!stream->await_request()) return;
     const bool counted = !reserved(stream->begun());
     if (!counted || ++unreserved_ <= limits_.unreserved) {
-      socket.limit_reads(constants::kServerIdleLimit);
+      socket.limit_reads(constants::kServerIdleTimeout);
       while (stream->await_request()) {
-        stream->set_deadline(Clock::now() + constants::kServerRequestLimit);
+        stream->set_deadline(Clock::now() + constants::kServerRequestTimeout);
         if (!protocol_.serve_one(*stream)) break;
       }
     } else {
@@ -290,7 +290,7 @@
 
   Handler handler_;
   Protocol protocol_;
-  Socket listener_;
+  Socket subscriber_;
   ServerLimits limits_;
   std::atomic<int> open_{0};
   std::atomic<int> unreserved_{0};
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -141,7 +141,7 @@
 Socket listen_on(const Address& at) {
   const auto native = to_native(at);
   if (!native) throw std::system_error(EINVAL, std::generic_category(), at.text());
-  const Deadline until = Clock::now() + constants::kListenFor;
+  const Deadline until = Clock::now() + constants::kListenTimeout;
   for (bool told = false;; told = true) {
     Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const int on = 1;
@@ -155,7 +155,7 @@
       throw std::system_error(error, std::generic_category(), "listen on " + at.text());
     }
     if (!told) spdlog::warn("address {} can't be had yet: {}", at.text(), std::generic_category().message(error));
-    std::this_thread::sleep_for(constants::kListenPause);
+    std::this_thread::sleep_for(constants::kListenRetryInterval);
   }
 }
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -48,7 +48,7 @@
 
 [[nodiscard]] Socket connect_to(const Address& to, Deadline until);
 // An address that is still held, as by an earlier life of this process that has not quite ended, is waited for by
-// kListenFor. Throws std::system_error when the address can't be bound.
+// kListenTimeout. Throws std::system_error when the address can't be bound.
 [[nodiscard]] Socket listen_on(const Address& at);
 [[nodiscard]] Address local_address(const Socket& socket);
 
--- a/src/node/cache_watcher.cpp
+++ b/src/node/cache_watcher.cpp
@@ -43,7 +43,7 @@
 
 CacheWatcher::CacheWatcher(Context& context)
     : context_(context),
-      client_(context.state_address, context.budget, kv::Urgency::duty),
+      client_(context.state_address, context.rate_limiter, kv::Urgency::duty),
       compared_(net::Clock::now()) {}
 
 std::optional<CacheWatcher::Found> CacheWatcher::read_all(bool to_compare) {
@@ -52,7 +52,7 @@
   std::vector<std::string> prefixes = kept_prefixes();
   if (!to_compare) prefixes.emplace_back(kToldAlone);
   for (const std::string& prefix : prefixes) {
-    kv::ListResult page = client_.list(prefix, constants::kStateCallLimit);
+    kv::ListResult page = client_.list(prefix, constants::kStoreCallTimeout);
     if (page.answer != Answer::ok) return std::nullopt;
     if (first) found.from = page.revision;
     first = false;
@@ -68,7 +68,7 @@
   SharedRecords& shared = context_.shared;
   {
     const std::lock_guard lock(shared.mutex);
-    shared.ledger.read(found->entries, found->from);
+    shared.record_cache.read(found->entries, found->from);
     shared.calendar.cold_read();
     ++shared.cold_reads;
   }
@@ -81,7 +81,7 @@
     if (read()) {
       watch(stop);
     } else {
-      sleep_unless_stopped(stop, constants::kStateRetryPause);
+      sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
     }
   }
 }
@@ -92,28 +92,28 @@
     Revision from;
     {
       const std::lock_guard lock(shared.mutex);
-      from = shared.ledger.revision();
+      from = shared.record_cache.revision();
     }
-    const kv::FollowResult news =
-        client_.follow(kEverything, from, constants::kLedgerHold, store_call_deadline() + constants::kLedgerHold);
+    const kv::WatchResult news = client_.watch(kEverything, from, constants::kRecordCacheWatchHoldTimeout,
+                                               store_call_deadline() + constants::kRecordCacheWatchHoldTimeout);
     if (news.answer == Answer::too_old) return;  // it fell behind: a cold read
     if (news.answer != Answer::ok) {
-      sleep_unless_stopped(stop, constants::kStateRetryPause);
+      sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
       continue;
     }
     context_.on_store_answered();
     {
       const std::lock_guard lock(shared.mutex);
-      shared.ledger.heard(news.events, news.revision);
+      shared.record_cache.heard(news.events, news.revision);
       shared.changes_heard += news.events.size();
       shared.calendar.look(moment());
     }
     shared.moved.notify_all();
     publish_catalog(context_);
     if (!news.events.empty()) context_.wakeups.record_controllers.signal();
-    if (net::Clock::now() - compared_ > constants::kLedgerCompareEvery && !compare(stop)) return;
+    if (net::Clock::now() - compared_ > constants::kRecordCacheVerifyInterval && !compare(stop)) return;
     // Changes that come together are read together: a watch that wakes for each costs more than what it tells.
-    if (!news.events.empty()) sleep_unless_stopped(stop, constants::kLedgerPause);
+    if (!news.events.empty()) sleep_unless_stopped(stop, constants::kRecordCacheRetryBackoff);
   }
 }
 
@@ -122,7 +122,7 @@
   compared_ = net::Clock::now();
   {
     const std::lock_guard lock(shared.mutex);
-    shared.comparison.begin();
+    shared.cache_verifier.begin();
   }
   const auto found = read_all(true);
   if (!found) return true;
@@ -130,19 +130,20 @@
   Revision from;
   {
     const std::lock_guard lock(shared.mutex);
-    from = shared.ledger.revision();
+    from = shared.record_cache.revision();
   }
-  const kv::FollowResult news = client_.follow(kEverything, from, std::chrono::milliseconds(0), store_call_deadline());
+  const kv::WatchResult news = client_.watch(kEverything, from, std::chrono::milliseconds(0), store_call_deadline());
   if (news.answer != Answer::ok || stop.stop_requested()) return news.answer != Answer::too_old;
   const std::lock_guard lock(shared.mutex);
-  shared.ledger.heard(news.events, news.revision);
+  shared.record_cache.heard(news.events, news.revision);
   shared.calendar.look(moment());
-  const std::vector<std::string> differ = shared.comparison.differences(shared.ledger, found->entries, found->from);
-  shared.comparison.begin();
+  const std::vector<std::string> differ =
+      shared.cache_verifier.differences(shared.record_cache, found->entries, found->from);
+  shared.cache_verifier.begin();
   if (differ.empty()) return true;
   shared.differences += differ.size();
   spdlog::error("record_cache_differs keys={} first={} revision={}", differ.size(), differ.front(),
-                shared.ledger.revision().number());
+                shared.record_cache.revision().number());
   return false;
 }
 
--- a/src/node/calendar_requests.cpp
+++ b/src/node/calendar_requests.cpp
@@ -29,26 +29,26 @@
 
 }  // namespace
 
-HttpResponse calendar_response(Context& context, const calendar::Keeper& keeper, const std::string& rest) {
+HttpResponse calendar_response(Context& context, const calendar::DeadlineController& keeper, const std::string& rest) {
   const auto numbers = numbers_of(rest);
-  if (!numbers || numbers->size() > 3 || (*numbers)[0] < 1 || (*numbers)[0] > constants::kCalendarDaysMost) {
-    return error_response(400, "days: 1 to " + std::to_string(constants::kCalendarDaysMost));
+  if (!numbers || numbers->size() > 3 || (*numbers)[0] < 1 || (*numbers)[0] > constants::kMaxCalendarDays) {
+    return error_response(400, "days: 1 to " + std::to_string(constants::kMaxCalendarDays));
   }
   const auto at = [&numbers](std::size_t index) { return numbers->size() > index ? (*numbers)[index] : 0; };
   const std::lock_guard lock(context.shared.mutex);
-  const ledger::Ledger& ledger = context.shared.ledger;
-  if (!ledger.whole()) return retry_later("the records are not known yet");
-  const wire::Value body = calendar::shown(keeper, ledger.revision(), wall_ms(), static_cast<int>(at(0)), at(1),
+  const record_cache::RecordCache& record_cache = context.shared.record_cache;
+  if (!record_cache.whole()) return retry_later("the records are not known yet");
+  const wire::Value body = calendar::shown(keeper, record_cache.revision(), wall_ms(), static_cast<int>(at(0)), at(1),
                                            static_cast<std::size_t>(at(2)));
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
-HttpResponse change_calendar(Context& context, const calendar::Keeper& keeper, const std::string& body) {
+HttpResponse change_calendar(Context& context, const calendar::DeadlineController& keeper, const std::string& body) {
   calendar::Decision decision;
   try {
     const calendar::Request request = calendar::request_from(wire::decode(body));
     const std::lock_guard lock(context.shared.mutex);
-    if (!context.shared.ledger.whole()) return retry_later("the records are not known yet");
+    if (!context.shared.record_cache.whole()) return retry_later("the records are not known yet");
     decision = calendar::decide(keeper, request, wall_ms());
   } catch (const wire::Malformed& error) {
     return error_response(400, error.what());
@@ -59,8 +59,8 @@
   };
   if (!decision.txn && decision.status == 200) return done(decision.done);
   if (!decision.txn) return error_response(decision.status, decision.error);
-  kv::Client client(context.state_address, context.budget, kv::Urgency::user);
-  const kv::TxnResult result = client.txn(*decision.txn, net::Clock::now() + constants::kStateCallLimit);
+  kv::Client client(context.state_address, context.rate_limiter, kv::Urgency::user);
+  const kv::TxnResult result = client.txn(*decision.txn, net::Clock::now() + constants::kStoreCallTimeout);
   if (result.answer == kv::Answer::conflict) {
     return error_response(409, "it was changed meanwhile: look again before you repeat it");
   }
--- a/src/node/catalog_requests.cpp
+++ b/src/node/catalog_requests.cpp
@@ -27,8 +27,8 @@
  public:
   explicit StateStore(Context& context)
       : context_(context),
-        client_(context.state_address, context.budget, kv::Urgency::user),
-        until_(net::Clock::now() + constants::kCatalogCallLimit) {}
+        client_(context.state_address, context.rate_limiter, kv::Urgency::user),
+        until_(net::Clock::now() + constants::kCatalogCallTimeout) {}
 
   kv::GetResult get(const std::string& key) override { return heard(client_.get(key, until_)); }
   kv::ListResult list(const std::string& prefix) override {
@@ -37,7 +37,7 @@
   }
   kv::TxnResult txn(const kv::Txn& txn) override { return heard(client_.txn(txn, until_)); }
   bool pause() override {
-    std::this_thread::sleep_for(constants::kCatalogRetryPause);
+    std::this_thread::sleep_for(constants::kCatalogRetryBackoff);
     return net::Clock::now() < until_;
   }
 
@@ -59,7 +59,7 @@
 
 Value::Map map_of(const Edition& edition) {
   return {{"version", edition.version.number()},
-          {"revision", edition.mark.number()},
+          {"revision", edition.revision.number()},
           {"author", edition.author},
           {"wall_ms", static_cast<std::uint64_t>(edition.wall_ms)},
           {"digest", edition.digest},
@@ -119,15 +119,15 @@
   const std::uint64_t number = asked.count("part");
   const std::uint64_t of = asked.count("of");
   const std::string& text = asked.text("text");
-  const std::size_t most = constants::kCatalogXmlBytesMost / constants::kCatalogPartBytes + 1;
-  if (id.empty() || id.size() > constants::kCatalogNameMost || of == 0 || of > most || number >= of ||
+  const std::size_t most = constants::kMaxCatalogXmlBytes / constants::kCatalogPartBytes + 1;
+  if (id.empty() || id.size() > constants::kMaxCatalogName || of == 0 || of > most || number >= of ||
       text.size() > constants::kCatalogPartBytes) {
     return error_response(400, "no such part of a file");
   }
   const std::lock_guard lock(uploads_mutex_);
   const auto now = net::Clock::now();
   std::erase_if(uploads_, [&](const auto& one) { return now - one.second.begun > constants::kCatalogUploadKept; });
-  if (!uploads_.contains(id) && uploads_.size() >= constants::kCatalogUploadsMost) {
+  if (!uploads_.contains(id) && uploads_.size() >= constants::kMaxCatalogUploads) {
     return retry_later("too many files under way");
   }
   Upload& upload = uploads_[id];
@@ -276,7 +276,7 @@
   switch (outcome.kind) {
     case catalog::Outcome::Kind::in_force:
       spdlog::info("catalog_applied version={} revision={} author=\"{}\" digest={}", outcome.ours.version.number(),
-                   outcome.ours.mark.number(), outcome.ours.author, outcome.ours.digest);
+                   outcome.ours.revision.number(), outcome.ours.author, outcome.ours.digest);
       return held("in_force", outcome.ours, outcome.ours);
     case catalog::Outcome::Kind::replaced: return held("replaced", outcome.ours, *outcome.theirs);
     case catalog::Outcome::Kind::lost: return lost_to(outcome.theirs.value_or(Edition{}));
@@ -302,11 +302,11 @@
   Revision records;
   {
     const std::lock_guard lock(context_.shared.mutex);
-    const catalog::Book& book = context_.shared.catalog;
+    const catalog::CatalogView& book = context_.shared.catalog;
     set = version ? book.edition(*version) : book.in_force();
     unreadable = book.unreadable();
     head = book.head() ? book.head()->now.version : Version(0);
-    records = context_.shared.ledger.revision();
+    records = context_.shared.record_cache.revision();
   }
   if (records == Revision(0)) return retry_later("the records are not known yet");
   if (set == nullptr) return error_response(404, "no such version is kept");
@@ -330,8 +330,8 @@
   std::uint64_t in_force = 0;
   {
     const std::lock_guard lock(context_.shared.mutex);
-    const catalog::Book& book = context_.shared.catalog;
-    records = context_.shared.ledger.revision();
+    const catalog::CatalogView& book = context_.shared.catalog;
+    records = context_.shared.record_cache.revision();
     in_force = book.in_force()->version.number();
     if (book.head()) {
       list.push_back(map_of(book.head()->now));
--- a/src/node/catalog_settings.cpp
+++ b/src/node/catalog_settings.cpp
@@ -22,27 +22,27 @@
 
 catalog::WriteLimits catalog_write_limits_of(const config::Settings& settings) {
   return {.changes = settings.state_txn_ops,
-          .bytes = constants::kTxnBytesMost,
-          .portion = std::min(settings.state_txn_ops, constants::kCatalogPortionMost)};
+          .bytes = constants::kMaxTxnBytes,
+          .portion = std::min(settings.state_txn_ops, constants::kMaxCatalogPortion)};
 }
 
-std::optional<catalog::Founding> founding_of(const config::Settings& settings) {
-  const std::string& path = settings.operators.founding_catalog;
+std::optional<catalog::BootstrapCatalog> bootstrap_catalog_of(const config::Settings& settings) {
+  const std::string& path = settings.operators.bootstrap_catalog;
   if (path.empty()) return std::nullopt;
   if (!settings.operators.shared_records) {
     spdlog::warn("bootstrap_catalog_unused file=\"{}\" reason=\"shared-records is off\"", path);
     return std::nullopt;
   }
-  catalog::Founding founding{.file = path, .text = {}, .known = catalog_constraints_of(settings)};
+  catalog::BootstrapCatalog bootstrap{.file = path, .text = {}, .known = catalog_constraints_of(settings)};
   std::ifstream file(path, std::ios::binary);
-  if (!file) return founding;
-  std::string text(constants::kCatalogXmlBytesMost + 1, '\0');  // a longer one is refused by its length
+  if (!file) return bootstrap;
+  std::string text(constants::kMaxCatalogXmlBytes + 1, '\0');  // a longer one is refused by its length
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
-  if (file.bad()) return founding;
+  if (file.bad()) return bootstrap;
   text.resize(static_cast<std::size_t>(file.gcount()));
   text.shrink_to_fit();
-  founding.text = std::move(text);
-  return founding;
+  bootstrap.text = std::move(text);
+  return bootstrap;
 }
 
 }  // namespace foxshunt::node
--- a/src/node/catalog_settings.h
+++ b/src/node/catalog_settings.h
@@ -14,6 +14,6 @@
 // Of transactions that write a set.
 [[nodiscard]] catalog::WriteLimits catalog_write_limits_of(const config::Settings& settings);
 // The founding set's file, read now; nothing: the settings name none, or the records are not followed.
-[[nodiscard]] std::optional<catalog::Founding> founding_of(const config::Settings& settings);
+[[nodiscard]] std::optional<catalog::BootstrapCatalog> bootstrap_catalog_of(const config::Settings& settings);
 
 }  // namespace foxshunt::node
--- a/src/node/cloud_loop.cpp
+++ b/src/node/cloud_loop.cpp
@@ -12,8 +12,8 @@
 
 CloudLoop::CloudLoop(Context& context)
     : context_(context),
-      http_(context.cloud_address, constants::kCloudCallLimit),
-      state_(context.state_address, context.budget, kv::Urgency::duty) {}
+      http_(context.cloud_address, constants::kCloudCallTimeout),
+      state_(context.state_address, context.rate_limiter, kv::Urgency::duty) {}
 
 CloudLoop::Answer CloudLoop::call(const std::string& method, const std::string& path, const wire::Value* body) {
   // Calls are spaced, as several nodes may ask for types at once.
@@ -24,7 +24,7 @@
                                        std::chrono::duration<double>(1.0 / context_.settings.cloud_rps));
   const auto answer =
       http_.call({.method = method, .path = path, .body = body == nullptr ? std::string() : wire::encode(*body)},
-                 net::Clock::now() + constants::kCloudCallLimit);
+                 net::Clock::now() + constants::kCloudCallTimeout);
   Answer result;
   if (answer) {
     result.status = answer->status;
@@ -40,13 +40,13 @@
   if (result.status != 200 && !capacity) {
     spdlog::warn("cloud_call_failed method={} path={} status={}", method, path,
                  result.status == 0 ? "none" : std::to_string(result.status));
-    next_try_ = net::Clock::now() + constants::kCloudRetryPause;
+    next_try_ = net::Clock::now() + constants::kCloudRetryBackoff;
   }
   return result;
 }
 
 void CloudLoop::read_types() {
-  const kv::GetResult kept = state_.get(state::kTypesKey, net::Clock::now() + constants::kStateCallLimit);
+  const kv::GetResult kept = state_.get(state::kMachineTypesKey, net::Clock::now() + constants::kStoreCallTimeout);
   if (kept.answer != kv::Answer::ok) return;
   context_.on_store_answered();
   try {
@@ -76,8 +76,8 @@
     publish_types(types);
     if (!published_) {
       kv::Txn txn;
-      txn.changes = {{.key = state::kTypesKey, .data = wire::to_value(types), .lease = {}}};
-      published_ = state_.txn(txn, net::Clock::now() + constants::kStateCallLimit).answer == kv::Answer::ok;
+      txn.changes = {{.key = state::kMachineTypesKey, .data = wire::to_value(types), .lease = {}}};
+      published_ = state_.txn(txn, net::Clock::now() + constants::kStoreCallTimeout).answer == kv::Answer::ok;
     }
     return true;
   } catch (const wire::Malformed& error) {
@@ -90,7 +90,7 @@
   std::vector<wire::ListedMachine> machines;
   std::string from;
   while (true) {
-    std::string path = "/machines?most=" + std::to_string(constants::kListMost);
+    std::string path = "/machines?most=" + std::to_string(constants::kMaxCloudListPage);
     if (!from.empty()) path += "&from=" + from;
     const Answer answer = call("GET", path, nullptr);
     if (answer.status != 200) return;
@@ -104,7 +104,7 @@
       return;
     }
   }
-  next_list_ = net::Clock::now() + constants::kListEvery;
+  next_list_ = net::Clock::now() + constants::kCloudListInterval;
   const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
   context_.control_state.controller.on_machine_list(machines, now());
 }
@@ -112,10 +112,10 @@
 void CloudLoop::rent() {
   // What the leader before rented in its last seconds is on no list yet; a sibling may know of it.
   if (context_.standby.wants_soft_state()) return;
-  std::optional<wire::RentRequest> request;
+  std::optional<wire::ScaleOutRequest> request;
   {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
-    request = context_.control_state.controller.next_rental(now());
+    request = context_.control_state.controller.next_scale_out(now());
   }
   if (!request) return;
   const wire::Value body = wire::to_value(*request);
@@ -124,12 +124,12 @@
   const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
   if (answer.status == 200) {
     try {
-      context_.control_state.controller.on_rented(*request, wire::machine_names_from(answer.body), now());
+      context_.control_state.controller.on_scaled_out(*request, wire::machine_names_from(answer.body), now());
     } catch (const wire::Malformed& error) {
       spdlog::warn("malformed_scale_out_answer request={} error=\"{}\"", request->request, error.what());
     }
   } else if ((answer.status == 503 && why != nullptr && *why == "no capacity") || answer.status == 400) {
-    context_.control_state.controller.on_rent_refused(*request, now());
+    context_.control_state.controller.on_scale_out_refused(*request, now());
   }
   // Otherwise the rental may have been carried out: the same request is sent again until its answer is known.
 }
@@ -138,14 +138,14 @@
   std::vector<MachineId> names;
   {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
-    names = context_.control_state.controller.next_returns(now());
+    names = context_.control_state.controller.next_scale_in(now());
   }
   if (names.empty()) return;
   const wire::Value body = wire::machine_names(names);
   const Answer answer = call("POST", "/machines/return", &body);
   if (answer.status != 200) return;
   const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
-  context_.control_state.controller.on_returned(names, now());
+  context_.control_state.controller.on_scaled_in(names, now());
   context_.wakeups.scheduler.signal();
 }
 
@@ -153,14 +153,14 @@
   stop_ = stop;
   while (!stop.stop_requested()) {
     const bool known = controller_knows_types_;
-    bool leading = false;
+    bool is_leader = false;
     bool wanted = false;
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
-      leading = context_.control_state.controller.leading();
-      wanted = leading && context_.control_state.controller.cloud_wanted();
+      is_leader = context_.control_state.controller.is_leader();
+      wanted = is_leader && context_.control_state.controller.cloud_wanted();
     }
-    if (!leading && known) {
+    if (!is_leader && known) {
       if (!context_.wait_until_leader(stop)) return;
       continue;
     }
@@ -169,10 +169,10 @@
       sleep_unless_stopped(stop, constants::kTick);
       continue;
     }
-    if ((!known && !published_) || (leading && net::Clock::now() >= next_types_)) {
-      if (fetch_types()) next_types_ = net::Clock::now() + constants::kTypesEvery;
+    if ((!known && !published_) || (is_leader && net::Clock::now() >= next_types_)) {
+      if (fetch_types()) next_types_ = net::Clock::now() + constants::kMachineTypesInterval;
     }
-    if (leading) {
+    if (is_leader) {
       if (wanted) {
         give_back();
         rent();
@@ -180,8 +180,8 @@
       if (net::Clock::now() >= next_list_) list();
     }
     const auto next = std::chrono::ceil<std::chrono::milliseconds>(next_list_ - net::Clock::now());
-    context_.wakeups.cloud_loop.wait(stop,
-                                     known && !wanted ? std::max(next, constants::kCloudLook) : constants::kCloudLook);
+    context_.wakeups.cloud_loop.wait(
+        stop, known && !wanted ? std::max(next, constants::kCloudCheckInterval) : constants::kCloudCheckInterval);
   }
 }
 
--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -22,7 +22,8 @@
     : settings(from),
       state_address(address_or_throw(from.state, "outside.state")),
       cloud_address(address_or_throw(from.cloud, "outside.cloud")),
-      budget(from.state_rps, from.state_write_rps, 1.0 / static_cast<double>(std::max<std::size_t>(1, from.nodes))),
+      rate_limiter(from.state_rps, from.state_write_rps,
+                   1.0 / static_cast<double>(std::max<std::size_t>(1, from.nodes))),
       control_state(from),
       shared(from),
       standby(from),
@@ -30,7 +31,7 @@
 
 bool Context::wait_until_leader(const std::stop_token& stop) {
   std::unique_lock lock(control_state.mutex.handle(LockPriority::scheduling));
-  return control_state.became_leader.wait(lock, stop, [this] { return control_state.controller.leading(); });
+  return control_state.became_leader.wait(lock, stop, [this] { return control_state.controller.is_leader(); });
 }
 
 void Context::on_store_answered() {
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -33,8 +33,8 @@
   std::condition_variable_any progress_made;  ///< a write or a planning pass has ended
   std::condition_variable_any became_leader;  ///< this node has begun to lead
   control::Controller controller;
-  std::vector<control::DirectHalt> halts;  ///< to be sent to workers directly
-  Revision follow_from;                    ///< up to here the leader knows the records
+  std::vector<control::DirectStop> direct_stops;  ///< to be sent to workers directly
+  Revision watch_from;                            ///< up to here the leader knows the records
 };
 
 /// How one loop wakes another before its interval is over. Each event is synchronised in itself.
@@ -78,7 +78,7 @@
   const config::Settings settings;
   const net::Address state_address;
   const net::Address cloud_address;
-  kv::RateBudget budget;  ///< synchronised in itself
+  kv::RateLimiter rate_limiter;  ///< synchronised in itself
   const net::Clock::time_point began = net::Clock::now();
   Metrics metrics;  ///< synchronised in itself
 
--- a/src/node/delegation_client.cpp
+++ b/src/node/delegation_client.cpp
@@ -10,7 +10,7 @@
     : context_(context), held_delegation_(held_delegation) {
   for (const config::Sibling& sibling : context.settings.siblings) {
     if (const auto address = net::parse_address(sibling.endpoint)) {
-      siblings_.try_emplace(sibling.name, *address, constants::kPeerCallLimit);
+      siblings_.try_emplace(sibling.name, *address, constants::kPeerCallTimeout);
     }
   }
 }
@@ -19,17 +19,18 @@
   {
     // Asking in a term says that this node does not act in an older one.
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
-    context_.control_state.controller.hear_of(term);
-    if (context_.control_state.controller.leading()) return;
+    context_.control_state.controller.observe_term(term);
+    if (context_.control_state.controller.is_leader()) return;
   }
-  const zone::Ask ask = held_delegation_.next_ask(term);
+  const zone::DelegationRequest ask = held_delegation_.next_request(term);
   const plan::Instant asked = now();
   const auto answer = leader.call({.method = "POST", .path = "/grant", .body = wire::encode(zone::to_value(ask))},
-                                  net::Clock::now() + constants::kAskLimit);
+                                  net::Clock::now() + constants::kDelegationRequestTimeout);
   if (!answer || answer->status != 200) return held_delegation_.on_contact_lost();
   try {
-    const zone::Grant grant = zone::grant_from(wire::decode(answer->body));
-    if (grant.term != term || !held_delegation_.accept(grant, asked)) throw wire::Malformed("not what was asked for");
+    const zone::LeaseDelegation delegation = zone::delegation_from(wire::decode(answer->body));
+    if (delegation.term != term || !held_delegation_.accept(delegation, asked))
+      throw wire::Malformed("not what was asked for");
     context_.standby.on_leader_seen();
   } catch (const wire::Malformed& error) {
     held_delegation_.log_malformed(leader.to().text(), error.what());
@@ -50,7 +51,7 @@
     } else {
       ask(sibling->second, term);
     }
-  } while (sleep_unless_stopped(stop, constants::kAskEvery));
+  } while (sleep_unless_stopped(stop, constants::kDelegationRequestInterval));
 }
 
 }  // namespace foxshunt::node
--- a/src/node/heartbeat_relay.cpp
+++ b/src/node/heartbeat_relay.cpp
@@ -15,7 +15,7 @@
 
 HeartbeatRelay::Link::Link(const net::Address& to)
     : clients(constants::kRelayClients,
-              [to] { return std::make_unique<net::HttpClient>(to, constants::kRelayConnectLimit); }) {}
+              [to] { return std::make_unique<net::HttpClient>(to, constants::kRelayConnectTimeout); }) {}
 
 HeartbeatRelay::HeartbeatRelay(Context& context, HeldDelegation& held_delegation)
     : context_(context), held_delegation_(held_delegation) {
@@ -33,25 +33,25 @@
   }
   const ClientPool<net::HttpClient>::Lease lease(link->second.clients);
   if (lease.get() == nullptr) return std::nullopt;
-  auto answer =
-      lease.get()->call({.method = "POST", .path = "/relay", .body = body}, net::Clock::now() + constants::kRelayLimit);
+  auto answer = lease.get()->call({.method = "POST", .path = "/relay", .body = body},
+                                  net::Clock::now() + constants::kRelayTimeout);
   if (!answer) {
     const std::lock_guard lock(mutex_);
-    link->second.broken_until = net::Clock::now() + constants::kRelayPause;
+    link->second.broken_until = net::Clock::now() + constants::kRelayRetryBackoff;
   }
   return answer;
 }
 
-HttpResponse HeartbeatRelay::answer(const wire::Report& report, const std::string& body) {
+HttpResponse HeartbeatRelay::answer(const wire::Heartbeat& heartbeat, const std::string& body) {
   const auto [leader, term] = context_.known_leader();
   if (leader.empty() || leader == context_.settings.name)
-    return answer_by_held_delegation(report, true).value_or(send_to({}));
+    return answer_by_held_delegation(heartbeat, true).value_or(send_to({}));
   bool passes = false;
   {
     const std::lock_guard lock(mutex_);
-    passes = unreached_.passes(report.machine, report.term, term, now());
+    passes = unreached_.passes(heartbeat.machine, heartbeat.term, term, now());
   }
-  if (!passes) return answer_by_held_delegation(report, false).value_or(send_to(leader));
+  if (!passes) return answer_by_held_delegation(heartbeat, false).value_or(send_to(leader));
   auto answer = forward(leader, body);
   if (answer && answer->status == 200) {
     if (context_.metrics.relayed++ == 0) {
@@ -60,15 +60,16 @@
     return std::move(*answer);
   }
   // Neither the worker nor this node reaches the leader, or it leads no longer: another node may know better.
-  return answer_by_held_delegation(report, true).value_or(send_to({}));
+  return answer_by_held_delegation(heartbeat, true).value_or(send_to({}));
 }
 
-std::optional<HttpResponse> HeartbeatRelay::answer_by_held_delegation(const wire::Report& report, bool leader_tried) {
-  const auto term = held_delegation_.answerable_term(report, leader_tried);
+std::optional<HttpResponse> HeartbeatRelay::answer_by_held_delegation(const wire::Heartbeat& heartbeat,
+                                                                      bool leader_tried) {
+  const auto term = held_delegation_.answerable_term(heartbeat, leader_tried);
   if (!term) return std::nullopt;
   if (context_.metrics.granted++ == 0)
-    spdlog::info("delegated_answers_started zone={} term={}", report.zone, term->number());
-  return HttpResponse{.status = 200, .body = wire::encode(wire::report_answer(*term, {})), .retry_after_s = {}};
+    spdlog::info("delegated_answers_started zone={} term={}", heartbeat.zone, term->number());
+  return HttpResponse{.status = 200, .body = wire::encode(wire::heartbeat_response(*term, {})), .retry_after_s = {}};
 }
 
 }  // namespace foxshunt::node
--- a/src/node/heartbeat_relay.h
+++ b/src/node/heartbeat_relay.h
@@ -17,7 +17,7 @@
  public:
   HeartbeatRelay(Context& context, HeldDelegation& held_delegation);
   // What a node that does not lead answers to a report, given also as it came.
-  [[nodiscard]] net::HttpResponse answer(const wire::Report& report, const std::string& body);
+  [[nodiscard]] net::HttpResponse answer(const wire::Heartbeat& heartbeat, const std::string& body);
 
  private:
   struct Link {  // to a sibling
@@ -28,7 +28,7 @@
   [[nodiscard]] std::optional<net::HttpResponse> forward(const NodeName& leader, const std::string& body);
 
   // With this node's own right, if it has one for the machine.
-  [[nodiscard]] std::optional<net::HttpResponse> answer_by_held_delegation(const wire::Report& report,
+  [[nodiscard]] std::optional<net::HttpResponse> answer_by_held_delegation(const wire::Heartbeat& heartbeat,
                                                                            bool leader_tried);
 
   Context& context_;
--- a/src/node/held_delegation.cpp
+++ b/src/node/held_delegation.cpp
@@ -14,25 +14,25 @@
 
 void HeldDelegation::begin(std::uint64_t life) {
   const std::lock_guard lock(mutex_);
-  holder_ = zone::Holder(settings_.name, settings_.zone, life, control::grant_spans(settings_));
+  holder_ = zone::DelegatedLease(settings_.name, settings_.zone, life, control::delegation_spans(settings_));
 }
 
-std::optional<Term> HeldDelegation::answerable_term(const wire::Report& report, bool leader_tried) {
+std::optional<Term> HeldDelegation::answerable_term(const wire::Heartbeat& heartbeat, bool leader_tried) {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
-  const bool leader_answers = last_answer_ && at - *last_answer_ < constants::kContactLost;
+  const bool leader_answers = last_answer_ && at - *last_answer_ < constants::kLeaderContactTimeout;
   if (leader_answers && !leader_tried) return std::nullopt;
-  return holder_.answers(report.machine, report.zone, report.term, at);
+  return holder_.answers(heartbeat.machine, heartbeat.zone, heartbeat.term, at);
 }
 
-zone::Ask HeldDelegation::next_ask(Term leaders) {
+zone::DelegationRequest HeldDelegation::next_request(Term leaders) {
   const std::lock_guard lock(mutex_);
-  return holder_.next_ask(leaders, now());
+  return holder_.next_request(leaders, now());
 }
 
-bool HeldDelegation::accept(const zone::Grant& grant, plan::Instant asked) {
+bool HeldDelegation::accept(const zone::LeaseDelegation& delegation, plan::Instant asked) {
   const std::lock_guard lock(mutex_);
-  if (!holder_.on_grant(grant, asked)) return false;
+  if (!holder_.on_delegation(delegation, asked)) return false;
   last_answer_ = now();
   return true;
 }
@@ -54,7 +54,7 @@
   const auto until = holder_.until();
   return {{"zone", settings_.zone},
           {"ends_in_ms", until ? count_ms(*until - at) : 0},
-          {"leader_answers", last_answer_ && at - *last_answer_ < constants::kContactLost},
+          {"leader_answers", last_answer_ && at - *last_answer_ < constants::kLeaderContactTimeout},
           {"machines_answered", static_cast<std::uint64_t>(holder_.machines_used())}};
 }
 
--- a/src/node/held_delegation.h
+++ b/src/node/held_delegation.h
@@ -21,9 +21,9 @@
   void begin(std::uint64_t life);
   // The term in which the report may be answered without the leader; nothing when it may not, or when the leader
   // answers this node and was not tried with the report.
-  [[nodiscard]] std::optional<Term> answerable_term(const wire::Report& report, bool leader_tried);
-  [[nodiscard]] zone::Ask next_ask(Term leaders);
-  bool accept(const zone::Grant& grant, plan::Instant asked);
+  [[nodiscard]] std::optional<Term> answerable_term(const wire::Heartbeat& heartbeat, bool leader_tried);
+  [[nodiscard]] zone::DelegationRequest next_request(Term leaders);
+  bool accept(const zone::LeaseDelegation& delegation, plan::Instant asked);
   void on_contact_lost();
   void log_malformed(const std::string& from, const char* why);  // told once a while
   [[nodiscard]] wire::Value::Map status() const;                 // to operators
@@ -31,7 +31,7 @@
  private:
   const config::Settings& settings_;
   mutable std::mutex mutex_;
-  zone::Holder holder_;
+  zone::DelegatedLease holder_;
   std::optional<plan::Instant> last_answer_;  // when the leader last answered a word, and none has failed since
   RateLimitedLog malformed_log_;
 };
--- a/src/node/leader_elector.h
+++ b/src/node/leader_elector.h
@@ -18,28 +18,28 @@
   /// A term that this node has just taken by compare-and-swap.
   struct AcquiredTerm {
     Term term;
-    Revision term_mark;                     ///< the revision of the term's record
-    std::int64_t others_until_wall_ms = 0;  ///< older leaders may act until then; 0: there were none
-    plan::Instant asked;                    ///< when it was asked for
+    Revision term_revision;                        ///< the revision of the term's record
+    std::int64_t older_leaders_until_wall_ms = 0;  ///< older leaders may act until then; 0: there were none
+    plan::Instant asked;                           ///< when it was asked for
   };
 
   /// Nothing when the state service did not answer.
-  std::optional<state::LeadView> read_leadership();
+  std::optional<state::LeadershipView> read_leadership();
   /// Returns when leadership may have changed.
-  void watch(const std::stop_token& stop, const state::LeadView& view);
+  void watch(const std::stop_token& stop, const state::LeadershipView& view);
   /// Takes the next term and begins to lead in it; false when another node was faster or the records can't be read.
-  bool try_acquire(const state::LeadView& view);
+  bool try_acquire(const state::LeadershipView& view);
   /// Loads the records and tells the controller that it leads.
   bool try_lead(const AcquiredTerm& acquired);
   /// The records up to the term's own, from the cache or else from the store. `renewed`: when the lease was last renewed.
-  std::optional<SharedRecords::Snapshot> load_records(Revision term_mark, plan::Instant& renewed);
-  bool read_records(SharedRecords::Snapshot& picture, plan::Instant& renewed);
+  std::optional<SharedRecords::Snapshot> load_records(Revision term_revision, plan::Instant& renewed);
+  bool read_records(SharedRecords::Snapshot& snapshot, plan::Instant& renewed);
   /// Whether all that a leader needs is known and in time at `at`; logs what is missing.
-  [[nodiscard]] bool is_ready(const AcquiredTerm& acquired, const SharedRecords::Snapshot& picture,
-                              plan::Instant others_until, plan::Instant renewed, plan::Instant at) const;
+  [[nodiscard]] bool is_ready(const AcquiredTerm& acquired, const SharedRecords::Snapshot& snapshot,
+                              plan::Instant older_leaders_until, plan::Instant renewed, plan::Instant at) const;
   /// Renews the lease until leadership ends.
   void hold_leadership(const std::stop_token& stop);
-  bool gives_way();
+  bool should_yield_leadership();
   bool has_all_records();
 
   Context& context_;
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -14,7 +14,7 @@
 // Counted as it happens; reading them costs the node next to nothing.
 class Metrics {
  public:
-  enum class Kind : std::uint8_t { report, user };
+  enum class Kind : std::uint8_t { heartbeat, user };
 
   // A request was answered with this status after this time.
   void answered(Kind kind, int status, RecentPeak::Clock::duration after);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -123,9 +123,9 @@
   HttpResponse handle(const HttpRequest& request) {
     const auto began = net::Clock::now();
     const HttpResponse answer = answer_to(request);
-    const bool report = request.path == "/checkin";
-    if (report || request.path.starts_with("/api/")) {
-      context_.metrics.answered(report ? Metrics::Kind::report : Metrics::Kind::user, answer.status,
+    const bool heartbeat = request.path == "/checkin";
+    if (heartbeat || request.path.starts_with("/api/")) {
+      context_.metrics.answered(heartbeat ? Metrics::Kind::heartbeat : Metrics::Kind::user, answer.status,
                                 net::Clock::now() - began);
     }
     return answer;
@@ -163,7 +163,7 @@
     if (!context_.settings.operators.shared_records) {
       return error_response(409, "shared-records is off in the operators' settings");
     }
-    const calendar::Keeper& keeper = context_.shared.calendar;
+    const calendar::DeadlineController& keeper = context_.shared.calendar;
     if (request.method == "POST" && request.path == "/calendar") return change_calendar(context_, keeper, request.body);
     if (request.method == "GET" && request.path.starts_with(kDays)) {
       return calendar_response(context_, keeper, request.path.substr(kDays.size()));
@@ -182,9 +182,9 @@
 
   // `relayed`: by a sibling, to which this node is the leader; it is not passed on once more.
   HttpResponse check_in(const std::string& body, bool relayed) {
-    wire::Report report;
+    wire::Heartbeat heartbeat;
     try {
-      report = wire::report_from(wire::decode(body));
+      heartbeat = wire::heartbeat_from(wire::decode(body));
     } catch (const wire::Malformed& error) {
       spdlog::warn("malformed_heartbeat error=\"{}\"", error.what());
       return error_response(400, error.what());
@@ -194,23 +194,24 @@
     bool plan = false;
     bool writes = false;
     {
-      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::reports));
-      commands = context_.control_state.controller.on_report(report, now());
+      const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::heartbeats));
+      commands = context_.control_state.controller.on_heartbeat(heartbeat, now());
       term = context_.control_state.controller.term();
       plan = context_.control_state.controller.plan_wanted();
       writes = context_.control_state.controller.writes_wanted();
     }
-    if (!commands) return relayed ? send_to({}) : relay_.answer(report, body);
+    if (!commands) return relayed ? send_to({}) : relay_.answer(heartbeat, body);
     if (writes) context_.wakeups.record_writer.signal();
     if (plan) context_.wakeups.scheduler.signal();
     // The outcome of a task is answered when it is durable, and with it what may start in its place; by the next
     // report the machine would have been idle for a whole interval.
     if (writes || plan) {
-      std::unique_lock lock(context_.control_state.mutex.handle(LockPriority::reports));
-      if (!context_.control_state.controller.settled(report)) {
-        context_.control_state.progress_made.wait_for(
-            lock, constants::kReportSettle, [&] { return context_.control_state.controller.settled(report); });
-        const auto later = context_.control_state.controller.later_commands(report, now());
+      std::unique_lock lock(context_.control_state.mutex.handle(LockPriority::heartbeats));
+      if (!context_.control_state.controller.settled(heartbeat)) {
+        context_.control_state.progress_made.wait_for(lock, constants::kHeartbeatSettleTimeout, [&] {
+          return context_.control_state.controller.settled(heartbeat);
+        });
+        const auto later = context_.control_state.controller.later_commands(heartbeat, now());
         if (!later || (guards::kept(guards::Guard::answer_term) && context_.control_state.controller.term() != term))
           return retry_later("it may not act for the controllers now");
         for (const wire::Command& command : *later) {
@@ -221,7 +222,7 @@
     context_.standby.on_phase_reached(standby::Phase::heard);
     const auto runs = std::ranges::count(*commands, wire::CommandKind::run, &wire::Command::kind);
     if (runs > 0) context_.standby.on_tasks_started(static_cast<std::uint64_t>(runs));
-    return {.status = 200, .body = wire::encode(wire::report_answer(term, *commands)), .retry_after_s = {}};
+    return {.status = 200, .body = wire::encode(wire::heartbeat_response(term, *commands)), .retry_after_s = {}};
   }
 
   Context context_;
--- a/src/node/operator_requests.cpp
+++ b/src/node/operator_requests.cpp
@@ -55,7 +55,7 @@
     body.emplace_back("health", health::name_of(context.health.check.assess(now())));
   }
   for (const auto& [kind, name] :
-       {std::pair{Metrics::Kind::report, "reports"}, std::pair{Metrics::Kind::user, "users_requests"}}) {
+       {std::pair{Metrics::Kind::heartbeat, "reports"}, std::pair{Metrics::Kind::user, "users_requests"}}) {
     const Metrics::Requests& requests = metrics.of(kind);
     body.emplace_back(name, requests.all.load());
     body.emplace_back(std::string(name) + "_refused", requests.refused.load());
@@ -79,8 +79,8 @@
     const std::lock_guard lock(context.shared.mutex);
     const SharedRecords& shared = context.shared;
     const calendar::Counts& calendar = shared.calendar.counts();
-    body.emplace_back("ledger_revision", shared.ledger.revision().number());
-    body.emplace_back("ledger_records", std::uint64_t{shared.ledger.size()});
+    body.emplace_back("ledger_revision", shared.record_cache.revision().number());
+    body.emplace_back("ledger_records", std::uint64_t{shared.record_cache.size()});
     body.emplace_back("ledger_cold_reads", shared.cold_reads);
     body.emplace_back("ledger_changes", shared.changes_heard);
     body.emplace_back("ledger_differences", shared.differences);
@@ -94,21 +94,21 @@
   }
   const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
   const control::Controller& controller = context.control_state.controller;
-  body.emplace_back("leads", controller.leading());
-  if (controller.leading()) {
+  body.emplace_back("leads", controller.is_leader());
+  if (controller.is_leader()) {
     const plan::Instant at = now();
-    const control::Census census = controller.census(at);
+    const control::ClusterSummary cluster_summary = controller.cluster_summary(at);
     const control::Counters& done = controller.counters();
     body.emplace_back("term", controller.term().number());
-    body.emplace_back("fence_left_ms", count_ms(census.fence_left));
-    body.emplace_back("jobs", census.jobs);
-    body.emplace_back("tasks_waiting", census.tasks_waiting);
-    body.emplace_back("tasks_placed", census.tasks_placed);
-    body.emplace_back("machines_up", census.machines_up);
-    body.emplace_back("machines_booting", census.machines_booting);
-    body.emplace_back("machines_leaving", census.machines_leaving);
-    body.emplace_back("unwritten", census.unwritten);
-    body.emplace_back("unwritten_oldest_ms", count_ms(census.unwritten_oldest));
+    body.emplace_back("fence_left_ms", count_ms(cluster_summary.fence_left));
+    body.emplace_back("jobs", cluster_summary.jobs);
+    body.emplace_back("tasks_waiting", cluster_summary.tasks_waiting);
+    body.emplace_back("tasks_placed", cluster_summary.tasks_placed);
+    body.emplace_back("machines_up", cluster_summary.machines_up);
+    body.emplace_back("machines_booting", cluster_summary.machines_booting);
+    body.emplace_back("machines_leaving", cluster_summary.machines_leaving);
+    body.emplace_back("unwritten", cluster_summary.unwritten);
+    body.emplace_back("unwritten_oldest_ms", count_ms(cluster_summary.unwritten_oldest));
     body.emplace_back("writes", done.writes);
     body.emplace_back("writes_failed", done.writes_failed);
     body.emplace_back("passes", done.passes);
@@ -124,7 +124,7 @@
   if (!wire::is_job_id(job)) return error_response(404, "no such job");
   {
     const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
-    if (context.control_state.controller.leading()) {
+    if (context.control_state.controller.is_leader()) {
       const auto why = context.control_state.controller.explain(JobId(job), now());
       if (!why) return error_response(404, "no such job is known to the leader");
       return {.status = 200, .body = wire::encode(wire::Value::Map{{"id", job}, {"plan", *why}}), .retry_after_s = {}};
--- a/src/node/peer_prober.cpp
+++ b/src/node/peer_prober.cpp
@@ -26,7 +26,7 @@
 PeerProber::PeerProber(Context& context) : context_(context) {
   for (const config::Sibling& sibling : context.settings.siblings) {
     if (const auto address = net::parse_address(sibling.endpoint)) {
-      siblings_.push_back({.name = sibling.name, .client = {*address, constants::kPeerCallLimit}});
+      siblings_.push_back({.name = sibling.name, .client = {*address, constants::kPeerCallTimeout}});
     }
   }
 }
@@ -34,7 +34,7 @@
 void PeerProber::ask(Link& sibling) {
   const plan::Instant asked = now();
   const auto answer = sibling.client.call({.method = "GET", .path = "/lead", .body = {}},
-                                          net::Clock::now() + constants::kPeerCallLimit);
+                                          net::Clock::now() + constants::kPeerCallTimeout);
   if (!answer || answer->status != 200) return;
   state::TermRecord word;
   std::optional<health::StateContact> contact;
@@ -52,12 +52,12 @@
   }
   if (word.leader.empty() || !context_.observe_leader(word.leader, word.term)) return;
   const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
-  context_.control_state.controller.hear_of(word.term);
+  context_.control_state.controller.observe_term(word.term);
 }
 
 void PeerProber::run(const std::stop_token& stop) {
-  while (sleep_unless_stopped(stop, constants::kPeerEvery)) {
-    if (context_.store_silent_for() < constants::kPeerSilence) continue;
+  while (sleep_unless_stopped(stop, constants::kPeerProbeInterval)) {
+    if (context_.store_silent_for() < constants::kPeerSilenceTimeout) continue;
     for (Link& sibling : siblings_) ask(sibling);
   }
 }
--- a/src/node/priority_mutex.h
+++ b/src/node/priority_mutex.h
@@ -13,7 +13,7 @@
 namespace foxshunt::node {
 
 // In the order in which they matter when a node is behind.
-enum class LockPriority : std::uint8_t { lease, reports, records, writes, cloud, scheduling, metrics };
+enum class LockPriority : std::uint8_t { lease, heartbeats, records, writes, cloud, scheduling, metrics };
 inline constexpr std::size_t kLockPriorities = 7;
 
 class PriorityMutex {
