--- a/src/node/queue_requests.cpp
+++ b/src/node/queue_requests.cpp
@@ -28,13 +28,13 @@
   }
   SharedRecords& shared = context.shared;
   const std::lock_guard lock(shared.mutex);
-  if (!shared.ledger.whole()) return retry_later("the records are not known yet");
+  if (!shared.record_cache.whole()) return retry_later("the records are not known yet");
   const std::shared_ptr<const catalog::Set> in_force = shared.catalog.in_force();
   const catalog::Set& set = *in_force;
   const classes::Table table(set);
   const classes::Basis basis{.version = set.version,
                              .catalog_revision = set.revision,
-                             .revision = shared.ledger.revision(),
+                             .revision = shared.record_cache.revision(),
                              .step = shared.steps.at(wall_ms())};
   const auto ranks =
       classes::rank(classes::candidates_of(shared.jobs, slack_of(shared)), table, context.settings.teams, basis.step);
--- a/src/node/rate_limited_log.h
+++ b/src/node/rate_limited_log.h
@@ -13,7 +13,7 @@
  public:
   [[nodiscard]] bool should_log(std::chrono::steady_clock::time_point now) {
     if (next_at_ && now < *next_at_) return false;
-    next_at_ = now + constants::kWarnEvery;
+    next_at_ = now + constants::kWarningInterval;
     return true;
   }
 
--- a/src/node/record_controller_loop.cpp
+++ b/src/node/record_controller_loop.cpp
@@ -13,15 +13,15 @@
 using kv::Answer;
 
 RecordControllerLoop::RecordControllerLoop(Context& context)
-    : context_(context), client_(context.state_address, context.budget, kv::Urgency::user) {}
+    : context_(context), client_(context.state_address, context.rate_limiter, kv::Urgency::user) {}
 
 void RecordControllerLoop::run(const std::stop_token& stop) {
   while (context_.wait_until_leader(stop)) {
     read_ends();
     tell_plan();
     tell_types();
-    while (!stop.stop_requested() && write_one()) sleep_unless_stopped(stop, constants::kKeepPause);
-    context_.wakeups.record_controllers.wait(stop, constants::kKeepEvery);
+    while (!stop.stop_requested() && write_one()) sleep_unless_stopped(stop, constants::kRecordControllerRetryBackoff);
+    context_.wakeups.record_controllers.wait(stop, constants::kRecordControllerInterval);
   }
 }
 
@@ -60,38 +60,38 @@
     if (shared.calendar.occurrences().empty()) return;
   }
   const calendar::Both moment{.at = now(), .wall_ms = wall_ms()};
-  foresight::Dues dues;
+  foresight::DueJobs dues;
   {
     const std::lock_guard lock(shared.mutex);
     dues = calendar::dues_of(shared.calendar, moment);
   }
   std::map<JobId, plan::Instant> ends;
-  std::map<JobId, foresight::Prospect> prospects;
+  std::map<JobId, foresight::DeadlineForecast> deadline_forecasts;
   {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
-    context_.control_state.controller.on_dues(std::move(dues));
+    context_.control_state.controller.on_due_jobs(std::move(dues));
     if (context_.control_state.controller.planning()) return;
     ends = context_.control_state.controller.planned_ends();
-    prospects = context_.control_state.controller.prospects(moment.at);
+    deadline_forecasts = context_.control_state.controller.deadline_forecasts(moment.at);
   }
   const std::lock_guard lock(shared.mutex);
-  shared.calendar.planned(calendar::plans_of(ends, prospects, moment));
+  shared.calendar.planned(calendar::plans_of(ends, deadline_forecasts, moment));
 }
 
 bool RecordControllerLoop::write_one() {
-  Revision term_mark;
+  Revision term_revision;
   {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
-    if (!context_.control_state.controller.may_start(now())) return false;
-    term_mark = context_.control_state.controller.term_mark();
+    if (!context_.control_state.controller.can_start_tasks(now())) return false;
+    term_revision = context_.control_state.controller.term_revision();
   }
   SharedRecords& shared = context_.shared;
-  ledger::Keeper* keeper = nullptr;
+  record_cache::RecordController* keeper = nullptr;
   std::optional<kv::Txn> txn;
   {
     const std::lock_guard lock(shared.mutex);
-    if (!shared.ledger.whole() || shared.ledger.revision() < term_mark) return false;
-    for (ledger::Keeper* one : shared.keepers) {
+    if (!shared.record_cache.whole() || shared.record_cache.revision() < term_revision) return false;
+    for (record_cache::RecordController* one : shared.keepers) {
       txn = one->next_write(shared.jobs, moment(), context_.settings.state_txn_ops);
       keeper = one;
       if (txn) break;
@@ -99,12 +99,12 @@
   }
   if (!txn) return false;
   kv::Txn guarded = *txn;
-  guarded.conditions.push_back({.key = state::kTermKey, .mark = term_mark});
+  guarded.preconditions.push_back({.key = state::kTermKey, .revision = term_revision});
   const kv::TxnResult result = client_.txn(guarded, store_call_deadline());
   if (result.answer == Answer::conflict &&
       std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
-    context_.control_state.controller.on_term_conflict(term_mark);
+    context_.control_state.controller.on_term_conflict(term_revision);
   }
   const std::lock_guard lock(shared.mutex);
   keeper->on_written(*txn, result);
--- a/src/node/record_watcher.cpp
+++ b/src/node/record_watcher.cpp
@@ -9,32 +9,32 @@
 using kv::Answer;
 
 RecordWatcher::RecordWatcher(Context& context)
-    : context_(context), client_(context.state_address, context.budget, kv::Urgency::duty) {}
+    : context_(context), client_(context.state_address, context.rate_limiter, kv::Urgency::duty) {}
 
 void RecordWatcher::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     Revision from;
     Term term;
-    bool leading = false;
+    bool is_leader = false;
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::records));
-      leading = context_.control_state.controller.leading();
-      from = context_.control_state.follow_from;
+      is_leader = context_.control_state.controller.is_leader();
+      from = context_.control_state.watch_from;
       term = context_.control_state.controller.term();
     }
-    if (!leading) {
+    if (!is_leader) {
       if (!context_.wait_until_leader(stop)) return;
       continue;
     }
     const plan::Instant sent = now();
-    const kv::FollowResult news = client_.follow(state::kLivePrefix, from, constants::kFollowHold,
-                                                 store_call_deadline() + constants::kFollowHold);
+    const kv::WatchResult news = client_.watch(state::kActiveJobPrefix, from, constants::kWatchHoldTimeout,
+                                               store_call_deadline() + constants::kWatchHoldTimeout);
     if (news.answer == Answer::too_old) {
       reload(stop, term);
       continue;
     }
     if (news.answer != Answer::ok) {
-      sleep_unless_stopped(stop, constants::kStateRetryPause);
+      sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
       continue;
     }
     context_.on_store_answered();
@@ -42,18 +42,18 @@
     const std::int64_t wall = wall_ms();
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::records));
-      if (!context_.control_state.controller.leading() || context_.control_state.controller.term() != term) continue;
+      if (!context_.control_state.controller.is_leader() || context_.control_state.controller.term() != term) continue;
       for (const kv::Event& event : news.events) {
         const auto id = state::job_of_key(event.key);
         if (!id) continue;
         if (event.data) {
-          context_.control_state.controller.on_job_record(*id, *event.data, event.mark, wall, at);
+          context_.control_state.controller.on_job_record(*id, *event.data, event.revision, wall, at);
         } else {
           context_.control_state.controller.on_job_removed(*id, at);
         }
       }
-      context_.control_state.controller.confirm_reading(sent);
-      context_.control_state.follow_from = news.revision;
+      context_.control_state.controller.on_records_confirmed(sent);
+      context_.control_state.watch_from = news.revision;
     }
     if (!news.events.empty()) {
       context_.wakeups.scheduler.signal();
@@ -65,17 +65,17 @@
 // The watch is too far behind: what is there now is compared with what is known.
 void RecordWatcher::reload(const std::stop_token& stop, Term term) {
   const plan::Instant sent = now();
-  const kv::ListResult live = client_.list(state::kLivePrefix, constants::kStateCallLimit);
+  const kv::ListResult live = client_.list(state::kActiveJobPrefix, constants::kStoreCallTimeout);
   if (live.answer != Answer::ok) {
-    sleep_unless_stopped(stop, constants::kStateRetryPause);
+    sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
     return;
   }
   const plan::Instant at = now();
   const std::int64_t wall = wall_ms();
   const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::records));
   if (!context_.control_state.controller.on_job_list(term, live.entries, wall, at)) return;
-  context_.control_state.controller.confirm_reading(sent);
-  context_.control_state.follow_from = live.revision;
+  context_.control_state.controller.on_records_confirmed(sent);
+  context_.control_state.watch_from = live.revision;
   context_.wakeups.scheduler.signal();
 }
 
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -9,7 +9,7 @@
 using kv::Answer;
 
 RecordWriter::RecordWriter(Context& context)
-    : context_(context), client_(context.state_address, context.budget, kv::Urgency::duty) {}
+    : context_(context), client_(context.state_address, context.rate_limiter, kv::Urgency::duty) {}
 
 void RecordWriter::reload_jobs() {
   while (true) {
@@ -23,7 +23,7 @@
     if (!is_answered(found.answer)) return;
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::writes));
     context_.control_state.controller.on_reloaded(
-        *reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt, now());
+        *reload, found.answer == Answer::ok ? std::optional(found.entry.revision) : std::nullopt, now());
   }
 }
 
@@ -36,8 +36,8 @@
       batch = context_.control_state.controller.begin_write(now());
     }
     if (!batch) {
-      if (context_.wakeups.record_writer.wait(stop, constants::kWriteLook))
-        sleep_unless_stopped(stop, constants::kWritePause);
+      if (context_.wakeups.record_writer.wait(stop, constants::kWriteCheckInterval))
+        sleep_unless_stopped(stop, constants::kWriteBatchDelay);
       continue;
     }
     const kv::TxnResult result = client_.txn(batch->txn, store_call_deadline());
@@ -47,7 +47,7 @@
       context_.control_state.controller.end_write(*batch, result, now());
     }
     context_.control_state.progress_made.notify_all();
-    if (!is_answered(result.answer)) sleep_unless_stopped(stop, constants::kStateRetryPause);
+    if (!is_answered(result.answer)) sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
   }
 }
 
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -11,8 +11,8 @@
 using net::HttpResponse;
 
 RequestHandler::RequestHandler(Context& context)
-    : context_(context), clients_(constants::kFrontClients, [&context] {
-        return std::make_unique<kv::Client>(context.state_address, context.budget, kv::Urgency::user);
+    : context_(context), clients_(constants::kMaxUserRequestStoreClients, [&context] {
+        return std::make_unique<kv::Client>(context.state_address, context.rate_limiter, kv::Urgency::user);
       }) {}
 
 user_api::Known RequestHandler::known() {
@@ -21,7 +21,7 @@
 }
 
 HttpResponse RequestHandler::serve(user_api::Request request) {
-  const net::Deadline until = net::Clock::now() + constants::kFrontCallLimit;
+  const net::Deadline until = net::Clock::now() + constants::kUserRequestStoreTimeout;
   if (const auto* reply = request.reply()) return http(*reply);
   const Clients::Lease lease(clients_);
   if (lease.get() == nullptr) return retry_later("too many requests under way");
--- a/src/node/scheduler_loop.cpp
+++ b/src/node/scheduler_loop.cpp
@@ -13,33 +13,33 @@
 
 void SchedulerLoop::run(const std::stop_token& stop) {
   while (context_.wait_until_leader(stop)) {
-    context_.wakeups.scheduler.wait(stop, constants::kHousekeepEvery);
+    context_.wakeups.scheduler.wait(stop, constants::kHousekeepingInterval);
     bool wanted = false;
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::scheduling));
       context_.control_state.controller.tick(now());
       wanted = context_.control_state.controller.plan_wanted();
-      if (!context_.control_state.controller.leading()) context_.wakeups.leader_elector.signal();
+      if (!context_.control_state.controller.is_leader()) context_.wakeups.leader_elector.signal();
     }
     // Reports, records and the lease take their turn between portions.
     const auto began = net::Clock::now();
     for (bool ended = !wanted; !ended && !stop.stop_requested();) {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::scheduling));
-      ended = context_.control_state.controller.plan_some(now(), constants::kPlacesPerPortion);
+      ended = context_.control_state.controller.plan_portion(now(), constants::kMaxPlacesPerPortion);
     }
     bool writes = false;
     bool cloud = false;
-    bool halts = false;
+    bool direct_stops = false;
     bool placed = false;
-    control::Census census;
+    control::ClusterSummary cluster_summary;
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::scheduling));
       writes = context_.control_state.controller.writes_wanted();
       cloud = context_.control_state.controller.cloud_wanted();
-      std::ranges::move(context_.control_state.controller.due_halts(now()),
-                        std::back_inserter(context_.control_state.halts));
-      halts = !context_.control_state.halts.empty();
-      if (wanted) census = context_.control_state.controller.census(now());
+      std::ranges::move(context_.control_state.controller.due_direct_stops(now()),
+                        std::back_inserter(context_.control_state.direct_stops));
+      direct_stops = !context_.control_state.direct_stops.empty();
+      if (wanted) cluster_summary = context_.control_state.controller.cluster_summary(now());
       placed = context_.control_state.controller.counters().placed > 0;
     }
     if (wanted) {
@@ -47,21 +47,21 @@
       if (placed) context_.standby.on_phase_reached(standby::Phase::placed);
     }
     context_.standby.log_takeover();
-    if (census.unwritten_oldest > constants::kBehind && late_write_.should_log(net::Clock::now())) {
-      spdlog::warn("writes_behind records={} oldest_s={:.1f}", census.unwritten,
-                   control::to_seconds(census.unwritten_oldest));
+    if (cluster_summary.unwritten_oldest > constants::kBehindThreshold && late_write_.should_log(net::Clock::now())) {
+      spdlog::warn("writes_behind records={} oldest_s={:.1f}", cluster_summary.unwritten,
+                   control::to_seconds(cluster_summary.unwritten_oldest));
     }
     if (writes) context_.wakeups.record_writer.signal();
     if (cloud) context_.wakeups.cloud_loop.signal();
-    if (halts) context_.wakeups.stop_sender.signal();
+    if (direct_stops) context_.wakeups.stop_sender.signal();
     if (!wanted) continue;
     const auto ended_at = net::Clock::now();
     context_.metrics.planned(ended_at - began);
-    if (ended_at - began > constants::kBehind && late_pass_.should_log(ended_at)) {
+    if (ended_at - began > constants::kBehindThreshold && late_pass_.should_log(ended_at)) {
       spdlog::warn("planning_behind pass_s={:.1f}", std::chrono::duration<double>(ended_at - began).count());
     }
     context_.control_state.progress_made.notify_all();
-    sleep_unless_stopped(stop, constants::kPlanPause);
+    sleep_unless_stopped(stop, constants::kMinPassInterval);
   }
 }
 
--- a/src/node/shared_records.cpp
+++ b/src/node/shared_records.cpp
@@ -11,48 +11,55 @@
 
 // `lead/` is kept so that the revision of a term comes by the same watch. `over/` grows for ever and is not.
 std::vector<std::string> kept_prefixes() {
-  return {state::kLivePrefix, state::kLingerPrefix,  state::kPartPrefix, state::kLeadPrefix,
-          catalog::kHeadKey,  catalog::kStagePrefix, "calendar/",        "pool/",
+  return {state::kActiveJobPrefix,
+          state::kTerminatingJobPrefix,
+          state::kJobShardPrefix,
+          state::kLeadershipPrefix,
+          catalog::kHeadKey,
+          catalog::kStagePrefix,
+          "calendar/",
+          "pool/",
           "account/"};
 }
 
-ledger::Moment moment() { return {.wall_ms = wall_ms(), .steady = net::Clock::now()}; }
+record_cache::Moment moment() { return {.wall_ms = wall_ms(), .steady = net::Clock::now()}; }
 
 SharedRecords::SharedRecords(const config::Settings& settings)
-    : ledger(kept_prefixes()),
-      catalog_founder(founding_of(settings), catalog_write_limits_of(settings)),
+    : record_cache(kept_prefixes()),
+      catalog_founder(bootstrap_catalog_of(settings), catalog_write_limits_of(settings)),
       calendar([this] { return catalog.in_force(); },
                {.value_bytes = static_cast<std::size_t>(settings.state_value_kb * 1024),
                 .skew_ms = static_cast<std::int64_t>(settings.skew_ms)}) {
-  ledger.add_reader(jobs);
-  ledger.add_reader(comparison);
-  ledger.add_reader(catalog);
-  ledger.add_reader(catalog_sweeper);
-  ledger.add_reader(catalog_founder);
-  ledger.add_reader(calendar);
+  record_cache.add_reader(jobs);
+  record_cache.add_reader(cache_verifier);
+  record_cache.add_reader(catalog);
+  record_cache.add_reader(catalog_sweeper);
+  record_cache.add_reader(catalog_founder);
+  record_cache.add_reader(calendar);
   keepers.push_back(&catalog_founder);
   keepers.push_back(&catalog_sweeper);
   keepers.push_back(&calendar);
 }
 
-std::optional<SharedRecords::Snapshot> SharedRecords::picture(Revision least, net::Deadline until) {
+std::optional<SharedRecords::Snapshot> SharedRecords::snapshot(Revision least, net::Deadline until) {
   std::unique_lock lock(mutex);
-  if (!moved.wait_until(lock, until, [&] { return ledger.whole() && ledger.revision() >= least; })) {
+  if (!moved.wait_until(lock, until, [&] { return record_cache.whole() && record_cache.revision() >= least; })) {
     return std::nullopt;
   }
-  Snapshot picture{.live = {}, .linger = {}, .parts = {}, .term = {}, .revision = ledger.revision()};
-  if (const ledger::Record* record = ledger.find(state::kTermKey)) {
-    picture.term = kv::Entry{.key = state::kTermKey, .data = record->data, .mark = record->mark};
+  Snapshot snapshot{
+      .active_jobs = {}, .terminating_jobs = {}, .shards = {}, .term = {}, .revision = record_cache.revision()};
+  if (const record_cache::Record* record = record_cache.find(state::kTermKey)) {
+    snapshot.term = kv::Entry{.key = state::kTermKey, .data = record->data, .revision = record->revision};
   }
   const auto copy = [this](const char* prefix, std::vector<kv::Entry>& into) {
-    ledger.each(prefix, [&into](const std::string& key, const ledger::Record& record) {
-      into.push_back({.key = key, .data = record.data, .mark = record.mark});
+    record_cache.each(prefix, [&into](const std::string& key, const record_cache::Record& record) {
+      into.push_back({.key = key, .data = record.data, .revision = record.revision});
     });
   };
-  copy(state::kLivePrefix, picture.live);
-  copy(state::kLingerPrefix, picture.linger);
-  copy(state::kPartPrefix, picture.parts);
-  return picture;
+  copy(state::kActiveJobPrefix, snapshot.active_jobs);
+  copy(state::kTerminatingJobPrefix, snapshot.terminating_jobs);
+  copy(state::kJobShardPrefix, snapshot.shards);
+  return snapshot;
 }
 
 std::map<JobId, int> slack_of(const SharedRecords& shared) {
--- a/src/node/shared_records.h
+++ b/src/node/shared_records.h
@@ -33,16 +33,16 @@
 
   std::mutex mutex;
   std::condition_variable_any moved;  // the ledger has heard of something
-  ledger::Ledger ledger;
-  ledger::Jobs jobs;
-  ledger::Comparison comparison;
-  catalog::Book catalog;
-  catalog::Sweeper catalog_sweeper;
-  catalog::Founder catalog_founder;
-  calendar::Keeper calendar;
+  record_cache::RecordCache record_cache;
+  record_cache::Jobs jobs;
+  record_cache::CacheVerifier cache_verifier;
+  catalog::CatalogView catalog;
+  catalog::CatalogGarbageCollector catalog_sweeper;
+  catalog::CatalogBootstrapper catalog_founder;
+  calendar::DeadlineController calendar;
   std::shared_ptr<const catalog::Set> told = catalog.in_force();  // to the controller
   classes::StepClock steps;
-  std::vector<ledger::Keeper*> keepers;  // which write while this node leads; asked in this order
+  std::vector<record_cache::RecordController*> keepers;  // which write while this node leads; asked in this order
 
   // Figures for operators.
   std::uint64_t cold_reads = 0;
@@ -52,13 +52,13 @@
   // The records of the prefixes as of one revision, not before `least`; nothing when the ledger does not come so far by
   // the deadline. A new leader asks with the revision of its term: no older leader's write can come after that.
   struct Snapshot {
-    std::vector<kv::Entry> live;
-    std::vector<kv::Entry> linger;
-    std::vector<kv::Entry> parts;
+    std::vector<kv::Entry> active_jobs;
+    std::vector<kv::Entry> terminating_jobs;
+    std::vector<kv::Entry> shards;
     std::optional<kv::Entry> term;  // the term's own record, as of then
     Revision revision;
   };
-  [[nodiscard]] std::optional<Snapshot> picture(Revision least, net::Deadline until);
+  [[nodiscard]] std::optional<Snapshot> snapshot(Revision least, net::Deadline until);
 };
 
 // What the calendar's records leave each job until its deadline there, in steps; with the mutex held.
@@ -68,6 +68,6 @@
 [[nodiscard]] std::vector<std::string> kept_prefixes();
 
 // The time by both clocks, as the ledger's keepers take it.
-[[nodiscard]] ledger::Moment moment();
+[[nodiscard]] record_cache::Moment moment();
 
 }  // namespace foxshunt::node
--- a/src/node/standby_requests.cpp
+++ b/src/node/standby_requests.cpp
@@ -16,11 +16,11 @@
   for (auto& entry : context.standby.status()) body.push_back(std::move(entry));
   if (context.settings.operators.shared_records) {
     const std::lock_guard lock(context.shared.mutex);
-    body.emplace_back("records_whole", context.shared.ledger.whole());
-    body.emplace_back("records_revision", context.shared.ledger.revision().number());
+    body.emplace_back("records_whole", context.shared.record_cache.whole());
+    body.emplace_back("records_revision", context.shared.record_cache.revision().number());
   }
   const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
-  body.emplace_back("leads", context.control_state.controller.leading());
+  body.emplace_back("leads", context.control_state.controller.is_leader());
   return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
 }
 
--- a/src/node/standby_state.cpp
+++ b/src/node/standby_state.cpp
@@ -28,8 +28,8 @@
 StandbyState::StandbyState(const config::Settings& settings)
     : is_enabled_(settings.operators.standby),
       has_no_siblings_(settings.siblings.empty()),
-      teller_(std::max<std::uint64_t>(1, fresh_life())),
-      listener_(settings.name) {}
+      publisher_(std::max<std::uint64_t>(1, fresh_life())),
+      subscriber_(settings.name) {}
 
 // ---- takeovers ----
 
@@ -45,17 +45,17 @@
   phases_.noticed(at);
 }
 
-std::optional<standby::Picture> StandbyState::take_snapshot(plan::Instant at) {
+std::optional<standby::SoftStateSnapshot> StandbyState::take_snapshot(plan::Instant at) {
   if (!is_enabled_) return std::nullopt;
   const std::lock_guard lock(mutex_);
-  return listener_.picture(at);
+  return subscriber_.snapshot(at);
 }
 
 void StandbyState::on_leadership_acquired(Term term, plan::Instant took, plan::Instant knew,
-                                          const std::optional<standby::Picture>& hints) {
+                                          const std::optional<standby::SoftStateSnapshot>& hints) {
   const std::lock_guard lock(mutex_);
   phases_.led(term, took, knew, hints ? std::optional(hints->starts_s) : std::nullopt);
-  if (hints) phases_.hinted(hints->facts.size(), hints->starts_s);
+  if (hints) phases_.hinted(hints->entries.size(), hints->starts_s);
   soft_state_wanted_until_.reset();
   // Before the first term nobody knew anything.
   if (is_enabled_ && !has_no_siblings_ && !hints && term.number() > 1)
@@ -68,9 +68,9 @@
   if (!is_enabled_ || has_no_siblings_ || term == Term{}) return false;
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
-  const auto age = listener_.age(at);
+  const auto age = subscriber_.age(at);
   if (records_whole && age && *age <= constants::kStandbyStale) return false;
-  if (yielded_ && at - *yielded_ < constants::kLeaderLease) return false;
+  if (yielded_ && at - *yielded_ < constants::kLeaderLeaseTtl) return false;
   yielded_ = at;
   ++yields_;
   spdlog::info("leadership_yielded records={} snapshot_age_s={:.1f}", records_whole ? "known" : "unknown",
@@ -106,9 +106,9 @@
 
 std::optional<net::HttpResponse> StandbyState::answer(Context& context, const std::string& body) {
   if (!is_enabled_) return std::nullopt;
-  standby::Ask ask;
+  standby::SnapshotRequest ask;
   try {
-    ask = standby::ask_from(wire::decode(body));
+    ask = standby::snapshot_request_from(wire::decode(body));
   } catch (const wire::Malformed& error) {
     const std::lock_guard lock(mutex_);
     if (warning_log_.should_log(net::Clock::now()))
@@ -121,32 +121,32 @@
     const std::lock_guard lock(mutex_);
     // What it tells before it has its own hints would replace better ones that siblings hold.
     if (soft_state_wanted_until_ && at < *soft_state_wanted_until_) return retry_later("it has just begun to lead");
-    look = teller_.wants_picture(at);
+    look = publisher_.wants_snapshot(at);
   }
-  std::optional<standby::Picture> picture;
+  std::optional<standby::SoftStateSnapshot> snapshot;
   if (look) {
     const std::lock_guard lock(context.control_state.mutex.handle(LockPriority::metrics));
-    if (context.control_state.controller.leading()) picture = context.control_state.controller.soft_state(at);
+    if (context.control_state.controller.is_leader()) snapshot = context.control_state.controller.soft_state(at);
   }
-  std::optional<standby::Word> word;
+  std::optional<standby::Message> word;
   {
     const std::lock_guard lock(mutex_);
-    if (picture) {
-      picture->starts_s = phases_.starts_s(at);
+    if (snapshot) {
+      snapshot->starts_s = phases_.starts_s(at);
     } else if (look) {
-      picture = listener_.picture(at);
+      snapshot = subscriber_.snapshot(at);
     }
-    if (picture) teller_.show(std::move(*picture));
-    word = teller_.tell(ask, now());
+    if (snapshot) publisher_.show(std::move(*snapshot));
+    word = publisher_.tell(ask, now());
   }
   if (!word) return retry_later("there is nothing to tell now");
   return net::HttpResponse{.status = 200, .body = wire::encode(standby::to_value(*word)), .retry_after_s = {}};
 }
 
-standby::Ask StandbyState::next_ask(const NodeName& of, std::optional<Term> least) {
+standby::SnapshotRequest StandbyState::next_request(const NodeName& of, std::optional<Term> least) {
   const std::lock_guard lock(mutex_);
-  if (least) listener_.hear_of(*least);
-  return listener_.next_ask(of);
+  if (least) subscriber_.observe_term(*least);
+  return subscriber_.next_request(of);
 }
 
 bool StandbyState::on_answer(const NodeName& of, const net::HttpResponse& answer) {
@@ -157,8 +157,8 @@
     ++unanswered_;
     return false;
   }
-  const auto why = listener_.on_answer(answer.body, at);
-  if (!why) return !listener_.caught_up();
+  const auto why = subscriber_.on_answer(answer.body, at);
+  if (!why) return !subscriber_.caught_up();
   last_refusal_ = *why;
   if (warning_log_.should_log(net::Clock::now())) {
     spdlog::warn("standby_message_refused from={} error=\"{}\"", of.text(), *why);
@@ -168,13 +168,13 @@
 
 bool StandbyState::is_caught_up() {
   const std::lock_guard lock(mutex_);
-  return listener_.caught_up();
+  return subscriber_.caught_up();
 }
 
 bool StandbyState::has_snapshot() {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
-  return listener_.picture(at).has_value();
+  return subscriber_.snapshot(at).has_value();
 }
 
 bool StandbyState::wants_soft_state() {
@@ -183,25 +183,25 @@
   return soft_state_wanted_until_ && at < *soft_state_wanted_until_;
 }
 
-void StandbyState::on_soft_state_applied(const standby::Picture& picture) {
+void StandbyState::on_soft_state_applied(const standby::SoftStateSnapshot& snapshot) {
   const std::lock_guard lock(mutex_);
   soft_state_wanted_until_.reset();
-  phases_.hinted(picture.facts.size(), picture.starts_s);
+  phases_.hinted(snapshot.entries.size(), snapshot.starts_s);
 }
 
 Value::Map StandbyState::status() {
   const plan::Instant at = now();
   const std::lock_guard lock(mutex_);
-  const auto age = listener_.age(at);
-  const standby::Listener::Counts& heard = listener_.counts();
-  const standby::Teller::Counts& told = teller_.counts();
+  const auto age = subscriber_.age(at);
+  const standby::Subscriber::Counts& heard = subscriber_.counts();
+  const standby::Publisher::Counts& told = publisher_.counts();
   Value::Map body{{"on", is_enabled_},
-                  {"holds", listener_.holds()},
-                  {"caught_up", listener_.caught_up()},
+                  {"holds", subscriber_.holds()},
+                  {"caught_up", subscriber_.caught_up()},
                   {"age_ms", age ? count_ms(*age) : 0},
-                  {"term_held", listener_.term().number()},
-                  {"sequence", listener_.sequence()},
-                  {"facts", std::uint64_t{listener_.facts()}},
+                  {"term_held", subscriber_.term().number()},
+                  {"sequence", subscriber_.sequence()},
+                  {"facts", std::uint64_t{subscriber_.entries()}},
                   {"words", heard.words},
                   {"word_bytes", heard.bytes},
                   {"refused", heard.refused},
@@ -209,7 +209,7 @@
                   {"unanswered", unanswered_},
                   {"trouble", last_refusal_},
                   {"told_words", told.words},
-                  {"told_facts", told.facts},
+                  {"told_facts", told.entries},
                   {"told_wholes", told.wholes},
                   {"put_off", told.put_off},
                   {"yields", yields_},
--- a/src/node/standby_state.h
+++ b/src/node/standby_state.h
@@ -29,9 +29,9 @@
   void on_leader_seen();
   void on_leadership_free();
   // This node has begun to lead: what it holds of the leader before, if that is not too old.
-  [[nodiscard]] std::optional<standby::Picture> take_snapshot(plan::Instant at);
+  [[nodiscard]] std::optional<standby::SoftStateSnapshot> take_snapshot(plan::Instant at);
   void on_leadership_acquired(Term term, plan::Instant took, plan::Instant knew,
-                              const std::optional<standby::Picture>& hints);
+                              const std::optional<standby::SoftStateSnapshot>& hints);
   // Whether it should let a sibling take the lead first, as it knows less than one that has listened: once for each time
   // that the lead is free, so that it is never without a leader for it.
   [[nodiscard]] bool should_yield(bool records_whole, Term term);
@@ -42,14 +42,14 @@
 
   // ---- words ----
   [[nodiscard]] std::optional<net::HttpResponse> answer(Context& context, const std::string& body);
-  [[nodiscard]] standby::Ask next_ask(const NodeName& of, std::optional<Term> least);
+  [[nodiscard]] standby::SnapshotRequest next_request(const NodeName& of, std::optional<Term> least);
   // Whether there is more to ask for at once.
   bool on_answer(const NodeName& of, const net::HttpResponse& answer);
   [[nodiscard]] bool is_caught_up();
   [[nodiscard]] bool has_snapshot();
   // While a new leader has no hints: whether siblings may still have some.
   [[nodiscard]] bool wants_soft_state();
-  void on_soft_state_applied(const standby::Picture& picture);
+  void on_soft_state_applied(const standby::SoftStateSnapshot& snapshot);
 
   [[nodiscard]] wire::Value::Map status();
 
@@ -57,9 +57,9 @@
   const bool is_enabled_;
   const bool has_no_siblings_;
   std::mutex mutex_;  // taken after the controller's if both are
-  standby::Teller teller_;
-  standby::Listener listener_;
-  standby::Phases phases_;
+  standby::Publisher publisher_;
+  standby::Subscriber subscriber_;
+  standby::FailoverTimeline phases_;
   std::atomic<bool> is_watching_failover_{false};
   std::optional<plan::Instant> soft_state_wanted_until_;
   std::optional<plan::Instant> yielded_;
--- a/src/node/standby_subscriber.cpp
+++ b/src/node/standby_subscriber.cpp
@@ -8,7 +8,7 @@
 StandbySubscriber::StandbySubscriber(Context& context) : context_(context) {
   for (const config::Sibling& sibling : context.settings.siblings) {
     if (const auto address = net::parse_address(sibling.endpoint)) {
-      siblings_.try_emplace(sibling.name, *address, constants::kPeerCallLimit);
+      siblings_.try_emplace(sibling.name, *address, constants::kPeerCallTimeout);
     }
   }
 }
@@ -17,14 +17,14 @@
   const auto link = siblings_.find(sibling);
   if (link == siblings_.end()) return false;
   while (!stop.stop_requested()) {
-    const standby::Ask ask = context_.standby.next_ask(sibling, least);
+    const standby::SnapshotRequest ask = context_.standby.next_request(sibling, least);
     const auto answer =
         link->second.call({.method = "POST", .path = "/standby", .body = wire::encode(standby::to_value(ask))},
-                          net::Clock::now() + constants::kStandbyCallLimit);
+                          net::Clock::now() + constants::kStandbyCallTimeout);
     if (!answer) return false;
     if (answer->status == 200 && least) context_.standby.on_leader_seen();
     if (!context_.standby.on_answer(sibling, *answer)) return answer->status == 200 && context_.standby.is_caught_up();
-    sleep_unless_stopped(stop, constants::kStandbyMorePause);
+    sleep_unless_stopped(stop, constants::kStandbyNextPageDelay);
   }
   return false;
 }
@@ -33,15 +33,15 @@
   for (const auto& [sibling, unused] : siblings_) {
     if (!ask(sibling, {}, stop)) continue;
     const plan::Instant at = now();
-    const auto picture = context_.standby.take_snapshot(at);
-    if (!picture) continue;
+    const auto snapshot = context_.standby.take_snapshot(at);
+    if (!snapshot) continue;
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
-      if (!context_.control_state.controller.leading() || picture->term >= context_.control_state.controller.term())
+      if (!context_.control_state.controller.is_leader() || snapshot->term >= context_.control_state.controller.term())
         continue;
-      context_.control_state.controller.hint(*picture, at);
+      context_.control_state.controller.apply_soft_state(*snapshot, at);
     }
-    context_.standby.on_soft_state_applied(*picture);
+    context_.standby.on_soft_state_applied(*snapshot);
     context_.wakeups.scheduler.signal();
     return;
   }
@@ -60,7 +60,7 @@
         if (ask(sibling, {}, stop)) break;
       }
     }
-    context_.wakeups.standby_subscriber.wait(stop, constants::kStandbyEvery);
+    context_.wakeups.standby_subscriber.wait(stop, constants::kStandbyInterval);
   }
 }
 
--- a/src/node/stop_sender.h
+++ b/src/node/stop_sender.h
@@ -12,7 +12,7 @@
   void run(const std::stop_token& stop);
 
  private:
-  void send(const control::DirectHalt& halt);
+  void send(const control::DirectStop& direct_stop);
   Context& context_;
 };
 
--- a/src/node/store_calls.h
+++ b/src/node/store_calls.h
@@ -7,7 +7,7 @@
 
 namespace foxshunt::node {
 
-inline net::Deadline store_call_deadline() { return net::Clock::now() + constants::kStateCallLimit; }
+inline net::Deadline store_call_deadline() { return net::Clock::now() + constants::kStoreCallTimeout; }
 
 inline bool is_answered(kv::Answer answer) {
   return answer == kv::Answer::ok || answer == kv::Answer::not_found || answer == kv::Answer::conflict;
--- a/src/node/warm_pool_loop.cpp
+++ b/src/node/warm_pool_loop.cpp
@@ -15,14 +15,14 @@
       keeper_(std::move(open_now),
               static_cast<std::size_t>(context.settings.state_value_kb * 1024) - constants::kRecordSpareBytes) {
   const std::lock_guard lock(context_.shared.mutex);
-  context_.shared.ledger.add_reader(keeper_);
+  context_.shared.record_cache.add_reader(keeper_);
   context_.shared.keepers.push_back(&keeper_);
 }
 
 void WarmPoolLoop::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     look();
-    sleep_unless_stopped(stop, constants::kPoolLook);
+    sleep_unless_stopped(stop, constants::kPoolCheckInterval);
   }
 }
 
@@ -35,26 +35,26 @@
 
 void WarmPoolLoop::look() {
   SharedRecords& shared = context_.shared;
-  std::optional<pools::Steer> steer;
+  std::optional<pools::PoolDirectives> directives;
   {
     const std::lock_guard lock(shared.mutex);
     declare();
     if (keeper_.changes() != steered_) {
-      steer = keeper_.steer();
+      directives = keeper_.directives();
       steered_ = keeper_.changes();
     } else if (!keeper_.active()) {
       return;
     }
   }
-  std::optional<pools::Sighting> seen;
+  std::optional<pools::FleetObservation> seen;
   bool plan = false;
   bool cloud = false;
   {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
     control::Controller& controller = context_.control_state.controller;
-    if (steer) controller.steer(std::move(*steer));
-    if (controller.leading()) {
-      seen = controller.sight_pools(now());
+    if (directives) controller.set_pool_directives(std::move(*directives));
+    if (controller.is_leader()) {
+      seen = controller.observe_for_pools(now());
       plan = controller.plan_wanted();
       cloud = controller.cloud_wanted();
     }
@@ -67,10 +67,10 @@
 }
 
 Value::Map WarmPoolLoop::frame() const {
-  const ledger::Ledger& ledger = context_.shared.ledger;
+  const record_cache::RecordCache& record_cache = context_.shared.record_cache;
   return Value::Map{{"node", context_.settings.name.text()},
-                    {"revision", ledger.revision().number()},
-                    {"whole", ledger.whole()},
+                    {"revision", record_cache.revision().number()},
+                    {"whole", record_cache.whole()},
                     {"catalog", declared_ ? declared_->version.number() : 0},
                     {"digest", keeper_.digest()}};
 }
--- a/src/node/warm_pool_loop.h
+++ b/src/node/warm_pool_loop.h
@@ -31,7 +31,7 @@
 
   Context& context_;
   InForce in_force_;
-  pools::Keeper keeper_;                          // with the mutex of `SharedRecords`
+  pools::WarmPoolController keeper_;              // with the mutex of `SharedRecords`
   std::shared_ptr<const catalog::Set> declared_;  // the same
   std::uint64_t steered_ = 0;                     // the keeper's changes() that the controller knows
 };
--- a/src/pools/desk.h
+++ b/src/pools/desk.h
@@ -29,16 +29,16 @@
   bool filling = false;  // machines of it are yet to come
 };
 
-struct Steer {
+struct PoolDirectives {
   std::vector<PoolOrder> pools;  // none: there is nothing to steer
   std::map<MachineId, std::size_t> members;
   std::map<MachineId, std::vector<CachedImage>> holds;
-  std::vector<wire::RentRequest> asks;  // of records: may be sent, again and again, until they are answered
+  std::vector<wire::ScaleOutRequest> asks;  // of records: may be sent, again and again, until they are answered
 };
 
 // ---- what the controller says ----
 
-struct Sight {
+struct MachineObservation {
   MachineId id;
   std::string type;
   std::string zone;
@@ -52,37 +52,37 @@
 };
 
 struct RentAnswer {
-  wire::RentRequest request;
+  wire::ScaleOutRequest request;
   std::vector<MachineId> machines;  // fewer than asked: the cloud had no more
 };
 
-struct Sighting {
-  std::vector<Sight> machines;
-  std::set<MachineId> gone;  // of the pools' machines, those whose return was confirmed
-  bool settled = false;      // what is not among `machines` is not there
-  bool may_rent = true;      // by the operators' settings
+struct FleetObservation {
+  std::vector<MachineObservation> machines;
+  std::set<MachineId> gone;   // of the pools' machines, those whose return was confirmed
+  bool settled = false;       // what is not among `machines` is not there
+  bool can_scale_out = true;  // by the operators' settings
   std::vector<RentAnswer> answers;
   std::map<std::string, accounts::Starts> starts;  // by pool, since the last sighting
   std::vector<wire::MachineType> types;
   std::set<std::string> left_zones;  // where nothing is rented
 };
 
-class Desk {
+class PoolAdmission {
  public:
   // ---- the keeper's side ----
-  void take(Steer steer);
-  [[nodiscard]] bool on() const { return !steer_.pools.empty(); }
+  void take(PoolDirectives directives);
+  [[nodiscard]] bool on() const { return !directives_.pools.empty(); }
   // The answers stay until the keeper no longer asks; starts are handed over once.
   [[nodiscard]] const std::vector<RentAnswer>& answers() const { return answers_; }
   [[nodiscard]] std::map<std::string, accounts::Starts> take_starts();
   // Fills in what the machine is used for; `spec` is of a task on it.
-  void look(Sight& sight, const wire::JobSpec& spec) const;
+  void look(MachineObservation& observation, const wire::JobSpec& spec) const;
   [[nodiscard]] bool of_interest(const Cache& cache) const;
-  [[nodiscard]] const std::map<MachineId, std::size_t>& members() const { return steer_.members; }
+  [[nodiscard]] const std::map<MachineId, std::size_t>& members() const { return directives_.members; }
 
   // ---- the controller's side ----
   // A new lead begins: what is believed of caches is what the records say.
-  void lead(Instant now);
+  void become_leader(Instant now);
   // Whether it has lasted for long enough that each machine there is was listed or heard.
   [[nodiscard]] bool settled(Instant now) const;
   // The first word of a machine, with what is believed to be there already; what it holds from then on. Nothing when its
@@ -97,7 +97,7 @@
   void was_missing(const MachineId& machine, const std::string& image);
 
   // Whether an idle machine is held.
-  [[nodiscard]] bool keeps(const MachineId& machine) const { return steer_.members.contains(machine); }
+  [[nodiscard]] bool keeps(const MachineId& machine) const { return directives_.members.contains(machine); }
   // Whether a task may be placed on it, as far as pools go. `stuck`: none of the job's tasks runs, for so long.
   [[nodiscard]] bool allows(const wire::JobSpec& spec, Millis estimate, Millis stuck, const MachineId& machine) const;
   // The pool that the job's tasks are to warm, one to a machine that lacks the image, while that is of use.
@@ -106,9 +106,9 @@
   // Of two machines without the image, a pool's that wants it is better.
   [[nodiscard]] bool wants(const MachineId& machine, const std::string& image) const;
 
-  [[nodiscard]] std::optional<wire::RentRequest> next_ask() const;
-  [[nodiscard]] bool asks(const wire::RentRequest& request) const;
-  void answered(const wire::RentRequest& request, const std::vector<MachineId>& machines);
+  [[nodiscard]] std::optional<wire::ScaleOutRequest> next_request() const;
+  [[nodiscard]] bool asks(const wire::ScaleOutRequest& request) const;
+  void answered(const wire::ScaleOutRequest& request, const std::vector<MachineId>& machines);
 
   void placed(const TaskKey& task, const wire::JobSpec& spec, bool found);
   void began(const TaskKey& task, const wire::JobSpec& spec, Millis wait);
@@ -118,7 +118,7 @@
   [[nodiscard]] bool uses(std::size_t pool, const wire::JobSpec& spec) const;
   [[nodiscard]] const std::vector<std::size_t>* pools_of(const std::string& image) const;
 
-  Steer steer_;
+  PoolDirectives directives_;
   Instant led_since_;
   std::unordered_map<std::string, std::vector<std::size_t>> by_image_;
   std::map<MachineId, Cache> caches_;
--- a/src/pools/keeper.cpp
+++ b/src/pools/keeper.cpp
@@ -52,28 +52,29 @@
 
 }  // namespace
 
-Keeper::Keeper(OpenNow open_now, std::size_t value_bytes) : open_now_(std::move(open_now)), value_bytes_(value_bytes) {}
+WarmPoolController::WarmPoolController(OpenNow open_now, std::size_t value_bytes)
+    : open_now_(std::move(open_now)), value_bytes_(value_bytes) {}
 
-void Keeper::declare(const catalog::Set& set) {
+void WarmPoolController::declare(const catalog::Set& set) {
   if (defs_.empty() && set.pools.empty()) return;
   ++changes_;
   defs_.clear();
   for (const catalog::PoolDef& def : set.pools) {
     // Its keys would be too long for the state service.
-    if (accounts::key_text(def.name).size() <= constants::kPoolKeyMost) defs_.push_back(def);
+    if (accounts::key_text(def.name).size() <= constants::kMaxPoolKey) defs_.push_back(def);
   }
   std::ranges::sort(defs_, {}, &catalog::PoolDef::name);
 }
 
-bool Keeper::active() const {
+bool WarmPoolController::active() const {
   return !defs_.empty() || !held_.empty() || !rents_.empty() || !states_.empty() || !accounts_.empty() ||
          !holds_.empty();
 }
 
 // ---- records ----
 
-void Keeper::on_change(const std::string& key, const Value* data, Revision mark) {
-  heard_ = std::max(heard_, mark);
+void WarmPoolController::on_change(const std::string& key, const Value* data, Revision revision) {
+  heard_ = std::max(heard_, revision);
   if (!key.starts_with(kPoolPrefix) && !key.starts_with(accounts::kAccountPrefix)) return;
   if (!key.starts_with(accounts::kAccountPrefix)) ++changes_;
   foreign_.erase(key);
@@ -81,29 +82,29 @@
     if (data != nullptr && data->count("v") > kForm) {
       spdlog::warn("pools: key={} form={} is newer than this program knows; it is left as it is", key,
                    data->count("v"));
-      read(key, nullptr, mark);
+      read(key, nullptr, revision);
       foreign_.insert(key);
       return;
     }
-    read(key, data, mark);
+    read(key, data, revision);
   } catch (const wire::Malformed& error) {
     foreign_.insert(key);
     spdlog::error("pools: key={} cannot be read: {}", key, error.what());
   }
 }
 
-void Keeper::read(const std::string& key, const Value* data, Revision mark) {
+void WarmPoolController::read(const std::string& key, const Value* data, Revision revision) {
   const std::string_view whole(key);
   if (key == kNextKey) {
-    next_ = data == nullptr ? Kept<std::uint64_t>{} : Kept<std::uint64_t>{data->count("next"), mark};
+    next_ = data == nullptr ? Kept<std::uint64_t>{} : Kept<std::uint64_t>{data->count("next"), revision};
   } else if (key.starts_with(kRentPrefix)) {
     const std::string name = key.substr(std::string_view(kRentPrefix).size());
     rents_.erase(name);
-    if (data != nullptr) rents_[name] = {rent_from(*data), mark};
+    if (data != nullptr) rents_[name] = {rent_from(*data), revision};
   } else if (key.starts_with(kHeldPrefix)) {
     const auto [pool, number] = name_and_number(whole.substr(std::string_view(kHeldPrefix).size()));
     if (data != nullptr) {
-      held_[pool][number] = {held_from(*data), mark};
+      held_[pool][number] = {held_from(*data), revision};
       return;
     }
     held_[pool].erase(number);
@@ -115,7 +116,7 @@
       states_.erase(pool);
       return;
     }
-    states_[pool] = {state_from(*data), mark};
+    states_[pool] = {state_from(*data), revision};
     const PoolState& state = states_[pool].data;
     if (state.why != before) {
       spdlog::warn("pools: pool={} wanted={} {}", pool, state.wanted, state.why.empty() ? "is not short" : state.why);
@@ -124,12 +125,12 @@
     if (data == nullptr) {
       holds_.erase(key);
     } else {
-      holds_[key] = {holds_from(*data), mark};
+      holds_[key] = {holds_from(*data), revision};
     }
   } else if (key.starts_with(accounts::kAccountPrefix)) {
     const auto [pool, day] = name_and_number(whole.substr(std::string_view(accounts::kAccountPrefix).size()));
     if (data != nullptr) {
-      accounts_[pool][day] = {accounts::account_from(*data), mark};
+      accounts_[pool][day] = {accounts::account_from(*data), revision};
       return;
     }
     accounts_[pool].erase(day);
@@ -137,12 +138,12 @@
   }
 }
 
-const catalog::PoolDef* Keeper::pool(const std::string& name) const {
+const catalog::PoolDef* WarmPoolController::pool(const std::string& name) const {
   const auto found = std::ranges::find(defs_, name, &catalog::PoolDef::name);
   return found == defs_.end() ? nullptr : &*found;
 }
 
-bool Keeper::may_write(const std::string& pool) const {
+bool WarmPoolController::may_write(const std::string& pool) const {
   const std::string name = accounts::key_text(pool) + "/";
   return std::ranges::none_of(foreign_, [&](const std::string& key) {
     return key == state_key(pool) || key.starts_with(kHeldPrefix + name) ||
@@ -150,12 +151,12 @@
   });
 }
 
-const Sight* Keeper::sight_of(const MachineId& machine) const {
-  const auto found = sights_.find(machine);
-  return found == sights_.end() ? nullptr : found->second;
+const MachineObservation* WarmPoolController::sight_of(const MachineId& machine) const {
+  const auto found = observations_.find(machine);
+  return found == observations_.end() ? nullptr : found->second;
 }
 
-std::uint32_t Keeper::members_of(const std::string& pool) const {
+std::uint32_t WarmPoolController::members_of(const std::string& pool) const {
   std::size_t count = 0;
   if (const auto found = held_.find(pool); found != held_.end()) {
     for (const auto& [unused, chunk] : found->second) count += chunk.data.members.size();
@@ -163,12 +164,12 @@
   return static_cast<std::uint32_t>(count);
 }
 
-const PoolState& Keeper::state_of(const std::string& pool) const {
+const PoolState& WarmPoolController::state_of(const std::string& pool) const {
   const auto found = states_.find(pool);
   return found == states_.end() ? kNothing : found->second.data;
 }
 
-std::uint32_t Keeper::outstanding(const std::string& pool, const std::string& zone) const {
+std::uint32_t WarmPoolController::outstanding(const std::string& pool, const std::string& zone) const {
   std::uint64_t count = 0;
   for (const auto& [unused, rent] : rents_) {
     if (rent.data.pool == pool && (zone.empty() || rent.data.request.zone == zone)) count += rent.data.request.count;
@@ -178,34 +179,35 @@
 
 // ---- what the controller is told, and tells ----
 
-Steer Keeper::steer() const {
-  Steer steer;
+PoolDirectives WarmPoolController::directives() const {
+  PoolDirectives directives;
   for (std::size_t at = 0; at < defs_.size(); ++at) {
     const catalog::PoolDef& def = defs_[at];
     const std::uint32_t held = members_of(def.name);
-    steer.pools.push_back({.pool = def, .filling = held < state_of(def.name).wanted});
+    directives.pools.push_back({.pool = def, .filling = held < state_of(def.name).wanted});
     if (const auto found = held_.find(def.name); found != held_.end()) {
       for (const auto& [unused, chunk] : found->second) {
-        for (const Member& member : chunk.data.members) steer.members.emplace(member.id, at);
+        for (const Member& member : chunk.data.members) directives.members.emplace(member.id, at);
       }
     }
   }
   for (const auto& [unused, holds] : holds_) {
-    for (const auto& [machine, images] : holds.data.machines) steer.holds.emplace(machine, images);
+    for (const auto& [machine, images] : holds.data.machines) directives.holds.emplace(machine, images);
   }
-  for (const auto& [unused, rent] : rents_) steer.asks.push_back(rent.data.request);
-  return steer;
+  for (const auto& [unused, rent] : rents_) directives.asks.push_back(rent.data.request);
+  return directives;
 }
 
-void Keeper::observe(Sighting sighting, ledger::Moment now) {
+void WarmPoolController::observe(FleetObservation observation, record_cache::Moment now) {
   // It did not lead for a while, or was frozen.
-  const bool resumed = !seen_ || now.steady - seen_->steady > constants::kPoolSightOld;
+  const bool resumed = !seen_ || now.steady - seen_->steady > constants::kPoolObservationTtl;
   if (resumed) unseen_.clear();
-  sight_ = std::move(sighting);
+  observation_ = std::move(observation);
   seen_ = now;
-  sights_.clear();
-  for (const Sight& sight : sight_.machines) sights_.emplace(sight.id, &sight);
-  for (auto& [pool, starts] : sight_.starts) starts_[pool] += starts;
+  observations_.clear();
+  for (const MachineObservation& observation : observation_.machines)
+    observations_.emplace(observation.id, &observation);
+  for (auto& [pool, starts] : observation_.starts) starts_[pool] += starts;
   const auto wall = static_cast<std::uint64_t>(now.wall_ms);
   std::set<MachineId> members;
   for (const auto& [unused, chunks] : held_) {
@@ -214,9 +216,9 @@
         members.insert(member.id);
         std::vector<Span>& spans = spans_[member.id];
         std::erase_if(spans, [&member](const Span& span) { return span.to_ms <= member.until_ms; });
-        const Sight* const sight = sight_of(member.id);
-        const Use use = sight == nullptr ? member.use : sight->use;
-        const std::string& team = sight == nullptr ? member.team : sight->team;
+        const MachineObservation* const observation = sight_of(member.id);
+        const Use use = observation == nullptr ? member.use : observation->use;
+        const std::string& team = observation == nullptr ? member.team : observation->team;
         const std::uint64_t from = spans.empty() ? member.until_ms : spans.back().to_ms;
         if (wall <= from) continue;
         if (resumed) {
@@ -234,8 +236,8 @@
   }
   std::erase_if(spans_, [&members](const auto& entry) { return !members.contains(entry.first); });
   std::map<std::size_t, std::uint32_t> busy;
-  for (const Sight& sight : sight_.machines) {
-    for (const std::size_t pool : sight.users_of) ++busy[pool];
+  for (const MachineObservation& observation : observation_.machines) {
+    for (const std::size_t pool : observation.users_of) ++busy[pool];
   }
   for (const auto& [at, count] : busy) {
     if (at >= defs_.size() || defs_[at].peak_days <= 0) continue;
@@ -248,30 +250,31 @@
 
 // ---- the rule ----
 
-bool Keeper::has_room(const catalog::PoolDef& pool, const std::string& type) const {
-  const auto kind = std::ranges::find(sight_.types, type, &wire::MachineType::name);
+bool WarmPoolController::has_room(const catalog::PoolDef& pool, const std::string& type) const {
+  const auto kind = std::ranges::find(observation_.types, type, &wire::MachineType::name);
   std::uint64_t mb = 0;
   for (const catalog::PoolImage& image : pool.images) mb += mb_of(image.gb);
-  return kind != sight_.types.end() && mb <= mb_of(kind->cache_gb);
+  return kind != observation_.types.end() && mb <= mb_of(kind->cache_gb);
 }
 
-bool Keeper::takes(const catalog::PoolDef& pool, const std::string& type, const std::string& zone, bool spot) const {
+bool WarmPoolController::takes(const catalog::PoolDef& pool, const std::string& type, const std::string& zone,
+                               bool spot) const {
   return among(pool.types, type) && among(pool.zones, zone) && (!spot || pool.spot) && has_room(pool, type) &&
-         !sight_.left_zones.contains(zone);
+         !observation_.left_zones.contains(zone);
 }
 
-bool Keeper::warm(const catalog::PoolDef& pool, const Sight& sight) const {
-  return std::ranges::all_of(pool.images, [&sight](const catalog::PoolImage& image) {
-    return std::ranges::find(sight.images, image.image, &CachedImage::image) != sight.images.end();
+bool WarmPoolController::warm(const catalog::PoolDef& pool, const MachineObservation& observation) const {
+  return std::ranges::all_of(pool.images, [&observation](const catalog::PoolImage& image) {
+    return std::ranges::find(observation.images, image.image, &CachedImage::image) != observation.images.end();
   });
 }
 
-std::uint64_t Keeper::price_of(const std::string& type, bool spot) const {
-  const auto kind = std::ranges::find(sight_.types, type, &wire::MachineType::name);
-  return kind == sight_.types.end() ? 0 : micros_of(spot ? kind->spot_price : kind->price);
+std::uint64_t WarmPoolController::price_of(const std::string& type, bool spot) const {
+  const auto kind = std::ranges::find(observation_.types, type, &wire::MachineType::name);
+  return kind == observation_.types.end() ? 0 : micros_of(spot ? kind->spot_price : kind->price);
 }
 
-Keeper::Wish Keeper::wish(const catalog::PoolDef& pool, std::uint64_t wall_ms) const {
+WarmPoolController::Wish WarmPoolController::wish(const catalog::PoolDef& pool, std::uint64_t wall_ms) const {
   Wish wish;
   const auto step = static_cast<std::int64_t>(wall_ms) / constants::kPoolStepMs * constants::kPoolStepMs;
   try {
@@ -285,7 +288,7 @@
   const auto hour = static_cast<std::uint64_t>(step) / kMillisPerHour;
   if (pool.peak_days > 0) {
     const auto days =
-        std::min<std::uint64_t>(static_cast<std::uint64_t>(std::ceil(pool.peak_days)), constants::kPoolPeakDaysMost);
+        std::min<std::uint64_t>(static_cast<std::uint64_t>(std::ceil(pool.peak_days)), constants::kMaxPoolPeakDays);
     for (const auto& [then, most] : state.peaks) {
       if (then % 24 == hour % 24 && then <= hour && hour - then <= days * 24) wish.wanted = std::max(wish.wanted, most);
     }
@@ -294,7 +297,7 @@
   if (!pool.ceiling_hour) return wish;
   const std::uint64_t ceiling = micros_of(*pool.ceiling_hour);
   std::uint64_t least_price = 0;
-  for (const wire::MachineType& type : sight_.types) {
+  for (const wire::MachineType& type : observation_.types) {
     for (const bool spot : {false, true}) {
       if (!among(pool.types, type.name) || (spot && !pool.spot) || !has_room(pool, type.name)) continue;
       const std::uint64_t price = price_of(type.name, spot);
@@ -315,8 +318,8 @@
 }
 
 // Where the pool has the fewest machines, then what is cheapest.
-std::optional<wire::RentRequest> Keeper::choose(const catalog::PoolDef& pool, std::uint32_t wanted,
-                                                std::uint64_t wall_ms) const {
+std::optional<wire::ScaleOutRequest> WarmPoolController::choose(const catalog::PoolDef& pool, std::uint32_t wanted,
+                                                                std::uint64_t wall_ms) const {
   std::map<std::string, std::uint32_t> in_zone;
   std::uint32_t there = 0;
   if (const auto found = held_.find(pool.name); found != held_.end()) {
@@ -333,7 +336,7 @@
   using Rank = std::tuple<std::uint32_t, std::uint64_t, std::string, std::string, bool>;
   std::optional<Rank> best;
   std::set<std::string> zones;
-  for (const wire::MachineType& type : sight_.types) {
+  for (const wire::MachineType& type : observation_.types) {
     for (const std::string& zone : type.zones) {
       for (const bool spot : {false, true}) {
         if (!takes(pool, type.name, zone, spot)) continue;
@@ -349,19 +352,19 @@
   const auto& [zone_has, unused, zone, type, spot] = *best;
   const auto each = static_cast<std::uint32_t>(wanted / zones.size());  // what is over goes one by one
   const std::uint32_t count = std::min({wanted - there - asked, std::max(1U, each > zone_has ? each - zone_has : 0U),
-                                        static_cast<std::uint32_t>(constants::kRentCountMost)});
-  return wire::RentRequest{
+                                        static_cast<std::uint32_t>(constants::kMaxScaleOutCount)});
+  return wire::ScaleOutRequest{
       .request = "warm-" + std::to_string(next_.data), .type = type, .zone = zone, .spot = spot, .count = count};
 }
 
 // ---- drafts ----
 
-PoolState& Keeper::state_in(Draft& draft) const {
+PoolState& WarmPoolController::state_in(Draft& draft) const {
   if (!draft.state) draft.state = state_of(draft.pool);
   return *draft.state;
 }
 
-Held& Keeper::held_in(Draft& draft, std::uint64_t number) const {
+Held& WarmPoolController::held_in(Draft& draft, std::uint64_t number) const {
   const auto [entry, fresh] = draft.held.try_emplace(number);
   if (fresh) {
     const auto chunks = held_.find(draft.pool);
@@ -370,7 +373,7 @@
   return entry->second;
 }
 
-Account& Keeper::account_in(Draft& draft, std::uint64_t day) const {
+Account& WarmPoolController::account_in(Draft& draft, std::uint64_t day) const {
   const auto [entry, fresh] = draft.accounts.try_emplace(day);
   if (fresh) {
     const auto days = accounts_.find(draft.pool);
@@ -381,7 +384,7 @@
 }
 
 // From where the record ends to `to_ms`, whatever this leader has seen of it: no moment twice, none left out.
-void Keeper::charge(Draft& draft, Member& member, std::uint64_t to_ms) const {
+void WarmPoolController::charge(Draft& draft, Member& member, std::uint64_t to_ms) const {
   if (to_ms <= member.until_ms) return;
   if (const std::uint64_t price = price_of(member.type, member.spot); price > 0) member.micros_hour = price;
   std::uint64_t at = member.until_ms;
@@ -411,7 +414,7 @@
   member.until_ms = to_ms;
 }
 
-void Keeper::join(Draft& draft, const std::vector<Member>& members) const {
+void WarmPoolController::join(Draft& draft, const std::vector<Member>& members) const {
   std::uint64_t number = 0;
   for (const Member& member : members) {
     while (held_in(draft, number).members.size() >= constants::kPoolMembersPerRecord) ++number;
@@ -419,66 +422,68 @@
   }
 }
 
-void Keeper::refuse(Draft& draft, const std::string& kind, std::uint64_t wall_ms) const {
+void WarmPoolController::refuse(Draft& draft, const std::string& kind, std::uint64_t wall_ms) const {
   std::map<std::string, Refusal>& refusals = state_in(draft).refusals;
   Refusal& refusal = refusals[kind];
-  refusal.pause_ms = std::clamp(refusal.pause_ms * 2, ms(constants::kPoolPause), ms(constants::kPoolPauseMost));
+  refusal.pause_ms =
+      std::clamp(refusal.pause_ms * 2, ms(constants::kPoolRefusalBackoff), ms(constants::kMaxPoolRefusalBackoff));
   refusal.until_ms = wall_ms + refusal.pause_ms;
-  while (refusals.size() > constants::kPoolRefusalsMost) {
+  while (refusals.size() > constants::kMaxPoolRefusals) {
     refusals.erase(std::ranges::min_element(
         refusals, {}, [](const auto& entry) { return std::pair(entry.second.until_ms, entry.first); }));
   }
 }
 
-void Keeper::refresh(const catalog::PoolDef& pool, Member& member) const {
-  const Sight* const sight = sight_of(member.id);
-  if (sight == nullptr) return;
-  member.use = sight->use;
-  member.team = sight->team;
-  member.warm = warm(pool, *sight);
+void WarmPoolController::refresh(const catalog::PoolDef& pool, Member& member) const {
+  const MachineObservation* const observation = sight_of(member.id);
+  if (observation == nullptr) return;
+  member.use = observation->use;
+  member.team = observation->team;
+  member.warm = warm(pool, *observation);
 }
 
-Txn Keeper::finish(Draft draft) const {
+Txn WarmPoolController::finish(Draft draft) const {
   Txn txn = std::move(draft.txn);
-  const auto put = [&txn](const std::string& key, Revision mark, std::optional<Value> data) {
-    txn.conditions.push_back({.key = key, .mark = mark});
+  const auto put = [&txn](const std::string& key, Revision revision, std::optional<Value> data) {
+    txn.preconditions.push_back({.key = key, .revision = revision});
     // What is not there need not be removed.
-    if (data || mark != Revision{}) txn.changes.push_back({.key = key, .data = std::move(data), .lease = {}});
+    if (data || revision != Revision{}) txn.changes.push_back({.key = key, .data = std::move(data), .lease = {}});
   };
   for (auto& [number, held] : draft.held) {
     const auto chunks = held_.find(draft.pool);
     const bool known = chunks != held_.end() && chunks->second.contains(number);
     if (known && chunks->second.at(number).data.members == held.members) {
-      txn.conditions.push_back({.key = held_key(draft.pool, number), .mark = chunks->second.at(number).mark});
+      txn.preconditions.push_back(
+          {.key = held_key(draft.pool, number), .revision = chunks->second.at(number).revision});
       continue;
     }
-    put(held_key(draft.pool, number), known ? chunks->second.at(number).mark : Revision{},
+    put(held_key(draft.pool, number), known ? chunks->second.at(number).revision : Revision{},
         held.members.empty() ? std::nullopt : std::optional(to_value(held)));
   }
   for (const auto& [day, account] : draft.accounts) {
     const auto days = accounts_.find(draft.pool);
     const bool known = days != accounts_.end() && days->second.contains(day);
-    put(accounts::account_key(draft.pool, day), known ? days->second.at(day).mark : Revision{},
+    put(accounts::account_key(draft.pool, day), known ? days->second.at(day).revision : Revision{},
         accounts::to_value(account));
   }
   if (draft.state && (*draft.state != state_of(draft.pool) || !states_.contains(draft.pool))) {
     const auto known = states_.find(draft.pool);
-    put(state_key(draft.pool), known == states_.end() ? Revision{} : known->second.mark, to_value(*draft.state));
+    put(state_key(draft.pool), known == states_.end() ? Revision{} : known->second.revision, to_value(*draft.state));
   }
   return txn;
 }
 
 // ---- decisions ----
 
-std::optional<Txn> Keeper::take_answer(std::uint64_t wall_ms) const {
-  for (const RentAnswer& answer : sight_.answers) {
+std::optional<Txn> WarmPoolController::take_answer(std::uint64_t wall_ms) const {
+  for (const RentAnswer& answer : observation_.answers) {
     const auto known = rents_.find(answer.request.request);
     if (known == rents_.end()) continue;
     const Rent& rent = known->second.data;
     if (!may_write(rent.pool)) continue;
     Draft draft{.pool = rent.pool};
     const std::string key = kRentPrefix + rent.request.request;
-    draft.txn.conditions.push_back({.key = key, .mark = known->second.mark});
+    draft.txn.preconditions.push_back({.key = key, .revision = known->second.revision});
     draft.txn.changes.push_back({.key = key, .data = {}, .lease = {}});
     // Of a pool that is no more nobody pays: its machines are as all others.
     if (pool(rent.pool) == nullptr) return finish(std::move(draft));
@@ -502,7 +507,7 @@
 }
 
 // What is gone leaves the pool; then what is more than wanted, cold and idle machines first.
-std::optional<Txn> Keeper::let_go(const std::string& name, std::uint64_t wall_ms) const {
+std::optional<Txn> WarmPoolController::let_go(const std::string& name, std::uint64_t wall_ms) const {
   const catalog::PoolDef* const def = pool(name);
   const Wish wished = def == nullptr ? Wish{} : wish(*def, wall_ms);
   std::uint32_t left = members_of(name);
@@ -515,9 +520,9 @@
   std::vector<std::string> lost;
   for (const auto& [number, chunk] : held_.at(name)) {
     for (const Member& member : chunk.data.members) {
-      const Sight* const sight = sight_of(member.id);
-      const bool gone = sight_.gone.contains(member.id) || (sight == nullptr && sight_.settled) ||
-                        (sight != nullptr && sight->leaving);
+      const MachineObservation* const observation = sight_of(member.id);
+      const bool gone = observation_.gone.contains(member.id) || (observation == nullptr && observation_.settled) ||
+                        (observation != nullptr && observation->leaving);
       if (gone) {
         leave[number].insert(member.id);
         --left;
@@ -526,10 +531,10 @@
         }
         continue;
       }
-      const Use use = sight == nullptr ? member.use : sight->use;
+      const Use use = observation == nullptr ? member.use : observation->use;
       const bool idle = use == Use::idle;
       if (!idle && wished.in_use_only) continue;
-      const bool is_warm = sight == nullptr || def == nullptr ? member.warm : warm(*def, *sight);
+      const bool is_warm = observation == nullptr || def == nullptr ? member.warm : warm(*def, *observation);
       more.push_back({.rank = {!idle, is_warm, UINT64_MAX - member.micros_hour, member.id}, .chunk = number});
     }
   }
@@ -560,7 +565,7 @@
 }
 
 // Machines that are there and have nothing to do: those with the images first.
-std::optional<Txn> Keeper::adopt(const catalog::PoolDef& pool, std::uint64_t wall_ms) const {
+std::optional<Txn> WarmPoolController::adopt(const catalog::PoolDef& pool, std::uint64_t wall_ms) const {
   const Wish wished = wish(pool, wall_ms);
   std::uint32_t there = members_of(pool.name) + outstanding(pool.name, "");
   if (there >= wished.wanted || foreign_.contains(kNextKey)) return std::nullopt;
@@ -575,33 +580,36 @@
     }
   }
   // It may be one of a rental whose answer is in no record yet, which would make it a member a second time.
-  const auto perhaps_rented = [this](const Sight& sight) {
-    return std::ranges::any_of(rents_, [&sight](const auto& entry) {
-      const wire::RentRequest& request = entry.second.data.request;
-      return std::tie(request.type, request.zone, request.spot) == std::tie(sight.type, sight.zone, sight.spot);
+  const auto perhaps_rented = [this](const MachineObservation& observation) {
+    return std::ranges::any_of(rents_, [&observation](const auto& entry) {
+      const wire::ScaleOutRequest& request = entry.second.data.request;
+      return std::tie(request.type, request.zone, request.spot) ==
+             std::tie(observation.type, observation.zone, observation.spot);
     });
   };
-  std::vector<std::pair<bool, const Sight*>> fit;
-  for (const Sight& sight : sight_.machines) {
-    if (!sight.spare || sight.leaving || taken.contains(sight.id) || perhaps_rented(sight)) continue;
-    if (takes(pool, sight.type, sight.zone, sight.spot)) fit.emplace_back(!warm(pool, sight), &sight);
+  std::vector<std::pair<bool, const MachineObservation*>> fit;
+  for (const MachineObservation& observation : observation_.machines) {
+    if (!observation.spare || observation.leaving || taken.contains(observation.id) || perhaps_rented(observation))
+      continue;
+    if (takes(pool, observation.type, observation.zone, observation.spot))
+      fit.emplace_back(!warm(pool, observation), &observation);
   }
   std::vector<Member> members;
   while (there < wished.wanted && !fit.empty() && members.size() < constants::kPoolMembersPerRecord) {
     const auto best = std::ranges::min_element(fit, {}, [&in_zone](const auto& entry) {
-      const Sight& sight = *entry.second;
-      return std::tuple(entry.first, in_zone[sight.zone], sight.id);
+      const MachineObservation& observation = *entry.second;
+      return std::tuple(entry.first, in_zone[observation.zone], observation.id);
     });
-    const Sight& sight = *best->second;
-    members.push_back({.id = sight.id,
-                       .type = sight.type,
-                       .zone = sight.zone,
-                       .spot = sight.spot,
+    const MachineObservation& observation = *best->second;
+    members.push_back({.id = observation.id,
+                       .type = observation.type,
+                       .zone = observation.zone,
+                       .spot = observation.spot,
                        .from_ms = wall_ms,
                        .until_ms = wall_ms,
                        .warm = !best->first,
-                       .micros_hour = price_of(sight.type, sight.spot)});
-    ++in_zone[sight.zone];
+                       .micros_hour = price_of(observation.type, observation.spot)});
+    ++in_zone[observation.zone];
     ++there;
     fit.erase(best);
   }
@@ -609,33 +617,34 @@
   Draft draft{.pool = pool.name};
   // Each taking of machines, by whatever pool, changes the same record. Otherwise one that the state service carries out
   // late would count when another pool has taken the machine meanwhile: its record alone says nothing of that.
-  draft.txn.conditions.push_back({.key = kNextKey, .mark = next_.mark});
+  draft.txn.preconditions.push_back({.key = kNextKey, .revision = next_.revision});
   draft.txn.changes.push_back({.key = kNextKey, .data = number_after(next_.data), .lease = {}});
   join(draft, members);
   return finish(std::move(draft));
 }
 
 // The record first, then the cloud. The name is used once: who takes the next number makes it impossible for others.
-std::optional<Txn> Keeper::rent(const catalog::PoolDef& pool, std::uint64_t wall_ms) const {
+std::optional<Txn> WarmPoolController::rent(const catalog::PoolDef& pool, std::uint64_t wall_ms) const {
   // What nobody asks for would stay unanswered, and keep the pool from taking machines that are there.
-  if (foreign_.contains(kNextKey) || !sight_.may_rent) return std::nullopt;
+  if (foreign_.contains(kNextKey) || !observation_.can_scale_out) return std::nullopt;
   const auto request = choose(pool, wish(pool, wall_ms).wanted, wall_ms);
   if (!request) return std::nullopt;
   const std::string key = kRentPrefix + request->request;
   Txn txn;
-  txn.conditions = {{.key = kNextKey, .mark = next_.mark}, {.key = key, .mark = Revision{}}};
+  txn.preconditions = {{.key = kNextKey, .revision = next_.revision}, {.key = key, .revision = Revision{}}};
   txn.changes = {
       {.key = kNextKey, .data = number_after(next_.data), .lease = {}},
       {.key = key, .data = to_value(Rent{.pool = pool.name, .request = *request, .asked_ms = wall_ms}), .lease = {}}};
   return txn;
 }
 
-bool Keeper::rested(const std::string& key, ledger::Moment now, std::chrono::milliseconds span) const {
+bool WarmPoolController::rested(const std::string& key, record_cache::Moment now,
+                                std::chrono::milliseconds span) const {
   const auto written = written_.find(key);
   return written == written_.end() || now.steady - written->second >= span;
 }
 
-std::optional<Txn> Keeper::charge_due(const std::string& name, ledger::Moment now) const {
+std::optional<Txn> WarmPoolController::charge_due(const std::string& name, record_cache::Moment now) const {
   const auto wall = static_cast<std::uint64_t>(now.wall_ms);
   const catalog::PoolDef* const def = pool(name);
   for (const auto& [number, chunk] : held_.at(name)) {
@@ -643,7 +652,7 @@
     bool changed = false;
     std::uint64_t first = wall;
     for (const Member& member : chunk.data.members) {
-      due = due || wall >= member.until_ms + ms(constants::kPoolChargeEvery);
+      due = due || wall >= member.until_ms + ms(constants::kPoolChargeInterval);
       first = std::min(first, member.until_ms);
       Member now_is = member;
       if (def != nullptr) refresh(*def, now_is);
@@ -665,7 +674,7 @@
   return std::nullopt;
 }
 
-std::optional<Txn> Keeper::tell_state(const catalog::PoolDef& pool, ledger::Moment now) const {
+std::optional<Txn> WarmPoolController::tell_state(const catalog::PoolDef& pool, record_cache::Moment now) const {
   if (!rested(state_key(pool.name), now, constants::kPoolCoalesce)) return std::nullopt;
   const auto wall = static_cast<std::uint64_t>(now.wall_ms);
   const Wish wished = wish(pool, wall);
@@ -676,11 +685,13 @@
   const std::uint32_t held = members_of(pool.name);
   const bool short_of = held + outstanding(pool.name, "") < wished.wanted;
   if (state.why.empty() && (short_of || (held < wished.wanted && !state.refusals.empty()))) {
-    state.why = sight_.may_rent ? "the cloud has no more, or they were lost early; it is asked again after a pause"
-                                : "nothing may be rented, by the settings, and no more machines are idle";
+    state.why = observation_.can_scale_out
+                    ? "the cloud has no more, or they were lost early; it is asked again after a pause"
+                    : "nothing may be rented, by the settings, and no more machines are idle";
   }
-  std::erase_if(state.refusals,
-                [wall](const auto& entry) { return wall >= entry.second.until_ms + ms(constants::kPoolPauseMost); });
+  std::erase_if(state.refusals, [wall](const auto& entry) {
+    return wall >= entry.second.until_ms + ms(constants::kMaxPoolRefusalBackoff);
+  });
   if (pool.peak_days > 0) {
     if (const auto seen = peaks_.find(pool.name); seen != peaks_.end()) {
       for (const auto& [hour, most] : seen->second) state.peaks[hour] = std::max(state.peaks[hour], most);
@@ -689,14 +700,14 @@
     state.peaks.clear();
   }
   std::erase_if(state.peaks, [hour = wall / kMillisPerHour](const auto& entry) {
-    return entry.first + constants::kPoolPeakDaysMost * 24 < hour;
+    return entry.first + constants::kMaxPoolPeakDays * 24 < hour;
   });
   if (state == state_of(pool.name) && states_.contains(pool.name)) return std::nullopt;
   return finish(std::move(draft));
 }
 
 // What machines hold. Those that were not seen for a while may be back with their zone.
-std::optional<Txn> Keeper::tell_holds(ledger::Moment now) {
+std::optional<Txn> WarmPoolController::tell_holds(record_cache::Moment now) {
   std::map<std::string, Holds> told;
   std::set<std::string> images;
   for (const catalog::PoolDef& def : defs_) {
@@ -708,23 +719,23 @@
       for (const Member& member : chunk.data.members) members.insert(member.id);
     }
   }
-  for (const Sight& sight : sight_.machines) {
-    if (sight.images.empty() || defs_.empty()) continue;
+  for (const MachineObservation& observation : observation_.machines) {
+    if (observation.images.empty() || defs_.empty()) continue;
     std::vector<CachedImage> held;
-    for (const CachedImage& image : sight.images) {
-      const bool kept = members.contains(sight.id) || images.contains(image.image);
-      if (kept && held.size() < constants::kPoolImagesMost) held.push_back(image);
+    for (const CachedImage& image : observation.images) {
+      const bool kept = members.contains(observation.id) || images.contains(image.image);
+      if (kept && held.size() < constants::kMaxPoolImages) held.push_back(image);
     }
-    if (!held.empty()) told[holds_key(sight.id)].machines[sight.id] = std::move(held);
+    if (!held.empty()) told[holds_key(observation.id)].machines[observation.id] = std::move(held);
   }
   for (const auto& [key, known] : holds_) {
     for (const auto& [machine, held] : known.data.machines) {
-      if (sights_.contains(machine) || sight_.gone.contains(machine) || defs_.empty()) {
+      if (observations_.contains(machine) || observation_.gone.contains(machine) || defs_.empty()) {
         unseen_.erase(machine);
         continue;
       }
       const auto since = unseen_.try_emplace(machine, now.steady).first->second;
-      if (now.steady - since < constants::kPoolHoldsKeep) told[key].machines[machine] = held;
+      if (now.steady - since < constants::kPoolCacheRecordInterval) told[key].machines[machine] = held;
     }
     told[key];  // nothing is left of it
   }
@@ -750,29 +761,30 @@
   const auto known = holds_.find(key);
   if (known != holds_.end() && known->second.data == holds) return std::nullopt;
   Txn txn;
-  txn.conditions.push_back({.key = key, .mark = known == holds_.end() ? Revision{} : known->second.mark});
+  txn.preconditions.push_back({.key = key, .revision = known == holds_.end() ? Revision{} : known->second.revision});
   txn.changes.push_back(
       {.key = key, .data = holds.machines.empty() ? std::nullopt : std::optional(to_value(holds)), .lease = {}});
   return txn;
 }
 
 // Old accounts, and the state of pools that are no more.
-std::optional<Txn> Keeper::clear_away(std::uint64_t wall_ms) const {
+std::optional<Txn> WarmPoolController::clear_away(std::uint64_t wall_ms) const {
   for (const auto& [name, days] : accounts_) {
     const auto& [day, account] = *days.begin();
     if (day + constants::kAccountDays >= wall_ms / kMillisPerDay) continue;
     const std::string key = accounts::account_key(name, day);
-    return Txn{.conditions = {{.key = key, .mark = account.mark}}, .changes = {{.key = key, .data = {}, .lease = {}}}};
+    return Txn{.preconditions = {{.key = key, .revision = account.revision}},
+               .changes = {{.key = key, .data = {}, .lease = {}}}};
   }
   for (const auto& [name, state] : states_) {
     if (pool(name) != nullptr || held_.contains(name) || outstanding(name, "") > 0 || !may_write(name)) continue;
-    return Txn{.conditions = {{.key = state_key(name), .mark = state.mark}},
+    return Txn{.preconditions = {{.key = state_key(name), .revision = state.revision}},
                .changes = {{.key = state_key(name), .data = {}, .lease = {}}}};
   }
   return std::nullopt;
 }
 
-std::optional<Txn> Keeper::decide(ledger::Moment now) {
+std::optional<Txn> WarmPoolController::decide(record_cache::Moment now) {
   const auto wall = static_cast<std::uint64_t>(now.wall_ms);
   if (auto txn = take_answer(wall)) return txn;
   // What is behind by days is charged before its machine leaves.
@@ -785,7 +797,7 @@
     if (!may_write(name)) continue;
     if (auto txn = behind ? charge_due(name, now) : let_go(name, wall)) return txn;
   }
-  if (now.steady - last_write_ < constants::kPoolWriteEvery) return std::nullopt;
+  if (now.steady - last_write_ < constants::kPoolWriteInterval) return std::nullopt;
   for (const catalog::PoolDef& def : defs_) {
     if (!may_write(def.name)) continue;
     if (auto txn = adopt(def, wall)) return txn;
@@ -808,8 +820,9 @@
   return clear_away(wall);
 }
 
-std::optional<Txn> Keeper::next_write(const ledger::Jobs&, ledger::Moment now, std::size_t changes_most) {
-  if (!active() || !seen_ || now.steady - seen_->steady > constants::kPoolSightOld || heard_ < awaited_) {
+std::optional<Txn> WarmPoolController::next_write(const record_cache::Jobs&, record_cache::Moment now,
+                                                  std::size_t changes_most) {
+  if (!active() || !seen_ || now.steady - seen_->steady > constants::kPoolObservationTtl || heard_ < awaited_) {
     return std::nullopt;
   }
   auto txn = decide(now);
@@ -822,7 +835,7 @@
   return txn;
 }
 
-void Keeper::on_written(const Txn& txn, const kv::TxnResult& result) {
+void WarmPoolController::on_written(const Txn& txn, const kv::TxnResult& result) {
   last_write_ = began_;
   const auto sent = std::exchange(starts_sent_, {});
   if (result.answer == kv::Answer::ok) {
@@ -836,7 +849,7 @@
 
 // ---- questions ----
 
-std::vector<PoolView> Keeper::pools() const {
+std::vector<PoolView> WarmPoolController::pools() const {
   std::vector<PoolView> views;
   std::set<std::string> names;
   for (const catalog::PoolDef& def : defs_) names.insert(def.name);
@@ -872,7 +885,7 @@
   return views;
 }
 
-std::vector<AccountView> Keeper::accounts() const {
+std::vector<AccountView> WarmPoolController::accounts() const {
   std::vector<AccountView> views;
   for (const auto& [name, days] : accounts_) {
     for (const auto& [day, account] : days) views.push_back({.pool = name, .day = day, .account = account.data});
@@ -880,7 +893,7 @@
   return views;
 }
 
-std::uint64_t Keeper::digest() const {
+std::uint64_t WarmPoolController::digest() const {
   std::string text;
   for (const catalog::PoolDef& def : defs_) text += wire::encode(Value(def.name));
   for (const auto& [name, chunks] : held_) {
--- a/src/pools/keeper.h
+++ b/src/pools/keeper.h
@@ -43,10 +43,10 @@
   accounts::Account account;
 };
 
-class Keeper final : public ledger::Keeper {
+class WarmPoolController final : public record_cache::RecordController {
  public:
   // `value_bytes`: a record's longest length in JSON.
-  Keeper(OpenNow open_now, std::size_t value_bytes);
+  WarmPoolController(OpenNow open_now, std::size_t value_bytes);
 
   // The set in force; nothing is decided before it is told.
   void declare(const catalog::Set& set);
@@ -55,14 +55,14 @@
   // Grows with each record of pools, and each declaration, that may change what the controller is told.
   [[nodiscard]] std::uint64_t changes() const { return changes_; }
   // What the controller of this node has to know, whether it leads or not.
-  [[nodiscard]] Steer steer() const;
+  [[nodiscard]] PoolDirectives directives() const;
   // What the controller of the leader sees. Nothing is written for long without it.
-  void observe(Sighting sighting, ledger::Moment now);
+  void observe(FleetObservation observation, record_cache::Moment now);
 
   // ledger::Keeper. It keeps `account/` as well as `pool/`.
-  void on_change(const std::string& key, const wire::Value* data, Revision mark) override;
+  void on_change(const std::string& key, const wire::Value* data, Revision revision) override;
   [[nodiscard]] std::string prefix() const override { return kPoolPrefix; }
-  [[nodiscard]] std::optional<kv::Txn> next_write(const ledger::Jobs& jobs, ledger::Moment now,
+  [[nodiscard]] std::optional<kv::Txn> next_write(const record_cache::Jobs& jobs, record_cache::Moment now,
                                                   std::size_t changes_most) override;
   void on_written(const kv::Txn& txn, const kv::TxnResult& result) override;
 
@@ -76,7 +76,7 @@
   template <typename Data>
   struct Kept {
     Data data;
-    Revision mark;
+    Revision revision;
   };
   // Machine time that is in no record yet.
   struct Span {
@@ -100,22 +100,22 @@
   };
   using Chunks = std::map<std::uint64_t, Kept<Held>>;
 
-  void read(const std::string& key, const wire::Value* data, Revision mark);
+  void read(const std::string& key, const wire::Value* data, Revision revision);
   [[nodiscard]] const catalog::PoolDef* pool(const std::string& name) const;
   // No record of it is of a newer form.
   [[nodiscard]] bool may_write(const std::string& pool) const;
-  [[nodiscard]] const Sight* sight_of(const MachineId& machine) const;
+  [[nodiscard]] const MachineObservation* sight_of(const MachineId& machine) const;
   [[nodiscard]] std::uint32_t members_of(const std::string& pool) const;
   [[nodiscard]] const PoolState& state_of(const std::string& pool) const;
   [[nodiscard]] std::uint32_t outstanding(const std::string& pool, const std::string& zone) const;
   [[nodiscard]] bool has_room(const catalog::PoolDef& pool, const std::string& type) const;
   [[nodiscard]] bool takes(const catalog::PoolDef& pool, const std::string& type, const std::string& zone,
                            bool spot) const;
-  [[nodiscard]] bool warm(const catalog::PoolDef& pool, const Sight& sight) const;
+  [[nodiscard]] bool warm(const catalog::PoolDef& pool, const MachineObservation& observation) const;
   [[nodiscard]] std::uint64_t price_of(const std::string& type, bool spot) const;
   [[nodiscard]] Wish wish(const catalog::PoolDef& pool, std::uint64_t wall_ms) const;
-  [[nodiscard]] std::optional<wire::RentRequest> choose(const catalog::PoolDef& pool, std::uint32_t wanted,
-                                                        std::uint64_t wall_ms) const;
+  [[nodiscard]] std::optional<wire::ScaleOutRequest> choose(const catalog::PoolDef& pool, std::uint32_t wanted,
+                                                            std::uint64_t wall_ms) const;
 
   PoolState& state_in(Draft& draft) const;
   Held& held_in(Draft& draft, std::uint64_t number) const;
@@ -131,13 +131,13 @@
   [[nodiscard]] std::optional<kv::Txn> let_go(const std::string& pool, std::uint64_t wall_ms) const;
   [[nodiscard]] std::optional<kv::Txn> adopt(const catalog::PoolDef& pool, std::uint64_t wall_ms) const;
   [[nodiscard]] std::optional<kv::Txn> rent(const catalog::PoolDef& pool, std::uint64_t wall_ms) const;
-  [[nodiscard]] std::optional<kv::Txn> charge_due(const std::string& pool, ledger::Moment now) const;
-  [[nodiscard]] std::optional<kv::Txn> tell_state(const catalog::PoolDef& pool, ledger::Moment now) const;
-  [[nodiscard]] std::optional<kv::Txn> tell_holds(ledger::Moment now);
+  [[nodiscard]] std::optional<kv::Txn> charge_due(const std::string& pool, record_cache::Moment now) const;
+  [[nodiscard]] std::optional<kv::Txn> tell_state(const catalog::PoolDef& pool, record_cache::Moment now) const;
+  [[nodiscard]] std::optional<kv::Txn> tell_holds(record_cache::Moment now);
   [[nodiscard]] std::optional<kv::Txn> clear_away(std::uint64_t wall_ms) const;
-  [[nodiscard]] std::optional<kv::Txn> decide(ledger::Moment now);
+  [[nodiscard]] std::optional<kv::Txn> decide(record_cache::Moment now);
   // Whether the record was left alone for so long by this leader.
-  [[nodiscard]] bool rested(const std::string& key, ledger::Moment now, std::chrono::milliseconds span) const;
+  [[nodiscard]] bool rested(const std::string& key, record_cache::Moment now, std::chrono::milliseconds span) const;
 
   OpenNow open_now_;
   std::size_t value_bytes_;
@@ -155,9 +155,9 @@
   std::uint64_t changes_ = 0;
 
   // of this leader
-  Sighting sight_;
-  std::map<MachineId, const Sight*> sights_;
-  std::optional<ledger::Moment> seen_;
+  FleetObservation observation_;
+  std::map<MachineId, const MachineObservation*> observations_;
+  std::optional<record_cache::Moment> seen_;
   std::map<MachineId, std::vector<Span>> spans_;
   std::map<MachineId, std::chrono::steady_clock::time_point> unseen_;
   std::map<std::string, accounts::Starts> starts_;
--- a/src/pools/records.h
+++ b/src/pools/records.h
@@ -50,7 +50,7 @@
 
 struct Rent {
   std::string pool;
-  wire::RentRequest request;
+  wire::ScaleOutRequest request;
   std::uint64_t asked_ms = 0;
 };
 
--- a/src/preempt/preempt.cpp
+++ b/src/preempt/preempt.cpp
@@ -17,8 +17,8 @@
 
 bool may_displace(const Need& need, const Victim& victim) {
   if (!entitled(need, victim) || victim.kept) return false;
-  if (victim.ran < constants::kPreemptRanLeast || victim.left < constants::kPreemptLeftLeast) return false;
-  if (victim.spared && *victim.spared < constants::kPreemptSpared) return false;
+  if (victim.ran < constants::kMinRunBeforePreemption || victim.left < constants::kMinRemainingToPreempt) return false;
+  if (victim.spared && *victim.spared < constants::kPreemptionCooldown) return false;
   return victim.lost <= need.wait;
 }
 
--- a/src/standby/listener.cpp
+++ b/src/standby/listener.cpp
@@ -11,37 +11,37 @@
   Millis ahead{};  // of this clock
 
   Instant operator()(Instant when) const { return when + ahead; }
-  What operator()(const What& what) const {
-    return std::visit([this](const auto& one) -> What { return reckon(one); }, what);
+  EntryValue operator()(const EntryValue& what) const {
+    return std::visit([this](const auto& one) -> EntryValue { return reckon(one); }, what);
   }
 
  private:
-  What reckon(const Shared<Machine>& machine) const {
+  EntryValue reckon(const Shared<Machine>& machine) const {
     Machine here = *machine;
     here.since += ahead;
     here.ready += ahead;
     return Shared(std::move(here));
   }
-  What reckon(Task task) const {
+  EntryValue reckon(Task task) const {
     if (task.began) *task.began += ahead;
     return task;
   }
-  What reckon(const Shared<Trouble>& trouble) const {
-    Trouble here = *trouble;
+  EntryValue reckon(const Shared<JobFailures>& trouble) const {
+    JobFailures here = *trouble;
     here.not_before += ahead;
     return Shared(std::move(here));
   }
-  What reckon(const Shared<Refusal>& refusal) const {
+  EntryValue reckon(const Shared<Refusal>& refusal) const {
     Refusal here = *refusal;
     here.not_before += ahead;
     return Shared(std::move(here));
   }
-  What reckon(Arrivals arrivals) const {
+  EntryValue reckon(Arrivals arrivals) const {
     arrivals.from += ahead;
     return arrivals;
   }
-  What reckon(const Shared<Sample>& sample) const { return sample; }
-  What reckon(const Shared<GpuDemand>& demand) const {
+  EntryValue reckon(const Shared<Sample>& sample) const { return sample; }
+  EntryValue reckon(const Shared<GpuDemand>& demand) const {
     GpuDemand here = *demand;
     for (auto& [when, unused] : here.peaks) when += ahead;
     return Shared(std::move(here));
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-Ask Listener::next_ask(const NodeName& told_by) {
+SnapshotRequest Subscriber::next_request(const NodeName& told_by) {
   asked_of_ = told_by;
   answered_ = false;
   const Held& of = coming_ ? *coming_ : held_;
@@ -58,9 +58,9 @@
   return {.node = self_, .number = ++asked_, .life = same ? of.life : 0, .sequence = same ? of.sequence : 0};
 }
 
-void Listener::hear_of(Term term) { least_ = std::max(least_, term); }
+void Subscriber::observe_term(Term term) { least_ = std::max(least_, term); }
 
-std::optional<std::string> Listener::on_answer(std::string_view bytes, Instant now) {
+std::optional<std::string> Subscriber::on_answer(std::string_view bytes, Instant now) {
   const auto refuse = [this](std::string why) {
     ++counts_.refused;
     // Whatever is wrong with it, what comes next is asked for from the start.
@@ -73,22 +73,22 @@
     ++counts_.refused;
     return "nothing was asked";
   }
-  if (bytes.size() > constants::kStandbyAnswerBytesMost) return refuse("it is too long");
+  if (bytes.size() > constants::kMaxStandbyAnswerBytes) return refuse("it is too long");
   try {
-    const Word word = word_from(wire::decode(bytes));
+    const Message word = message_from(wire::decode(bytes));
     if (word.number != asked_) {
       ++counts_.refused;
       return "it answers an earlier ask";
     }
     answered_ = true;
     if (word.term < least_) return refuse("it is of an older term");
-    if (word.at - word.taken > constants::kStandbyOldest) return refuse("it is too old");
+    if (word.at - word.taken > constants::kMaxSoftStateAge) return refuse("it is too old");
     const Held& of = coming_ ? *coming_ : held_;
     const bool continues = word.after != 0;
     if (continues && (of.from != asked_of_ || of.life != word.life || of.sequence != word.after)) {
       return refuse("there is a gap before it");
     }
-    if ((continues ? of.facts.size() : 0) + word.changes.size() > constants::kStandbyFactsMost) {
+    if ((continues ? of.entries.size() : 0) + word.changes.size() > constants::kMaxStandbyFacts) {
       return refuse("it tells too much");
     }
     take(word, now);
@@ -100,7 +100,7 @@
   }
 }
 
-void Listener::take(const Word& word, Instant now) {
+void Subscriber::take(const Message& word, Instant now) {
   if (word.after == 0) {
     ++counts_.wholes;
     coming_.emplace();
@@ -111,9 +111,9 @@
   const Reckoning reckon{now - word.at};
   for (const Change& change : word.changes) {
     if (change.what) {
-      of.facts.insert_or_assign(change.key, reckon(*change.what));
+      of.entries.insert_or_assign(change.key, reckon(*change.what));
     } else {
-      of.facts.erase(change.key);
+      of.entries.erase(change.key);
     }
   }
   of.sequence = word.upto;
@@ -129,17 +129,17 @@
   whole_since_ = now;
 }
 
-std::optional<Millis> Listener::age(Instant now) const {
+std::optional<Millis> Subscriber::age(Instant now) const {
   if (!whole_since_) return std::nullopt;
   return now - held_.taken;
 }
 
-std::optional<Picture> Listener::picture(Instant now) const {
-  if (!whole_since_ || now - held_.taken > constants::kStandbyOldest) return std::nullopt;
-  Picture picture{.term = held_.term, .taken = held_.taken, .starts_s = held_.starts_s, .facts = {}};
-  picture.facts.reserve(held_.facts.size());
-  for (const auto& [key, what] : held_.facts) picture.facts.push_back({.key = key, .what = what});
-  return picture;
+std::optional<SoftStateSnapshot> Subscriber::snapshot(Instant now) const {
+  if (!whole_since_ || now - held_.taken > constants::kMaxSoftStateAge) return std::nullopt;
+  SoftStateSnapshot snapshot{.term = held_.term, .taken = held_.taken, .starts_s = held_.starts_s, .entries = {}};
+  snapshot.entries.reserve(held_.entries.size());
+  for (const auto& [key, what] : held_.entries) snapshot.entries.push_back({.key = key, .what = what});
+  return snapshot;
 }
 
 }  // namespace foxshunt::standby
--- a/src/standby/listener.h
+++ b/src/standby/listener.h
@@ -12,27 +12,27 @@
 
 namespace foxshunt::standby {
 
-class Listener {
+class Subscriber {
  public:
-  explicit Listener(NodeName self) : self_(std::move(self)) {}
+  explicit Subscriber(NodeName self) : self_(std::move(self)) {}
 
   // `told_by`: whom it will ask; another one than before tells all from the start.
-  [[nodiscard]] Ask next_ask(const NodeName& told_by);
+  [[nodiscard]] SnapshotRequest next_request(const NodeName& told_by);
   // The bytes of the answer to the newest ask. Nothing if it was taken, else why not.
   std::optional<std::string> on_answer(std::string_view bytes, Instant now);
   // What siblings and records tell of terms: words of older ones are refused from now on.
-  void hear_of(Term term);
+  void observe_term(Term term);
 
   // Whether there has ever been a whole picture.
   [[nodiscard]] bool holds() const { return whole_since_.has_value(); }
   // Whether what it was last told was all that there was to tell.
   [[nodiscard]] bool caught_up() const { return caught_up_; }
   // A copy of the last whole picture, by this node's clock; nothing if there is none, or if it is older than hints may be.
-  [[nodiscard]] std::optional<Picture> picture(Instant now) const;
+  [[nodiscard]] std::optional<SoftStateSnapshot> snapshot(Instant now) const;
   [[nodiscard]] std::optional<Millis> age(Instant now) const;
   [[nodiscard]] Term term() const { return held_.term; }
   [[nodiscard]] std::uint64_t sequence() const { return held_.sequence; }
-  [[nodiscard]] std::size_t facts() const { return held_.facts.size(); }
+  [[nodiscard]] std::size_t entries() const { return held_.entries.size(); }
 
   struct Counts {
     std::uint64_t words = 0;
@@ -50,9 +50,9 @@
     Term term;
     Instant taken;
     double starts_s = 0;
-    std::map<Key, What> facts;
+    std::map<Key, EntryValue> entries;
   };
-  void take(const Word& word, Instant now);
+  void take(const Message& word, Instant now);
 
   NodeName self_;
   std::uint64_t asked_ = 0;
--- a/src/standby/phases.cpp
+++ b/src/standby/phases.cpp
@@ -6,11 +6,11 @@
 
 namespace foxshunt::standby {
 
-void Phases::noticed(Instant when) {
+void FailoverTimeline::noticed(Instant when) {
   if (!noticed_) noticed_ = when;
 }
 
-void Phases::led(Term term, Instant took, Instant knew, std::optional<double> former_s) {
+void FailoverTimeline::led(Term term, Instant took, Instant knew, std::optional<double> former_s) {
   term_ = term;
   ++takeovers_;
   at_ = {};
@@ -29,17 +29,17 @@
   watching_ = true;
 }
 
-void Phases::hinted(std::size_t facts, std::optional<double> former_s) {
-  hints_ = facts;
+void FailoverTimeline::hinted(std::size_t entries, std::optional<double> former_s) {
+  hints_ = entries;
   if (former_s) former_s_ = former_s;
 }
 
-void Phases::reached(Phase phase, Instant when) {
+void FailoverTimeline::reached(Phase phase, Instant when) {
   auto& at = at_[static_cast<std::size_t>(phase)];
   if (!at) at = when;
 }
 
-void Phases::started(std::uint64_t tasks, Instant when) {
+void FailoverTimeline::started(std::uint64_t tasks, Instant when) {
   if (tasks == 0) return;
   starts_ += tasks;
   if (!started_.empty() && started_.back().first == when) {
@@ -47,17 +47,17 @@
   } else {
     started_.emplace_back(when, tasks);
   }
-  while (when - started_.front().first > constants::kTakeoverFormer) started_.pop_front();
+  while (when - started_.front().first > constants::kFailoverFormerLeaderTimeout) started_.pop_front();
   if (!watching_) return;
   reached(Phase::started, when);
-  const double seconds = std::chrono::duration<double>(constants::kTakeoverRate).count();
+  const double seconds = std::chrono::duration<double>(constants::kFailoverRateShare).count();
   if (former_s_ &&
-      static_cast<double>(starts_within(constants::kTakeoverRate, when)) >= std::floor(*former_s_ * seconds)) {
+      static_cast<double>(starts_within(constants::kFailoverRateShare, when)) >= std::floor(*former_s_ * seconds)) {
     reached(Phase::rate, when);
   }
 }
 
-std::uint64_t Phases::starts_within(Millis span, Instant now) const {
+std::uint64_t FailoverTimeline::starts_within(Millis span, Instant now) const {
   std::uint64_t count = 0;
   for (auto entry = started_.rbegin(); entry != started_.rend() && now - entry->first <= span; ++entry) {
     count += entry->second;
@@ -65,20 +65,20 @@
   return count;
 }
 
-double Phases::starts_s(Instant now) const {
-  return static_cast<double>(starts_within(constants::kTakeoverFormer, now)) /
-         std::chrono::duration<double>(constants::kTakeoverFormer).count();
+double FailoverTimeline::starts_s(Instant now) const {
+  return static_cast<double>(starts_within(constants::kFailoverFormerLeaderTimeout, now)) /
+         std::chrono::duration<double>(constants::kFailoverFormerLeaderTimeout).count();
 }
 
-std::optional<Millis> Phases::span(Phase phase) const {
+std::optional<Millis> FailoverTimeline::span(Phase phase) const {
   const auto& at = at_[static_cast<std::size_t>(phase)];
   if (!at || !began_) return std::nullopt;
   return *at - *began_;
 }
 
-std::optional<std::string> Phases::line(Instant now) {
+std::optional<std::string> FailoverTimeline::line(Instant now) {
   if (!watching_) return std::nullopt;
-  if (!span(Phase::rate) && now - knew_ < constants::kTakeoverWatch) return std::nullopt;
+  if (!span(Phase::rate) && now - knew_ < constants::kFailoverWatchTimeout) return std::nullopt;
   watching_ = false;
   std::string text = "takeover term=" + std::to_string(term_.number());
   text += " hints=" + (hints_ ? std::to_string(*hints_) : std::string("none"));
--- a/src/standby/phases.h
+++ b/src/standby/phases.h
@@ -20,7 +20,7 @@
 enum class Phase : std::uint8_t { noticed, took, knew, heard, planned, placed, started, rate };
 inline constexpr std::array kPhaseNames{"noticed", "took", "knew", "heard", "planned", "placed", "started", "rate"};
 
-class Phases {
+class FailoverTimeline {
  public:
   // The last that was heard of the leader; a later one ends nothing that is being watched.
   void sign(Instant when) {
@@ -31,7 +31,7 @@
   void noticed(Instant when);
   // This node leads. `former_s`: starts a second before, if that is known.
   void led(Term term, Instant took, Instant knew, std::optional<double> former_s);
-  void hinted(std::size_t facts, std::optional<double> former_s);
+  void hinted(std::size_t entries, std::optional<double> former_s);
   // The first time of each counts.
   void reached(Phase phase, Instant when);
   void started(std::uint64_t tasks, Instant when);
--- a/src/standby/picture.h
+++ b/src/standby/picture.h
@@ -41,7 +41,7 @@
   std::string zone;
   bool spot = false;
   bool up = false;  // otherwise it boots
-  SessionNo session;
+  AgentIncarnation incarnation;
   Instant since;  // rented, or first heard of
   Instant ready;  // of one that boots: when it is expected
   std::uint64_t errors = 0;
@@ -51,18 +51,18 @@
 
 // A task that runs, or has progress saved.
 struct Task {
-  AttemptNo attempt;             // 0: it does not run
+  AttemptNumber attempt;         // 0: it does not run
   std::optional<Instant> began;  // of that attempt
   Millis saved{};                // progress of earlier attempts
   friend bool operator==(const Task&, const Task&) = default;
 };
 
 // A job whose tasks fail.
-struct Trouble {
+struct JobFailures {
   std::uint64_t errors = 0;
   Instant not_before;
   std::vector<MachineId> failed_on;
-  friend bool operator==(const Trouble&, const Trouble&) = default;
+  friend bool operator==(const JobFailures&, const JobFailures&) = default;
 };
 
 // A kind of machine of which the cloud refused more.
@@ -107,8 +107,8 @@
 inline constexpr std::size_t kKinds = 7;
 
 // In the order of Kind.
-using What =
-    std::variant<Shared<Machine>, Task, Shared<Trouble>, Shared<Refusal>, Arrivals, Shared<Sample>, Shared<GpuDemand>>;
+using EntryValue = std::variant<Shared<Machine>, Task, Shared<JobFailures>, Shared<Refusal>, Arrivals, Shared<Sample>,
+                                Shared<GpuDemand>>;
 
 struct Key {
   Kind kind = Kind::machine;
@@ -117,20 +117,21 @@
   friend auto operator<=>(const Key&, const Key&) = default;
 };
 
-struct Fact {
+struct SoftStateEntry {
   Key key;
-  What what;
-  friend bool operator==(const Fact&, const Fact&) = default;
+  EntryValue what;
+  friend bool operator==(const SoftStateEntry&, const SoftStateEntry&) = default;
 };
 
-struct Picture {
+struct SoftStateSnapshot {
   Term term;
-  Instant taken;            // by the clock of the node that holds it
-  double starts_s = 0;      // tasks begun a second, of late
-  std::vector<Fact> facts;  // by key, each once
+  Instant taken;                        // by the clock of the node that holds it
+  double starts_s = 0;                  // tasks begun a second, of late
+  std::vector<SoftStateEntry> entries;  // by key, each once
 
   [[nodiscard]] std::size_t count(Kind kind) const {
-    return static_cast<std::size_t>(std::ranges::count(facts, kind, [](const Fact& fact) { return fact.key.kind; }));
+    return static_cast<std::size_t>(
+        std::ranges::count(entries, kind, [](const SoftStateEntry& fact) { return fact.key.kind; }));
   }
 };
 
--- a/src/standby/teller.h
+++ b/src/standby/teller.h
@@ -11,35 +11,35 @@
 
 namespace foxshunt::standby {
 
-class Teller {
+class Publisher {
  public:
   // `life`: higher than that of earlier lives of the process. Never 0.
-  explicit Teller(std::uint64_t life) : life_(life) {}
+  explicit Publisher(std::uint64_t life) : life_(life) {}
 
   // Whether it is time to look again: pictures cost the leader, words do not.
-  [[nodiscard]] bool wants_picture(Instant now) const;
+  [[nodiscard]] bool wants_snapshot(Instant now) const;
   // The newest picture; facts that are as they were are not told again.
-  void show(Picture picture);
+  void show(SoftStateSnapshot snapshot);
   // Nothing when there is no picture yet, or when it has told so much of late that this word has to wait.
-  [[nodiscard]] std::optional<Word> tell(const Ask& ask, Instant now);
+  [[nodiscard]] std::optional<Message> tell(const SnapshotRequest& ask, Instant now);
 
   [[nodiscard]] std::uint64_t life() const { return life_; }
   [[nodiscard]] std::uint64_t last() const { return last_; }
-  [[nodiscard]] std::size_t facts() const { return facts_.size(); }
+  [[nodiscard]] std::size_t entries() const { return entries_.size(); }
   struct Counts {
     std::uint64_t words = 0;
-    std::uint64_t wholes = 0;  // words that began from nothing
-    std::uint64_t facts = 0;   // told, those that ended included
+    std::uint64_t wholes = 0;   // words that began from nothing
+    std::uint64_t entries = 0;  // told, those that ended included
     std::uint64_t put_off = 0;
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
   struct Known {
-    std::optional<What> what;  // none: it has ended, and askers may not know yet
+    std::optional<EntryValue> what;  // none: it has ended, and askers may not know yet
     std::uint64_t changed = 0;
   };
-  void change(const Key& key, std::optional<What> what);
+  void change(const Key& key, std::optional<EntryValue> what);
   void forget_ended();
 
   std::uint64_t life_;
@@ -49,7 +49,7 @@
   Term term_;
   double starts_s_ = 0;
   Instant taken_;
-  std::map<Key, Known> facts_;
+  std::map<Key, Known> entries_;
   std::map<std::uint64_t, Key> order_;  // by their latest change
   std::deque<std::uint64_t> ended_;     // in that order
   std::deque<Instant> told_;            // within the last second
--- a/src/standby/words.cpp
+++ b/src/standby/words.cpp
@@ -36,7 +36,7 @@
   [[nodiscard]] bool over() const { return at_ == list_.size(); }
   const std::string& text() {
     const std::string* found = next().as_text();
-    if (found == nullptr || found->size() > constants::kStandbyTextMost) throw Malformed("facts: a text is missing");
+    if (found == nullptr || found->size() > constants::kMaxStandbyText) throw Malformed("facts: a text is missing");
     return *found;
   }
   std::uint64_t count() {
@@ -66,7 +66,7 @@
   }
   const Value::List& list() {
     const Value::List* found = next().as_list();
-    if (found == nullptr || found->size() > constants::kStandbyListMost) throw Malformed("facts: a list is missing");
+    if (found == nullptr || found->size() > constants::kMaxStandbyList) throw Malformed("facts: a list is missing");
     return *found;
   }
 
@@ -90,19 +90,19 @@
 void put(Value::List& into, const Shared<Machine>& machine) {
   Value::List images(machine->images.begin(), machine->images.end());
   for (Value field : {Value(machine->address), Value(machine->type), Value(machine->zone), Value(machine->spot),
-                      Value(machine->up), Value(machine->session.number()), Value(count_ms(machine->since)),
+                      Value(machine->up), Value(machine->incarnation.number()), Value(count_ms(machine->since)),
                       Value(count_ms(machine->ready)), Value(machine->errors), Value(std::move(images))}) {
     into.push_back(std::move(field));
   }
 }
-What machine_from(Fields& fields) {
+EntryValue machine_from(Fields& fields) {
   Machine machine;
   machine.address = fields.text();
   machine.type = fields.text();
   machine.zone = fields.text();
   machine.spot = fields.flag();
   machine.up = fields.flag();
-  machine.session = SessionNo(fields.count());
+  machine.incarnation = AgentIncarnation(fields.count());
   machine.since = fields.instant();
   machine.ready = fields.instant();
   machine.errors = fields.count();
@@ -117,23 +117,23 @@
   into.push_back(task.began ? Value(count_ms(*task.began)) : Value());
   into.emplace_back(count_ms(task.saved));
 }
-What task_from(Fields& fields) {
+EntryValue task_from(Fields& fields) {
   Task task;
-  task.attempt = AttemptNo(fields.count());
+  task.attempt = AttemptNumber(fields.count());
   task.began = fields.perhaps_instant();
   task.saved = fields.span();
   return task;
 }
 
-void put(Value::List& into, const Shared<Trouble>& trouble) {
+void put(Value::List& into, const Shared<JobFailures>& trouble) {
   into.emplace_back(trouble->errors);
   into.emplace_back(count_ms(trouble->not_before));
   Value::List machines;
   for (const MachineId& machine : trouble->failed_on) machines.emplace_back(machine.text());
   into.emplace_back(std::move(machines));
 }
-What trouble_from(Fields& fields) {
-  Trouble trouble;
+EntryValue trouble_from(Fields& fields) {
+  JobFailures trouble;
   trouble.errors = fields.count();
   trouble.not_before = fields.instant();
   const Value::List& machines = fields.list();
@@ -149,7 +149,7 @@
   into.emplace_back(count_ms(refusal->pause));
   into.push_back(refusal->most ? Value(*refusal->most) : Value());
 }
-What refusal_from(Fields& fields) {
+EntryValue refusal_from(Fields& fields) {
   Refusal refusal;
   refusal.zone = fields.text();
   refusal.spot = fields.flag();
@@ -164,12 +164,12 @@
   into.emplace_back(arrivals.jobs);
   into.emplace_back(arrivals.tasks);
 }
-What arrivals_from(Fields& fields) {
+EntryValue arrivals_from(Fields& fields) {
   Arrivals arrivals;
   arrivals.from = fields.instant();
   arrivals.jobs = fields.count();
   arrivals.tasks = fields.count();
-  if (arrivals.jobs > constants::kStandbyArrivalsMost) throw Malformed("facts: too many arrivals at once");
+  if (arrivals.jobs > constants::kMaxStandbyArrivals) throw Malformed("facts: too many arrivals at once");
   return arrivals;
 }
 
@@ -180,7 +180,7 @@
   into.emplace_back(sample->spot);
   into.emplace_back(sample->largest);
 }
-What sample_from(Fields& fields) {
+EntryValue sample_from(Fields& fields) {
   Sample sample;
   for (double* amount : {&sample.cpus, &sample.gpus, &sample.ram_gb, &sample.image_gb, &sample.estimate_s}) {
     *amount = fields.amount();
@@ -200,7 +200,7 @@
   }
   into.emplace_back(std::move(peaks));
 }
-What gpus_from(Fields& fields) {
+EntryValue gpus_from(Fields& fields) {
   GpuDemand demand;
   demand.cpus_beside = fields.count();
   demand.ram_beside = fields.count();
@@ -213,7 +213,7 @@
   return Shared(std::move(demand));
 }
 
-What what_from(Kind kind, Fields& fields) {
+EntryValue what_from(Kind kind, Fields& fields) {
   switch (kind) {
     case Kind::machine: return machine_from(fields);
     case Kind::task: return task_from(fields);
@@ -256,7 +256,7 @@
            texts_of(machine->images);
   }
   std::size_t operator()(const Task&) const { return 3 * kHead; }
-  std::size_t operator()(const Shared<Trouble>& trouble) const {
+  std::size_t operator()(const Shared<JobFailures>& trouble) const {
     std::size_t bytes = 3 * kHead;
     for (const MachineId& machine : trouble->failed_on) bytes += machine.text().size() + kHead;
     return bytes;
@@ -278,7 +278,7 @@
   return key + (change.what ? std::visit(Bytes{}, *change.what) : 0);
 }
 
-Value to_value(const Ask& ask) {
+Value to_value(const SnapshotRequest& ask) {
   return Value::Map{{"standby", kFormat},
                     {"node", ask.node.text()},
                     {"number", ask.number},
@@ -286,7 +286,7 @@
                     {"held", ask.sequence}};
 }
 
-Ask ask_from(const Value& value) {
+SnapshotRequest snapshot_request_from(const Value& value) {
   check_format(value);
   return {.node = NodeName(value.text("node")),
           .number = value.count("number"),
@@ -294,9 +294,9 @@
           .sequence = value.count("held")};
 }
 
-Value to_value(const Word& word) {
-  Value::List facts;
-  facts.reserve(word.changes.size());
+Value to_value(const Message& word) {
+  Value::List entries;
+  entries.reserve(word.changes.size());
   for (const Change& change : word.changes) {
     Value::List fact;
     fact.reserve(14);
@@ -304,32 +304,32 @@
     fact.emplace_back(change.key.name);
     fact.emplace_back(std::uint64_t{change.key.number});
     if (change.what) std::visit([&fact](const auto& what) { put(fact, what); }, *change.what);
-    facts.emplace_back(std::move(fact));
+    entries.emplace_back(std::move(fact));
   }
-  return Value::Map{{"standby", kFormat},         {"number", word.number},    {"life", word.life},
-                    {"term", word.term.number()}, {"at", count_ms(word.at)},  {"taken", count_ms(word.taken)},
-                    {"starts", word.starts_s},    {"after", word.after},      {"upto", word.upto},
-                    {"last", word.last},          {"facts", std::move(facts)}};
+  return Value::Map{{"standby", kFormat},         {"number", word.number},      {"life", word.life},
+                    {"term", word.term.number()}, {"at", count_ms(word.at)},    {"taken", count_ms(word.taken)},
+                    {"starts", word.starts_s},    {"after", word.after},        {"upto", word.upto},
+                    {"last", word.last},          {"facts", std::move(entries)}};
 }
 
-Word word_from(const Value& value) {
+Message message_from(const Value& value) {
   check_format(value);
-  Word word{.number = value.count("number"),
-            .life = value.count("life"),
-            .term = Term(value.count("term")),
-            .at = instant_of(value.count("at"), "at"),
-            .taken = instant_of(value.count("taken"), "taken"),
-            .starts_s = value.amount("starts"),
-            .after = value.count("after"),
-            .upto = value.count("upto"),
-            .last = value.count("last"),
-            .changes = {}};
+  Message word{.number = value.count("number"),
+               .life = value.count("life"),
+               .term = Term(value.count("term")),
+               .at = instant_of(value.count("at"), "at"),
+               .taken = instant_of(value.count("taken"), "taken"),
+               .starts_s = value.amount("starts"),
+               .after = value.count("after"),
+               .upto = value.count("upto"),
+               .last = value.count("last"),
+               .changes = {}};
   if (word.life == 0) throw Malformed("life: must be above 0");
   if (word.after > word.upto || word.upto > word.last) throw Malformed("upto: is out of order");
   if (word.taken > word.at) throw Malformed("taken: is yet to come");
-  const Value::List& facts = value.list("facts");
-  word.changes.reserve(facts.size());
-  for (const Value& fact : facts) word.changes.push_back(change_from(fact));
+  const Value::List& entries = value.list("facts");
+  word.changes.reserve(entries.size());
+  for (const Value& fact : entries) word.changes.push_back(change_from(fact));
   return word;
 }
 
--- a/src/standby/words.h
+++ b/src/standby/words.h
@@ -12,21 +12,21 @@
 namespace foxshunt::standby {
 
 // What a node asks of a sibling, with what it holds of it.
-struct Ask {
+struct SnapshotRequest {
   NodeName node;
   std::uint64_t number = 0;    // grows within the asker's life; the answer repeats it
   std::uint64_t life = 0;      // of the teller whose words it holds; 0: of none
   std::uint64_t sequence = 0;  // up to which it holds them
-  friend bool operator==(const Ask&, const Ask&) = default;
+  friend bool operator==(const SnapshotRequest&, const SnapshotRequest&) = default;
 };
 
 struct Change {
   Key key;
-  std::optional<What> what;  // none: it is no longer so
+  std::optional<EntryValue> what;  // none: it is no longer so
   friend bool operator==(const Change&, const Change&) = default;
 };
 
-struct Word {
+struct Message {
   std::uint64_t number = 0;  // of the ask
   std::uint64_t life = 0;    // of the teller's process
   Term term;                 // of the leader whose state it is
@@ -37,16 +37,16 @@
   std::uint64_t upto = 0;   // up to this,
   std::uint64_t last = 0;   // of all up to this
   std::vector<Change> changes;
-  friend bool operator==(const Word&, const Word&) = default;
+  friend bool operator==(const Message&, const Message&) = default;
 };
 
 // An upper bound of what the change takes in a word.
 [[nodiscard]] std::size_t bytes_of(const Change& change);
 
 // Both directions throw wire::Malformed, naming the field.
-[[nodiscard]] wire::Value to_value(const Ask& ask);
-[[nodiscard]] Ask ask_from(const wire::Value& value);
-[[nodiscard]] wire::Value to_value(const Word& word);
-[[nodiscard]] Word word_from(const wire::Value& value);
+[[nodiscard]] wire::Value to_value(const SnapshotRequest& ask);
+[[nodiscard]] SnapshotRequest snapshot_request_from(const wire::Value& value);
+[[nodiscard]] wire::Value to_value(const Message& word);
+[[nodiscard]] Message message_from(const wire::Value& value);
 
 }  // namespace foxshunt::standby
--- a/src/state/job_records.cpp
+++ b/src/state/job_records.cpp
@@ -13,12 +13,12 @@
 using wire::Malformed;
 using wire::Value;
 
-std::uint32_t parts_of(std::uint32_t tasks) {
-  return (tasks + constants::kTasksPerPart - 1) / constants::kTasksPerPart;
+std::uint32_t shard_count(std::uint32_t tasks) {
+  return (tasks + constants::kTasksPerShard - 1) / constants::kTasksPerShard;
 }
 
-std::uint32_t part_size(std::uint32_t tasks, std::uint32_t part) {
-  return std::min(constants::kTasksPerPart, tasks - part * constants::kTasksPerPart);
+std::uint32_t shard_size(std::uint32_t tasks, std::uint32_t shard) {
+  return std::min(constants::kTasksPerShard, tasks - shard * constants::kTasksPerShard);
 }
 
 namespace {
@@ -65,32 +65,32 @@
 
 }  // namespace
 
-Value to_value(const PartRecord& part) {
+Value to_value(const JobShardRecord& shard) {
   Value::List runs;
-  for (const RunRecord& run : part.runs) {
+  for (const AllocationRecord& run : shard.allocations) {
     runs.emplace_back(
-        Value::List{std::uint64_t{run.index}, run.attempt.number(), run.machine.text(), run.session.number()});
+        Value::List{std::uint64_t{run.index}, run.attempt.number(), run.machine.text(), run.incarnation.number()});
   }
   return Value::Map{
-      {kNextAttemptField, part.next.number()}, {kDoneField, bits_to_text(part.done)}, {kRunsField, std::move(runs)}};
+      {kNextAttemptField, shard.next.number()}, {kDoneField, bits_to_text(shard.done)}, {kRunsField, std::move(runs)}};
 }
 
-PartRecord part_from(const Value& value, std::uint32_t size) {
-  PartRecord part;
-  part.next = AttemptNo(value.count(kNextAttemptField));
-  part.done = bits_from_text(value.text(kDoneField), size);
+JobShardRecord job_shard_from(const Value& value, std::uint32_t size) {
+  JobShardRecord shard;
+  shard.next = AttemptNumber(value.count(kNextAttemptField));
+  shard.done = bits_from_text(value.text(kDoneField), size);
   for (const Value& entry : value.list(kRunsField)) {
     const Value::List* run = entry.as_list();
     if (run == nullptr || run->size() != 4 || (*run)[0].as_count() == nullptr || (*run)[1].as_count() == nullptr ||
         (*run)[2].as_text() == nullptr || (*run)[3].as_count() == nullptr) {
       throw Malformed(std::string(kRunsField) + ": entry is not a placement");
     }
-    part.runs.push_back({.index = static_cast<std::uint32_t>(*(*run)[0].as_count()),
-                         .attempt = AttemptNo(*(*run)[1].as_count()),
-                         .machine = MachineId(*(*run)[2].as_text()),
-                         .session = SessionNo(*(*run)[3].as_count())});
+    shard.allocations.push_back({.index = static_cast<std::uint32_t>(*(*run)[0].as_count()),
+                                 .attempt = AttemptNumber(*(*run)[1].as_count()),
+                                 .machine = MachineId(*(*run)[2].as_text()),
+                                 .incarnation = AgentIncarnation(*(*run)[3].as_count())});
   }
-  return part;
+  return shard;
 }
 
 Value to_value(const JobRecord& job) {
@@ -110,7 +110,7 @@
   job.spec = wire::job_spec_from(value[kSpecField]);
   job.submitted_wall_ms = static_cast<std::int64_t>(value.count(kSubmittedMsField));
   if (!value[kOnlyPartField].is_null()) {
-    job.whole = part_from(value[kOnlyPartField], part_size(job.spec.tasks, 0));
+    job.whole = job_shard_from(value[kOnlyPartField], shard_size(job.spec.tasks, 0));
   } else {
     job.done_shown = value.count(kDoneField);
     job.running_shown = value.count(kRunningField);
@@ -118,17 +118,17 @@
   return job;
 }
 
-Value over_value(const wire::JobStatus& status) {
+Value finished_job_value(const wire::JobStatus& status) {
   return Value::Map{{kFinalStateField, wire::name_of(status.state)}, {kDoneField, status.done}};
 }
 
-wire::JobStatus over_from(const JobId& job, const Value& value) {
+wire::JobStatus finished_job_from(const JobId& job, const Value& value) {
   const std::string& end = value.text(kFinalStateField);
-  if (end != wire::name_of(wire::JobState::done) && end != wire::name_of(wire::JobState::withdrawn)) {
+  if (end != wire::name_of(wire::JobState::done) && end != wire::name_of(wire::JobState::cancelled)) {
     throw Malformed(std::string(kFinalStateField) + ": unknown value");
   }
   return {.id = job,
-          .state = end == wire::name_of(wire::JobState::done) ? wire::JobState::done : wire::JobState::withdrawn,
+          .state = end == wire::name_of(wire::JobState::done) ? wire::JobState::done : wire::JobState::cancelled,
           .done = value.count(kDoneField),
           .running = 0};
 }
@@ -137,7 +137,7 @@
   wire::JobStatus status{.id = job.spec.id};
   if (job.whole) {
     status.done = static_cast<std::uint64_t>(std::ranges::count(job.whole->done, true));
-    status.running = job.whole->runs.size();
+    status.running = job.whole->allocations.size();
   } else {
     status.done = job.done_shown;
     status.running = job.running_shown;
@@ -148,33 +148,34 @@
 
 JobRecord new_job(const wire::JobSpec& spec, std::int64_t wall_ms) {
   JobRecord job{.spec = spec, .submitted_wall_ms = wall_ms, .whole = {}};
-  if (parts_of(spec.tasks) == 1) {
-    job.whole = PartRecord{.next = AttemptNo{1}, .done = std::vector<bool>(spec.tasks), .runs = {}};
+  if (shard_count(spec.tasks) == 1) {
+    job.whole = JobShardRecord{.next = AttemptNumber{1}, .done = std::vector<bool>(spec.tasks), .allocations = {}};
   }
   return job;
 }
 
-kv::Txn accept_txn(const JobRecord& job) {
-  const std::string live = live_key(job.spec.id);
+kv::Txn create_job_txn(const JobRecord& job) {
+  const std::string live = active_job_key(job.spec.id);
   if (!guards::kept(guards::Guard::accept_once)) {
-    return {.conditions = {}, .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
+    return {.preconditions = {}, .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
   }
-  return {.conditions = {{.key = live, .mark = {}}, {.key = over_key(job.spec.id), .mark = {}}},
+  return {.preconditions = {{.key = live, .revision = {}}, {.key = finished_job_key(job.spec.id), .revision = {}}},
           .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
 }
 
-kv::Txn withdraw_txn(const JobRecord& job, Revision mark) {
+kv::Txn cancel_job_txn(const JobRecord& job, Revision revision) {
   const JobId& id = job.spec.id;
-  const wire::JobStatus withdrawn{
-      .id = id, .state = wire::JobState::withdrawn, .done = status_of(job).done, .running = 0};
-  kv::Txn txn{.conditions = {{.key = live_key(id), .mark = mark}, {.key = over_key(id), .mark = {}}},
-              .changes = {{.key = live_key(id), .data = {}, .lease = {}},
-                          {.key = over_key(id), .data = over_value(withdrawn), .lease = {}}}};
-  if (!guards::kept(guards::Guard::withdraw_mark)) txn.conditions.clear();
+  const wire::JobStatus cancelled{
+      .id = id, .state = wire::JobState::cancelled, .done = status_of(job).done, .running = 0};
+  kv::Txn txn{.preconditions = {{.key = active_job_key(id), .revision = revision},
+                                {.key = finished_job_key(id), .revision = {}}},
+              .changes = {{.key = active_job_key(id), .data = {}, .lease = {}},
+                          {.key = finished_job_key(id), .data = finished_job_value(cancelled), .lease = {}}}};
+  if (!guards::kept(guards::Guard::withdraw_mark)) txn.preconditions.clear();
   if (!guards::kept(guards::Guard::withdraw_lingers)) return txn;
   // What the job may have on machines is kept until a leader has proved it gone.
-  if (!job.whole || !job.whole->runs.empty()) {
-    txn.changes.push_back({.key = linger_key(id), .data = to_value(job), .lease = {}});
+  if (!job.whole || !job.whole->allocations.empty()) {
+    txn.changes.push_back({.key = terminating_job_key(id), .data = to_value(job), .lease = {}});
   }
   return txn;
 }
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -4,11 +4,11 @@
 
 namespace foxshunt::state {
 
-std::string live_key(const JobId& job) { return kLivePrefix + job.text(); }
-std::string over_key(const JobId& job) { return kOverPrefix + job.text(); }
-std::string linger_key(const JobId& job) { return kLingerPrefix + job.text(); }
-std::string part_key(const JobId& job, std::uint32_t part) {
-  return kPartPrefix + job.text() + "/" + std::to_string(part);
+std::string active_job_key(const JobId& job) { return kActiveJobPrefix + job.text(); }
+std::string finished_job_key(const JobId& job) { return kFinishedJobPrefix + job.text(); }
+std::string terminating_job_key(const JobId& job) { return kTerminatingJobPrefix + job.text(); }
+std::string job_shard_key(const JobId& job, std::uint32_t shard) {
+  return kJobShardPrefix + job.text() + "/" + std::to_string(shard);
 }
 
 std::optional<JobId> job_of_key(const std::string& key) {
@@ -19,9 +19,9 @@
   return JobId(rest);
 }
 
-std::optional<std::uint32_t> part_of_key(const std::string& key) {
+std::optional<std::uint32_t> shard_of_key(const std::string& key) {
   const std::string text = key.substr(key.rfind('/') + 1);
-  if (!key.starts_with(kPartPrefix) || text.empty() || text.size() > 9 ||
+  if (!key.starts_with(kJobShardPrefix) || text.empty() || text.size() > 9 ||
       text.find_first_not_of("0123456789") != std::string::npos) {
     return std::nullopt;
   }
--- a/src/state/keys.h
+++ b/src/state/keys.h
@@ -18,22 +18,22 @@
 namespace foxshunt::state {
 
 inline constexpr const char* kTermKey = "lead/term";
-inline constexpr const char* kHolderKey = "lead/holder";
-inline constexpr const char* kTypesKey = "types";
-inline constexpr const char* kLivePrefix = "live/";
-inline constexpr const char* kOverPrefix = "over/";
-inline constexpr const char* kLingerPrefix = "linger/";
-inline constexpr const char* kPartPrefix = "part/";
-inline constexpr const char* kLeadPrefix = "lead/";
+inline constexpr const char* kLeaderKey = "lead/holder";
+inline constexpr const char* kMachineTypesKey = "types";
+inline constexpr const char* kActiveJobPrefix = "live/";
+inline constexpr const char* kFinishedJobPrefix = "over/";
+inline constexpr const char* kTerminatingJobPrefix = "linger/";
+inline constexpr const char* kJobShardPrefix = "part/";
+inline constexpr const char* kLeadershipPrefix = "lead/";
 
-[[nodiscard]] std::string live_key(const JobId& job);
-[[nodiscard]] std::string over_key(const JobId& job);
-[[nodiscard]] std::string linger_key(const JobId& job);
-[[nodiscard]] std::string part_key(const JobId& job, std::uint32_t part);
+[[nodiscard]] std::string active_job_key(const JobId& job);
+[[nodiscard]] std::string finished_job_key(const JobId& job);
+[[nodiscard]] std::string terminating_job_key(const JobId& job);
+[[nodiscard]] std::string job_shard_key(const JobId& job, std::uint32_t shard);
 
 // The job of a key such as live/j-000412 or part/j-000412/3, if it has one.
 [[nodiscard]] std::optional<JobId> job_of_key(const std::string& key);
 // The number of a part's key, 3 in part/j-000412/3; nothing if there is none.
-[[nodiscard]] std::optional<std::uint32_t> part_of_key(const std::string& key);
+[[nodiscard]] std::optional<std::uint32_t> shard_of_key(const std::string& key);
 
 }  // namespace foxshunt::state
--- a/src/state/leadership_records.cpp
+++ b/src/state/leadership_records.cpp
@@ -17,31 +17,33 @@
 
 }  // namespace
 
-LeadView lead_view(const kv::GetResult& holder, const kv::GetResult& term) {
-  LeadView view{.holder_mark = holder.entry.mark, .term_mark = term.entry.mark};
+LeadershipView leadership_view(const kv::GetResult& holder, const kv::GetResult& term) {
+  LeadershipView view{.leader_revision = holder.entry.revision, .term_revision = term.entry.revision};
   if (holder.answer == kv::Answer::ok && !holder.entry.data[kLeaseField].is_null()) {
-    view.holder_lease = holder.entry.data.count(kLeaseField);
+    view.leader_lease = holder.entry.data.count(kLeaseField);
   }
   if (term.answer == kv::Answer::ok) {
     view.record = term_from(term.entry.data);
-    view.others_until_wall_ms = static_cast<std::int64_t>(term.entry.data.count(kOlderLeadersUntilField));
+    view.older_leaders_until_wall_ms = static_cast<std::int64_t>(term.entry.data.count(kOlderLeadersUntilField));
   }
   return view;
 }
 
-std::int64_t others_until(const LeadView& view, std::int64_t wall_ms, std::int64_t fence_ms, std::int64_t skew_ms) {
-  if (view.term_mark == Revision{}) return 0;
+std::int64_t older_leaders_until(const LeadershipView& view, std::int64_t wall_ms, std::int64_t fence_ms,
+                                 std::int64_t skew_ms) {
+  if (view.term_revision == Revision{}) return 0;
   // The last leader reckons its fence, and the end of what it granted to siblings, from when its lease was last
   // confirmed, which was before now. That holds also if it was this node's earlier life: its holders live on.
   return wall_ms + fence_ms + 2 * skew_ms;
 }
 
-kv::Txn take_lead_txn(const LeadView& view, const NodeName& node, kv::LeaseId lease,
-                      std::int64_t others_until_wall_ms) {
+kv::Txn acquire_leadership_txn(const LeadershipView& view, const NodeName& node, kv::LeaseId lease,
+                               std::int64_t older_leaders_until_wall_ms) {
   Value record = to_value(TermRecord{.term = view.record.term.next(), .leader = node});
-  record.as_map()->emplace_back(kOlderLeadersUntilField, static_cast<std::uint64_t>(others_until_wall_ms));
-  return {.conditions = {{.key = kHolderKey, .mark = view.holder_mark}, {.key = kTermKey, .mark = view.term_mark}},
-          .changes = {{.key = kHolderKey,
+  record.as_map()->emplace_back(kOlderLeadersUntilField, static_cast<std::uint64_t>(older_leaders_until_wall_ms));
+  return {.preconditions = {{.key = kLeaderKey, .revision = view.leader_revision},
+                            {.key = kTermKey, .revision = view.term_revision}},
+          .changes = {{.key = kLeaderKey,
                        .data = Value::Map{{kNodeField, node.text()}, {kLeaseField, lease.number}},
                        .lease = lease},
                       {.key = kTermKey, .data = record, .lease = {}}}};
--- a/src/user_api/request.cpp
+++ b/src/user_api/request.cpp
@@ -44,7 +44,7 @@
 
 void FinalStates::keep(const wire::JobStatus& status) {
   const std::lock_guard lock(mutex_);
-  if (states_.size() >= constants::kTerminalCacheMost) states_.erase(states_.begin());
+  if (states_.size() >= constants::kMaxFinalStates) states_.erase(states_.begin());
   states_[status.id] = status;
 }
 
@@ -82,7 +82,7 @@
   }
   if (request.known_.types.empty()) {
     request.reading_ = Reading::types;
-    request.step_ = Read{state::kTypesKey};
+    request.step_ = Read{state::kMachineTypesKey};
   } else {
     request.judge();
   }
@@ -115,7 +115,7 @@
 void Request::judge() {
   if (known_.types.empty()) return look(come_back("machine types are not known yet"));
   if (const auto why = never_runs(spec_, known_.settings, known_.types)) return look(error_reply(422, *why));
-  step_ = state::accept_txn(state::new_job(spec_, known_.wall_ms));
+  step_ = state::create_job_txn(state::new_job(spec_, known_.wall_ms));
 }
 
 // live/ first, then over/: a job moves from the one to the other in a single transaction and never back, so it
@@ -128,15 +128,15 @@
 
 void Request::read(Reading what) {
   reading_ = what;
-  step_ = Read{what == Reading::live ? state::live_key(job_) : state::over_key(job_)};
+  step_ = Read{what == Reading::live ? state::active_job_key(job_) : state::finished_job_key(job_)};
 }
 
 void Request::looked(Found found, const wire::JobStatus& status) {
   if (found == Found::unknown) return answer(come_back("the state service can't be reached"));
   if (found == Found::nowhere) return answer(std::exchange(otherwise_, {}));
   if (found == Found::over || purpose_ != Purpose::cancellation) return answer(200, status);
-  withdrawn_ = {.id = job_, .state = wire::JobState::withdrawn, .done = status.done, .running = 0};
-  step_ = state::withdraw_txn(record_, mark_);
+  withdrawn_ = {.id = job_, .state = wire::JobState::cancelled, .done = status.done, .running = 0};
+  step_ = state::cancel_job_txn(record_, mark_);
 }
 
 void Request::on_read(const kv::GetResult& found) {
@@ -162,7 +162,7 @@
 void Request::on_live(const kv::GetResult& live) {
   if (live.answer == Answer::ok) {
     record_ = state::job_from(live.entry.data);
-    mark_ = live.entry.mark;
+    mark_ = live.entry.revision;
     return looked(Found::live, state::status_of(record_));
   }
   if (live.answer != Answer::not_found) return looked(Found::unknown, {});
@@ -176,7 +176,7 @@
     return looked(Found::nowhere, {});
   }
   if (over.answer != Answer::ok) return looked(Found::unknown, {});
-  const wire::JobStatus status = state::over_from(job_, over.entry.data);
+  const wire::JobStatus status = state::finished_job_from(job_, over.entry.data);
   known_.finals.keep(status);
   looked(Found::over, status);
 }
@@ -196,7 +196,7 @@
     known_.finals.keep(withdrawn_);
     return answer(200, withdrawn_);
   }
-  if (++tries_ == constants::kConflictsMost) return answer(come_back("the job changes too fast"));
+  if (++tries_ == constants::kMaxConflictRetries) return answer(come_back("the job changes too fast"));
   look(std::move(otherwise_));
 }
 
--- a/src/wire/ids.h
+++ b/src/wire/ids.h
@@ -38,10 +38,10 @@
 using JobId = TextId<struct JobTag>;
 using MachineId = TextId<struct MachineTag>;
 using NodeName = TextId<struct NodeTag>;
-using AttemptNo = CountId<struct AttemptTag>;
-using SessionNo = CountId<struct SessionTag>;  // grows each time a worker's lease expires
-using Term = CountId<struct TermTag>;          // grows with each leader; 0: none
-using Revision = CountId<struct RevisionTag>;  // of the state service; 0: the key does not exist
+using AttemptNumber = CountId<struct AttemptTag>;
+using AgentIncarnation = CountId<struct SessionTag>;  // grows each time a worker's lease expires
+using Term = CountId<struct TermTag>;                 // grows with each leader; 0: none
+using Revision = CountId<struct RevisionTag>;         // of the state service; 0: the key does not exist
 
 struct TaskKey {
   JobId job;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -37,7 +37,7 @@
 const Names<JobState> kJobStates{{{JobState::pending, "pending"},
                                   {JobState::running, "running"},
                                   {JobState::done, "done"},
-                                  {JobState::withdrawn, "withdrawn"}}};
+                                  {JobState::cancelled, "withdrawn"}}};
 const Names<TaskState> kTaskStates{{{TaskState::fetching, "fetching"},
                                     {TaskState::waiting, "waiting"},
                                     {TaskState::running, "running"},
@@ -52,7 +52,7 @@
                                  {EndReason::in_use, "in_use"},
                                  {EndReason::unknown, "unknown"}}};
 const Names<CommandKind> kCommands{
-    {{CommandKind::run, "run"}, {CommandKind::halt, "halt"}, {CommandKind::clear, "clear"}}};
+    {{CommandKind::run, "run"}, {CommandKind::stop, "halt"}, {CommandKind::clear, "clear"}}};
 const Names<ListedState> kListed{
     {{ListedState::starting, "starting"}, {ListedState::running, "running"}, {ListedState::failed, "failed"}}};
 
@@ -208,21 +208,21 @@
 
 }  // namespace
 
-Report report_from(const Value& body) {
+Heartbeat heartbeat_from(const Value& body) {
   expect_map(body);
-  Report report;
-  report.machine = MachineId(name_from(body, "den"));
-  report.address = name_from(body, "addr");
-  report.type = name_from(body, "burrow");
-  report.zone = name_from(body, "covert");
-  report.spot = body.flag("strays");
-  report.session = SessionNo(body.count("prowl"));
-  report.sequence = body.count("pawmark");
-  report.term = Term(body.count("alpha"));
-  if (!body["barkS"].is_null()) report.notice_s = body.amount("barkS");
-  report.tasks = list_of<TaskReport>(body.list("cubs"), [](const Value& entry) {
-    TaskReport task{.task = required_task(entry),
-                    .attempt = AttemptNo(entry.count("try")),
+  Heartbeat heartbeat;
+  heartbeat.machine = MachineId(name_from(body, "den"));
+  heartbeat.address = name_from(body, "addr");
+  heartbeat.type = name_from(body, "burrow");
+  heartbeat.zone = name_from(body, "covert");
+  heartbeat.spot = body.flag("strays");
+  heartbeat.incarnation = AgentIncarnation(body.count("prowl"));
+  heartbeat.sequence = body.count("pawmark");
+  heartbeat.term = Term(body.count("alpha"));
+  if (!body["barkS"].is_null()) heartbeat.notice_s = body.amount("barkS");
+  heartbeat.tasks = list_of<TaskStatus>(body.list("cubs"), [](const Value& entry) {
+    TaskStatus task{.task = required_task(entry),
+                    .attempt = AttemptNumber(entry.count("try")),
                     .state = kTaskStates.from(entry, "scent")};
     if (task.state == TaskState::ended) {
       task.reason = kReasons.from(entry, "trail");
@@ -230,26 +230,26 @@
     }
     return task;
   });
-  return report;
+  return heartbeat;
 }
 
-Value to_value(const Report& report) {
+Value to_value(const Heartbeat& heartbeat) {
   Value::List tasks;
-  for (const TaskReport& task : report.tasks) {
+  for (const TaskStatus& task : heartbeat.tasks) {
     Value::Map entry{{"cub", task.task.text()}, {"try", task.attempt.number()}, {"scent", kTaskStates.of(task.state)}};
     if (task.state == TaskState::ended) entry.emplace_back("trail", kReasons.of(task.reason));
     if (task.saved) entry.emplace_back("saved", true);
     tasks.emplace_back(std::move(entry));
   }
-  Value::Map map{{"den", report.machine.text()},
-                 {"addr", report.address},
-                 {"burrow", report.type},
-                 {"covert", report.zone},
-                 {"strays", report.spot},
-                 {"prowl", report.session.number()},
-                 {"pawmark", report.sequence},
-                 {"alpha", report.term.number()},
-                 {"barkS", report.notice_s ? Value(*report.notice_s) : Value()},
+  Value::Map map{{"den", heartbeat.machine.text()},
+                 {"addr", heartbeat.address},
+                 {"burrow", heartbeat.type},
+                 {"covert", heartbeat.zone},
+                 {"strays", heartbeat.spot},
+                 {"prowl", heartbeat.incarnation.number()},
+                 {"pawmark", heartbeat.sequence},
+                 {"alpha", heartbeat.term.number()},
+                 {"barkS", heartbeat.notice_s ? Value(*heartbeat.notice_s) : Value()},
                  {"cubs", std::move(tasks)}};
   return map;
 }
@@ -261,7 +261,7 @@
   for (const Command& command : commands) {
     Value::Map entry{
         {"call", kCommands.of(command.kind)}, {"cub", command.task.text()}, {"try", command.attempt.number()}};
-    if (command.kind == CommandKind::halt) entry.emplace_back("slinkS", command.grace_s);
+    if (command.kind == CommandKind::stop) entry.emplace_back("slinkS", command.grace_s);
     list.emplace_back(std::move(entry));
   }
   return list;
@@ -269,19 +269,20 @@
 
 }  // namespace
 
-Value report_answer(Term term, const std::vector<Command>& commands) {
+Value heartbeat_response(Term term, const std::vector<Command>& commands) {
   return Value::Map{{"alpha", term.number()}, {"calls", command_list(commands)}};
 }
 
-Value direct_commands(Term term, SessionNo session, const std::vector<Command>& commands) {
-  return Value::Map{{"alpha", term.number()}, {"prowl", session.number()}, {"calls", command_list(commands)}};
+Value direct_commands(Term term, AgentIncarnation incarnation, const std::vector<Command>& commands) {
+  return Value::Map{{"alpha", term.number()}, {"prowl", incarnation.number()}, {"calls", command_list(commands)}};
 }
 
 std::vector<Command> commands_from(const Value& body) {
   return list_of<Command>(body.list("calls"), [](const Value& entry) {
-    Command command{
-        .kind = kCommands.from(entry, "call"), .task = required_task(entry), .attempt = AttemptNo(entry.count("try"))};
-    if (command.kind == CommandKind::halt && !entry["slinkS"].is_null()) command.grace_s = entry.amount("slinkS");
+    Command command{.kind = kCommands.from(entry, "call"),
+                    .task = required_task(entry),
+                    .attempt = AttemptNumber(entry.count("try"))};
+    if (command.kind == CommandKind::stop && !entry["slinkS"].is_null()) command.grace_s = entry.amount("slinkS");
     return command;
   });
 }
@@ -339,7 +340,7 @@
   return page;
 }
 
-Value to_value(const RentRequest& request) {
+Value to_value(const ScaleOutRequest& request) {
   return Value::Map{{"hunt", request.request},
                     {"burrow", request.type},
                     {"covert", request.zone},
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -40,7 +40,7 @@
   std::optional<double> deadline_s;
 };
 
-enum class JobState : std::uint8_t { pending, running, done, withdrawn };
+enum class JobState : std::uint8_t { pending, running, done, cancelled };
 
 struct JobStatus {
   JobId id;
@@ -62,42 +62,42 @@
 enum class TaskState : std::uint8_t { fetching, waiting, running, saving, ended };
 enum class EndReason : std::uint8_t { none, done, stopped, peers_gone, alone, error, no_room, in_use, unknown };
 
-struct TaskReport {
+struct TaskStatus {
   TaskKey task;
-  AttemptNo attempt;
+  AttemptNumber attempt;
   TaskState state = TaskState::fetching;
   EndReason reason = EndReason::none;
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   MachineId machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  SessionNo session;
+  AgentIncarnation incarnation;
   std::uint64_t sequence = 0;
   Term term;                       // highest that the worker has seen
   std::optional<double> notice_s;  // until the cloud takes the machine
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
-enum class CommandKind : std::uint8_t { run, halt, clear };
+enum class CommandKind : std::uint8_t { run, stop, clear };
 
 struct Command {
   CommandKind kind = CommandKind::run;
   TaskKey task;
-  AttemptNo attempt;
+  AttemptNumber attempt;
   double grace_s = 0;
   friend bool operator==(const Command&, const Command&) = default;
 };
 
 [[nodiscard]] std::optional<TaskKey> task_key_from(std::string_view text);
-[[nodiscard]] Report report_from(const Value& body);  // throws Malformed
-[[nodiscard]] Value to_value(const Report& report);
-[[nodiscard]] Value report_answer(Term term, const std::vector<Command>& commands);
-[[nodiscard]] Value direct_commands(Term term, SessionNo session, const std::vector<Command>& commands);
+[[nodiscard]] Heartbeat heartbeat_from(const Value& body);  // throws Malformed
+[[nodiscard]] Value to_value(const Heartbeat& heartbeat);
+[[nodiscard]] Value heartbeat_response(Term term, const std::vector<Command>& commands);
+[[nodiscard]] Value direct_commands(Term term, AgentIncarnation incarnation, const std::vector<Command>& commands);
 [[nodiscard]] std::vector<Command> commands_from(const Value& body);
 [[nodiscard]] Value redirect_to(const NodeName& node);
 [[nodiscard]] std::string_view name_of(TaskState state);
@@ -135,7 +135,7 @@
   bool more = false;
 };
 
-struct RentRequest {
+struct ScaleOutRequest {
   std::string request;
   std::string type;
   std::string zone;
@@ -146,7 +146,7 @@
 [[nodiscard]] std::vector<MachineType> machine_types_from(const Value& body);
 [[nodiscard]] Value to_value(const std::vector<MachineType>& types);
 [[nodiscard]] MachinePage machine_page_from(const Value& body);
-[[nodiscard]] Value to_value(const RentRequest& request);
+[[nodiscard]] Value to_value(const ScaleOutRequest& request);
 [[nodiscard]] Value machine_names(const std::vector<MachineId>& machines);
 [[nodiscard]] std::vector<MachineId> machine_names_from(const Value& body);
 
--- a/src/zone/delegated_lease.cpp
+++ b/src/zone/delegated_lease.cpp
@@ -10,47 +10,49 @@
 using guards::Guard;
 using guards::kept;
 
-Holder::Holder(const NodeName& self, const std::string& zone, std::uint64_t life, const Spans& spans)
+DelegatedLease::DelegatedLease(const NodeName& self, const std::string& zone, std::uint64_t life, const Spans& spans)
     : self_(self), zone_(zone), life_(life), spans_(spans) {}
 
-Ask Holder::next_ask(Term leaders, Instant now) {
-  hear_of(leaders);
+DelegationRequest DelegatedLease::next_request(Term leaders, Instant now) {
+  observe_term(leaders);
   std::erase_if(used_, [&](const auto& used) { return now - used.second > spans_.lease; });
-  Ask ask{.node = self_,
-          .life = life_,
-          .sequence = ++sequence_,
-          .term = leaders,
-          .holds = grant_ ? grant_->number : GrantNo{},
-          .uses = {}};
+  DelegationRequest ask{.node = self_,
+                        .life = life_,
+                        .sequence = ++sequence_,
+                        .term = leaders,
+                        .holds = delegation_ ? delegation_->number : DelegationNumber{},
+                        .uses = {}};
   for (const auto& [machine, when] : used_) ask.uses.push_back({.machine = machine, .ago = now - when});
   return ask;
 }
 
-bool Holder::on_grant(const Grant& grant, Instant asked) {
-  if (grant.zone != zone_ || grant.number == GrantNo{}) return false;
-  if (grant_ && std::tie(grant.term, grant.number) <= std::tie(grant_->term, grant_->number)) return false;
-  grant_ = grant;
-  except_ = {grant.except.begin(), grant.except.end()};
+bool DelegatedLease::on_delegation(const LeaseDelegation& delegation, Instant asked) {
+  if (delegation.zone != zone_ || delegation.number == DelegationNumber{}) return false;
+  if (delegation_ && std::tie(delegation.term, delegation.number) <= std::tie(delegation_->term, delegation_->number))
+    return false;
+  delegation_ = delegation;
+  except_ = {delegation.except.begin(), delegation.except.end()};
   // From when it was asked for, which was before it was given, however long the answer took.
-  until_ = asked - grant.age + spans_.grant;
+  until_ = asked - delegation.age + spans_.delegation;
   return true;
 }
 
-void Holder::hear_of(Term term) {
-  if (kept(Guard::holder_older) && grant_ && grant_->term < term) grant_.reset();
+void DelegatedLease::observe_term(Term term) {
+  if (kept(Guard::holder_older) && delegation_ && delegation_->term < term) delegation_.reset();
 }
 
-std::optional<Term> Holder::answers(const MachineId& machine, const std::string& zone, Term seen, Instant now) {
-  if (!grant_ || (kept(Guard::holder_clock) && now >= until_) || zone != zone_ ||
-      (kept(Guard::holder_term) && seen > grant_->term) || (kept(Guard::holder_except) && except_.contains(machine))) {
+std::optional<Term> DelegatedLease::answers(const MachineId& machine, const std::string& zone, Term seen, Instant now) {
+  if (!delegation_ || (kept(Guard::holder_clock) && now >= until_) || zone != zone_ ||
+      (kept(Guard::holder_term) && seen > delegation_->term) ||
+      (kept(Guard::holder_except) && except_.contains(machine))) {
     return std::nullopt;
   }
   // All uses have to fit a word.
-  if (used_.size() >= constants::kGrantMachinesMost && !used_.contains(machine)) return std::nullopt;
+  if (used_.size() >= constants::kMaxDelegationMachines && !used_.contains(machine)) return std::nullopt;
   used_[machine] = now;
-  return grant_->term;
+  return delegation_->term;
 }
 
-std::optional<Instant> Holder::until() const { return grant_ ? std::optional(until_) : std::nullopt; }
+std::optional<Instant> DelegatedLease::until() const { return delegation_ ? std::optional(until_) : std::nullopt; }
 
 }  // namespace foxshunt::zone
--- a/src/zone/delegated_lease.h
+++ b/src/zone/delegated_lease.h
@@ -14,17 +14,17 @@
 namespace foxshunt::zone {
 
 // A sibling's side: the newest grant in hand.
-class Holder {
+class DelegatedLease {
  public:
-  Holder() = default;
-  Holder(const NodeName& self, const std::string& zone, std::uint64_t life, const Spans& spans);
+  DelegatedLease() = default;
+  DelegatedLease(const NodeName& self, const std::string& zone, std::uint64_t life, const Spans& spans);
 
   // The next word to the leader of that term. What was given in an older term is dropped first.
-  [[nodiscard]] Ask next_ask(Term leaders, Instant now);
+  [[nodiscard]] DelegationRequest next_request(Term leaders, Instant now);
   // The answer to the word that was sent at `asked`; false when it is not for this node and then nothing is taken.
-  bool on_grant(const Grant& grant, Instant asked);
+  bool on_delegation(const LeaseDelegation& delegation, Instant asked);
   // Ends what was given in a term before this one.
-  void hear_of(Term term);
+  void observe_term(Term term);
   // Whether the report of a machine that has seen the term `seen` may be answered, in the term that is given back;
   // counts as a use if so.
   [[nodiscard]] std::optional<Term> answers(const MachineId& machine, const std::string& zone, Term seen, Instant now);
@@ -38,7 +38,7 @@
   std::uint64_t life_ = 0;
   Spans spans_;
   std::uint64_t sequence_ = 0;
-  std::optional<Grant> grant_;
+  std::optional<LeaseDelegation> delegation_;
   std::set<MachineId> except_;
   Instant until_;
   std::map<MachineId, Instant> used_;
--- a/src/zone/delegation.h
+++ b/src/zone/delegation.h
@@ -18,7 +18,7 @@
 using plan::Instant;
 using plan::Millis;
 
-using GrantNo = CountId<struct GrantTag>;  // grows within a term; 0: none
+using DelegationNumber = CountId<struct GrantTag>;  // grows within a term; 0: none
 
 // A machine that a holder has answered, and how long ago the last time was.
 struct Use {
@@ -28,30 +28,30 @@
 };
 
 // What a node that does not lead asks the leader, every second or so.
-struct Ask {
+struct DelegationRequest {
   NodeName node;
   std::uint64_t life = 0;      // of its process: later ones have higher numbers
   std::uint64_t sequence = 0;  // grows within a life
   Term term;                   // in which the node that is asked leads
-  GrantNo holds;               // the newest grant in hand; it has replaced all before
+  DelegationNumber holds;      // the newest grant in hand; it has replaced all before
   std::vector<Use> uses;       // of grants, as long as a lease may last on them
-  friend bool operator==(const Ask&, const Ask&) = default;
+  friend bool operator==(const DelegationRequest&, const DelegationRequest&) = default;
 };
 
-struct Grant {
-  GrantNo number;
+struct LeaseDelegation {
+  DelegationNumber number;
   Term term;
   std::string zone;
   Millis age{};                   // of the moment up to which the giver knew all changes
   std::vector<MachineId> except;  // machines that only the leader may answer
-  friend bool operator==(const Grant&, const Grant&) = default;
+  friend bool operator==(const LeaseDelegation&, const LeaseDelegation&) = default;
 };
 
 // The three spans that grants hang on, by the settings' figures.
 struct Spans {
-  Millis grant{};  // from the giver's last known change to the grant's end, by the holder's clock
-  Millis bound{};  // the same by the giver's clock at most, whatever the two clocks do
-  Millis lease{};  // a worker's lease certainly ends within it
+  Millis delegation{};  // from the giver's last known change to the grant's end, by the holder's clock
+  Millis bound{};       // the same by the giver's clock at most, whatever the two clocks do
+  Millis lease{};       // a worker's lease certainly ends within it
 };
 
 }  // namespace foxshunt::zone
--- a/src/zone/delegation_table.cpp
+++ b/src/zone/delegation_table.cpp
@@ -10,11 +10,11 @@
 using guards::Guard;
 using guards::kept;
 
-Book::Book(const std::vector<config::Sibling>& siblings, const Spans& spans) : spans_(spans) {
+DelegationTable::DelegationTable(const std::vector<config::Sibling>& siblings, const Spans& spans) : spans_(spans) {
   for (const config::Sibling& sibling : siblings) siblings_[sibling.name].zone = sibling.zone;
 }
 
-bool Book::hear(const Ask& ask, Term term, Instant now) {
+bool DelegationTable::hear(const DelegationRequest& ask, Term term, Instant now) {
   const auto entry = siblings_.find(ask.node);
   if (entry == siblings_.end() || ask.term != term) return false;
   Sibling& sibling = entry->second;
@@ -43,25 +43,26 @@
   return true;
 }
 
-Grant Book::give(const NodeName& node, Term term, std::optional<Instant> known, const std::vector<MachineId>& except,
-                 Instant now) {
+LeaseDelegation DelegationTable::give(const NodeName& node, Term term, std::optional<Instant> known,
+                                      const std::vector<MachineId>& except, Instant now) {
   Sibling& sibling = siblings_.at(node);
   last_number_ = last_number_.next();
   if (!known)
-    return Grant{.number = last_number_, .term = term, .zone = sibling.zone, .age = spans_.grant, .except = {}};
+    return LeaseDelegation{
+        .number = last_number_, .term = term, .zone = sibling.zone, .age = spans_.delegation, .except = {}};
   if (kept(Guard::grant_counted))
     sibling.issued.push_back(
         {.number = last_number_, .until = *known + spans_.bound, .except = {except.begin(), except.end()}});
-  return Grant{.number = last_number_,
-               .term = term,
-               .zone = sibling.zone,
-               .age = kept(Guard::grant_known) ? std::max(Millis(0), now - *known) : Millis(0),
-               .except = except};
+  return LeaseDelegation{.number = last_number_,
+                         .term = term,
+                         .zone = sibling.zone,
+                         .age = kept(Guard::grant_known) ? std::max(Millis(0), now - *known) : Millis(0),
+                         .except = except};
 }
 
 // Once every sibling has asked in this term none of them leads in an older one, so that no older grant is issued any
 // more; whoever then asks with a grant in hand that was issued later, asked after that, and had dropped older ones.
-void Book::learn_older_over() {
+void DelegationTable::learn_older_over() {
   if (older_over_) return;
   if (!all_heard_at_) {
     if (std::ranges::all_of(siblings_, [](const auto& entry) { return entry.second.heard.has_value(); })) {
@@ -74,7 +75,7 @@
       std::ranges::all_of(siblings_, [this](const auto& entry) { return entry.second.holds > *all_heard_at_; });
 }
 
-Instant Book::renewed_until(const std::string& zone, const MachineId& machine) const {
+Instant DelegationTable::renewed_until(const std::string& zone, const MachineId& machine) const {
   Instant until{};
   for (const auto& [unused, sibling] : siblings_) {
     if (!zone.empty() && sibling.zone != zone) continue;
@@ -88,7 +89,7 @@
   return until;
 }
 
-bool Book::used_within(const std::string& zone, const MachineId& machine, Millis span, Instant now) const {
+bool DelegationTable::used_within(const std::string& zone, const MachineId& machine, Millis span, Instant now) const {
   return std::ranges::any_of(siblings_, [&](const auto& entry) {
     if (entry.second.zone != zone) return false;
     const auto used = entry.second.used.find(machine);
@@ -96,7 +97,7 @@
   });
 }
 
-std::optional<Millis> Book::silent_for(const std::string& zone, Instant now) const {
+std::optional<Millis> DelegationTable::silent_for(const std::string& zone, Instant now) const {
   std::optional<Millis> least;
   for (const auto& [unused, sibling] : siblings_) {
     if (sibling.zone != zone || !sibling.heard) continue;
@@ -106,11 +107,11 @@
   return least;
 }
 
-bool Book::has_sibling(const std::string& zone) const {
+bool DelegationTable::has_sibling(const std::string& zone) const {
   return std::ranges::any_of(siblings_, [&](const auto& entry) { return entry.second.zone == zone; });
 }
 
-void Book::forget_before(Instant now) {
+void DelegationTable::forget_before(Instant now) {
   const auto over = [&](Instant until) { return until + spans_.lease < now; };
   for (auto& [unused, sibling] : siblings_) {
     std::erase_if(sibling.issued, [&](const IssuedDelegation& issued) { return over(issued.until); });
@@ -119,7 +120,7 @@
   }
 }
 
-std::vector<Book::Standing> Book::standings() const {
+std::vector<DelegationTable::Standing> DelegationTable::standings() const {
   std::vector<Standing> found;
   for (const auto& [name, sibling] : siblings_) {
     Standing standing{.node = name, .zone = sibling.zone, .heard = sibling.heard, .machines_used = sibling.used.size()};
--- a/src/zone/delegation_table.h
+++ b/src/zone/delegation_table.h
@@ -16,17 +16,17 @@
 namespace foxshunt::zone {
 
 // The leader's side: what was given in this term, and what it may have been used for.
-class Book {
+class DelegationTable {
  public:
-  Book() = default;
-  Book(const std::vector<config::Sibling>& siblings, const Spans& spans);
+  DelegationTable() = default;
+  DelegationTable(const std::vector<config::Sibling>& siblings, const Spans& spans);
 
   // Takes note of a sibling's word in this term; false when it is stale, or no sibling's.
-  bool hear(const Ask& ask, Term term, Instant now);
+  bool hear(const DelegationRequest& ask, Term term, Instant now);
   // What is given to a sibling that was heard. `known`: up to when all changes are known here; nothing: what is given has
   // ended already, and only answers the word. `except`: machines of the zone that must not be answered by others.
-  Grant give(const NodeName& node, Term term, std::optional<Instant> known, const std::vector<MachineId>& except,
-             Instant now);
+  LeaseDelegation give(const NodeName& node, Term term, std::optional<Instant> known,
+                       const std::vector<MachineId>& except, Instant now);
 
   // Up to when a holder may have renewed, or may yet renew, the lease of the machine; zone empty: not known.
   [[nodiscard]] Instant renewed_until(const std::string& zone, const MachineId& machine) const;
@@ -37,7 +37,7 @@
   [[nodiscard]] bool has_sibling(const std::string& zone) const;
   // Whether every sibling is known to hold nothing of an older term and to have been heard since all of them had left
   // older terms: nobody else can renew a lease of older terms any more.
-  [[nodiscard]] bool older_terms_over() const { return older_over_; }
+  [[nodiscard]] bool have_older_terms_ended() const { return older_over_; }
   void forget_before(Instant now);
 
   struct Standing {  // for operators
@@ -51,7 +51,7 @@
 
  private:
   struct IssuedDelegation {
-    GrantNo number;
+    DelegationNumber number;
     Instant until;
     std::set<MachineId> except;
   };
@@ -60,7 +60,7 @@
     std::uint64_t life = 0;
     std::uint64_t sequence = 0;
     std::optional<Instant> heard;
-    GrantNo holds;
+    DelegationNumber holds;
     std::vector<IssuedDelegation> issued;          // not yet replaced, oldest first
     std::vector<IssuedDelegation> issued_earlier;  // to processes that have ended, with what they can't tell any more
     std::map<MachineId, Instant> used;
@@ -69,8 +69,8 @@
 
   Spans spans_;
   std::map<NodeName, Sibling> siblings_;
-  GrantNo last_number_;
-  std::optional<GrantNo> all_heard_at_;  // grants above it were given after every sibling had been heard
+  DelegationNumber last_number_;
+  std::optional<DelegationNumber> all_heard_at_;  // grants above it were given after every sibling had been heard
   bool older_over_ = false;
 };
 
--- a/src/zone/messages.cpp
+++ b/src/zone/messages.cpp
@@ -37,7 +37,7 @@
 
 const Value::List& machines(const Value& value, const char* field) {
   const Value::List& list = value.list(field);
-  if (list.size() > constants::kGrantMachinesMost) throw Malformed(std::string(field) + ": too many machines");
+  if (list.size() > constants::kMaxDelegationMachines) throw Malformed(std::string(field) + ": too many machines");
   return list;
 }
 
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-Value to_value(const Ask& ask) {
+Value to_value(const DelegationRequest& ask) {
   Value::List uses;
   for (const Use& use : ask.uses) {
     uses.push_back(Value::Map{{kMachineField, use.machine.text()}, {kAgoField, count_ms(use.ago)}});
@@ -54,13 +54,13 @@
                     {kTermField, ask.term.number()}, {kHeldField, ask.holds.number()}, {kUsesField, std::move(uses)}};
 }
 
-Ask ask_from(const Value& value) {
-  Ask ask{.node = NodeName(value.text(kNodeField)),
-          .life = value.count(kLifeField),
-          .sequence = value.count(kSequenceField),
-          .term = Term(value.count(kTermField)),
-          .holds = GrantNo(value.count(kHeldField)),
-          .uses = {}};
+DelegationRequest delegation_request_from(const Value& value) {
+  DelegationRequest ask{.node = NodeName(value.text(kNodeField)),
+                        .life = value.count(kLifeField),
+                        .sequence = value.count(kSequenceField),
+                        .term = Term(value.count(kTermField)),
+                        .holds = DelegationNumber(value.count(kHeldField)),
+                        .uses = {}};
   if (ask.sequence == 0) throw Malformed(std::string(kSequenceField) + ": must be above 0");
   for (const Value& use : machines(value, kUsesField)) {
     ask.uses.push_back({.machine = MachineId(use.text(kMachineField)), .ago = span(use, kAgoField)});
@@ -68,29 +68,29 @@
   return ask;
 }
 
-Value to_value(const Grant& grant) {
+Value to_value(const LeaseDelegation& delegation) {
   Value::List except;
-  for (const MachineId& machine : grant.except) except.emplace_back(machine.text());
-  return Value::Map{{kNumberField, grant.number.number()},
-                    {kTermField, grant.term.number()},
-                    {kZoneField, grant.zone},
-                    {kAgeField, count_ms(grant.age)},
+  for (const MachineId& machine : delegation.except) except.emplace_back(machine.text());
+  return Value::Map{{kNumberField, delegation.number.number()},
+                    {kTermField, delegation.term.number()},
+                    {kZoneField, delegation.zone},
+                    {kAgeField, count_ms(delegation.age)},
                     {kExceptField, std::move(except)}};
 }
 
-Grant grant_from(const Value& value) {
-  Grant grant{.number = GrantNo(value.count(kNumberField)),
-              .term = Term(value.count(kTermField)),
-              .zone = value.text(kZoneField),
-              .age = span(value, kAgeField),
-              .except = {}};
-  if (grant.number == GrantNo{}) throw Malformed(std::string(kNumberField) + ": must be above 0");
+LeaseDelegation delegation_from(const Value& value) {
+  LeaseDelegation delegation{.number = DelegationNumber(value.count(kNumberField)),
+                             .term = Term(value.count(kTermField)),
+                             .zone = value.text(kZoneField),
+                             .age = span(value, kAgeField),
+                             .except = {}};
+  if (delegation.number == DelegationNumber{}) throw Malformed(std::string(kNumberField) + ": must be above 0");
   for (const Value& machine : machines(value, kExceptField)) {
     const std::string* name = machine.as_text();
     if (name == nullptr || name->empty()) throw Malformed(std::string(kExceptField) + ": must be names of machines");
-    grant.except.emplace_back(*name);
+    delegation.except.emplace_back(*name);
   }
-  return grant;
+  return delegation;
 }
 
 }  // namespace foxshunt::zone
--- a/src/zone/messages.h
+++ b/src/zone/messages.h
@@ -6,9 +6,9 @@
 
 namespace foxshunt::zone {
 
-[[nodiscard]] wire::Value to_value(const Ask& ask);
-[[nodiscard]] Ask ask_from(const wire::Value& value);
-[[nodiscard]] wire::Value to_value(const Grant& grant);
-[[nodiscard]] Grant grant_from(const wire::Value& value);
+[[nodiscard]] wire::Value to_value(const DelegationRequest& ask);
+[[nodiscard]] DelegationRequest delegation_request_from(const wire::Value& value);
+[[nodiscard]] wire::Value to_value(const LeaseDelegation& delegation);
+[[nodiscard]] LeaseDelegation delegation_from(const wire::Value& value);
 
 }  // namespace foxshunt::zone
--- a/src/zone/zone_health.h
+++ b/src/zone/zone_health.h
@@ -22,7 +22,7 @@
 [[nodiscard]] std::string_view name_of(State state);
 
 // What a look at the machines of a zone found.
-struct Sighting {
+struct ZoneObservation {
   std::size_t heard = 0;                 // machines that report
   std::size_t silent = 0;                // that should, and may run tasks
   std::size_t ended = 0;                 // that should, and whose leases have certainly ended
@@ -30,20 +30,20 @@
   bool own = false;                      // the zone of the node that looks
   bool sibling = false;                  // another controller stands there
   std::optional<Millis> sibling_silent;  // since it was last heard of; nothing if it never was
-  friend bool operator==(const Sighting&, const Sighting&) = default;
+  friend bool operator==(const ZoneObservation&, const ZoneObservation&) = default;
 };
 
 struct Change {
   std::string zone;
   State from;
   State to;
-  Sighting seen;
+  ZoneObservation seen;
 };
 
-class View {
+class ZoneHealthMonitor {
  public:
   // Takes a look at all zones in which there are machines or controllers; what changed by it.
-  std::vector<Change> look(const std::map<std::string, Sighting>& zones, Instant now);
+  std::vector<Change> look(const std::map<std::string, ZoneObservation>& zones, Instant now);
 
   [[nodiscard]] State of(const std::string& zone) const;
   // Whether machines may be rented there, and those that boot are counted on.
@@ -60,12 +60,12 @@
     Instant since;
     Millis settle{};  // how long it will be watched when it returns
     bool leaving = false;
-    Sighting seen;
+    ZoneObservation seen;
   };
   [[nodiscard]] const std::map<std::string, Standing>& standings() const { return zones_; }
 
  private:
-  static State next(const Standing& zone, const Sighting& seen, Instant now);
+  static State next(const Standing& zone, const ZoneObservation& seen, Instant now);
   static void shorten_settling_if_steady(Standing& zone, Instant now);
   void move_to(State to, const std::string& name, Standing& zone, Instant now);
 
--- a/tests/bench/benchmarks.cpp
+++ b/tests/bench/benchmarks.cpp
@@ -54,7 +54,7 @@
 void plan_pass(benchmark::State& state) {
   BusyFleet fleet(260, static_cast<std::size_t>(state.range(0)), static_cast<std::size_t>(state.range(0)));
   fleet.pass();
-  fleet.report_all();
+  fleet.heartbeat_all();
   fleet.pass();
   Counted counted(state);
   for (auto unused : state) {
@@ -64,7 +64,7 @@
       fleet.end_one();
       fleet.add_job(true);
     }
-    fleet.report_all();
+    fleet.heartbeat_all();
     state.ResumeTiming();
     counted.begin();
     fleet.pass();
@@ -113,30 +113,30 @@
 BENCHMARK(rank_queue)->Args({0, 0})->Args({1, 0})->Args({0, 1})->Unit(benchmark::kMicrosecond);
 
 // From a report's bytes to the bytes of its answer.
-void report(benchmark::State& state) {
+void heartbeat(benchmark::State& state) {
   BusyFleet fleet(260, 40, 40);
   fleet.pass();
-  fleet.report_all();
+  fleet.heartbeat_all();
   std::string bytes;
   Counted counted(state);
   std::size_t at = 0;
   for (auto unused : state) {
     state.PauseTiming();
-    bytes = wire::encode(wire::to_value(fleet.report_of(fleet.machines()[at++ % fleet.machines().size()])));
+    bytes = wire::encode(wire::to_value(fleet.heartbeat_of(fleet.machines()[at++ % fleet.machines().size()])));
     state.ResumeTiming();
     counted.begin();
-    const wire::Report report = wire::report_from(wire::decode(bytes));
-    const auto commands = fleet.controller().on_report(report, fleet.now());
-    benchmark::DoNotOptimize(wire::encode(wire::report_answer(fleet.controller().term(), *commands)));
+    const wire::Heartbeat heartbeat = wire::heartbeat_from(wire::decode(bytes));
+    const auto commands = fleet.controller().on_heartbeat(heartbeat, fleet.now());
+    benchmark::DoNotOptimize(wire::encode(wire::heartbeat_response(fleet.controller().term(), *commands)));
     counted.end();
   }
 }
-BENCHMARK(report);
+BENCHMARK(heartbeat);
 
 void tick(benchmark::State& state) {
   BusyFleet fleet(260, 40, 40);
   fleet.pass();
-  fleet.report_all();
+  fleet.heartbeat_all();
   Counted counted(state);
   for (auto unused : state) {
     counted.begin();
@@ -156,8 +156,10 @@
   spec.image = "img";
   state::JobRecord record = state::new_job(spec, 1'800'000'000'000);
   for (std::uint32_t index = 0; index < tasks; index += 2) {
-    record.whole->runs.push_back(
-        {.index = index, .attempt = AttemptNo(2), .machine = MachineId("m-000123"), .session = SessionNo(1)});
+    record.whole->allocations.push_back({.index = index,
+                                         .attempt = AttemptNumber(2),
+                                         .machine = MachineId("m-000123"),
+                                         .incarnation = AgentIncarnation(1)});
   }
   return record;
 }
@@ -200,7 +202,7 @@
     for (std::size_t i = 0; i < kJobs; ++i) fleet.add_job(true);  // gangs of 1 to 16 tasks, none of which runs
     const std::size_t with_jobs = held();
     fleet.pass();
-    for (const auto& [unused_id, job] : fleet.controller().jobs()) tasks += job.runs_count;
+    for (const auto& [unused_id, job] : fleet.controller().jobs()) tasks += job.allocation_count;
     const std::size_t with_runs = held();
     state.counters["bytes_a_machine"] = static_cast<double>(with_machines - empty) / kMachines;
     state.counters["bytes_a_job"] =
@@ -216,7 +218,7 @@
   for (auto unused : state) {
     const std::size_t before = held();
     std::unordered_map<JobId, wire::JobStatus> answers;
-    for (std::size_t i = 0; i < constants::kTerminalCacheMost; ++i) {
+    for (std::size_t i = 0; i < constants::kMaxFinalStates; ++i) {
       const JobId id("j-" + std::to_string(100'000 + i));
       answers[id] = {.id = id, .state = wire::JobState::done, .done = 3, .running = 0};
     }
--- a/tests/bench/busy_fleet.cpp
+++ b/tests/bench/busy_fleet.cpp
@@ -15,7 +15,7 @@
   settings.teams = {{.name = "red", .cpus = 3000, .cpus_max = 7000, .gpus = 120, .gpus_max = 500},
                     {.name = "blue", .cpus = 3000, .cpus_max = 9000, .gpus = 120, .gpus_max = 350}};
   settings.objectives = {{.kind = "wait", .job_class = "gang", .within_s = 15, .share = 0.85}};
-  settings.report_s = 5;
+  settings.heartbeat_interval_s = 5;
   settings.lease_s = 27;
   settings.gang_wait_s = 45;
   settings.gang_peer_s = 4;
@@ -25,7 +25,7 @@
   settings.state_value_kb = 8;
   settings.state_txn_ops = 12;
   settings.cloud_rps = 5;
-  settings.cloud_list_lag_s = 3;
+  settings.cloud_list_delay_s = 3;
   settings.skew_ms = 250;
   return settings;
 }
@@ -59,13 +59,13 @@
                          .spot_price = 13,
                          .boot_s = 40,
                          .zones = {"a", "b", "c"}}});
-  control::Takeover takeover;
-  takeover.term = Term(1);
-  takeover.term_mark = Revision(1);
-  takeover.others_until = now_;
-  controller_.lead(takeover, now_);
+  control::FailoverSnapshot failover;
+  failover.term = Term(1);
+  failover.term_revision = Revision(1);
+  failover.older_leaders_until = now_;
+  controller_.become_leader(failover, now_);
   for (std::size_t i = 0; i < machines; ++i) machines_.emplace_back(numbered("m-", i));
-  report_all();
+  heartbeat_all();
   for (std::size_t i = 0; i < std::max(gangs, arrays); ++i) {
     if (i < gangs) add_job(true);
     if (i < arrays) add_job(false);
@@ -94,35 +94,35 @@
   controller_.on_job_record(spec.id, state::to_value(state::new_job(spec, 0)), Revision(++revision_), 0, now_);
 }
 
-wire::Report BusyFleet::report_of(const MachineId& machine) {
+wire::Heartbeat BusyFleet::heartbeat_of(const MachineId& machine) {
   const auto number = static_cast<std::size_t>(std::stoul(machine.text().substr(2)));
-  wire::Report report;
-  report.machine = machine;
-  report.address = "10.1.0.1:9000";
-  report.type = number % 3 == 0 ? "gpu" : "plain";
-  report.zone = kZones[number / 3 % 3];
-  report.session = SessionNo(1);
-  report.sequence = ++sequences_[machine];
-  report.term = controller_.term();
+  wire::Heartbeat heartbeat;
+  heartbeat.machine = machine;
+  heartbeat.address = "10.1.0.1:9000";
+  heartbeat.type = number % 3 == 0 ? "gpu" : "plain";
+  heartbeat.zone = kZones[number / 3 % 3];
+  heartbeat.incarnation = AgentIncarnation(1);
+  heartbeat.sequence = ++sequences_[machine];
+  heartbeat.term = controller_.term();
   const auto known = controller_.machines().find(machine);
-  if (known == controller_.machines().end()) return report;
-  for (const TaskKey& task : known->second.runs) {
+  if (known == controller_.machines().end()) return heartbeat;
+  for (const TaskKey& task : known->second.allocations) {
     const control::Job& job = controller_.jobs().at(task.job);
-    const auto& runs = job.parts[task.index / constants::kTasksPerPart].runs;
+    const auto& runs = job.shards[task.index / constants::kTasksPerShard].allocations;
     const bool over = ended_.contains(task);
-    report.tasks.push_back({.task = task,
-                            .attempt = runs.at(task.index).attempt,
-                            .state = over ? wire::TaskState::ended : wire::TaskState::running,
-                            .reason = over ? wire::EndReason::done : wire::EndReason::none,
-                            .saved = false});
+    heartbeat.tasks.push_back({.task = task,
+                               .attempt = runs.at(task.index).attempt,
+                               .state = over ? wire::TaskState::ended : wire::TaskState::running,
+                               .reason = over ? wire::EndReason::done : wire::EndReason::none,
+                               .saved = false});
   }
-  return report;
+  return heartbeat;
 }
 
-void BusyFleet::report_all() {
-  controller_.confirm_lease(now_);
-  controller_.confirm_reading(now_);
-  for (const MachineId& machine : machines_) (void)controller_.on_report(report_of(machine), now_);
+void BusyFleet::heartbeat_all() {
+  controller_.on_leader_lease_renewed(now_);
+  controller_.on_records_confirmed(now_);
+  for (const MachineId& machine : machines_) (void)controller_.on_heartbeat(heartbeat_of(machine), now_);
 }
 
 void BusyFleet::write_all() {
@@ -132,23 +132,23 @@
 }
 
 void BusyFleet::pass() {
-  controller_.confirm_lease(now_);
-  controller_.confirm_reading(now_);
+  controller_.on_leader_lease_renewed(now_);
+  controller_.on_records_confirmed(now_);
   controller_.plan_pass(now_);
   write_all();
 }
 
 void BusyFleet::end_one() {
   for (const auto& [id, job] : controller_.jobs()) {
-    if (job.withdrawn || job.runs_count == 0) continue;
+    if (job.cancelled || job.allocation_count == 0) continue;
     std::set<MachineId> on;
-    for (const control::Part& part : job.parts) {
-      for (const auto& [index, run] : part.runs) {
+    for (const control::JobShard& shard : job.shards) {
+      for (const auto& [index, run] : shard.allocations) {
         ended_.insert({id, index});
         on.insert(run.machine);
       }
     }
-    for (const MachineId& machine : on) (void)controller_.on_report(report_of(machine), now_);
+    for (const MachineId& machine : on) (void)controller_.on_heartbeat(heartbeat_of(machine), now_);
     write_all();
     return;
   }
--- a/tests/bench/busy_fleet.h
+++ b/tests/bench/busy_fleet.h
@@ -23,9 +23,9 @@
   [[nodiscard]] control::Controller& controller() { return controller_; }
   [[nodiscard]] plan::Instant now() const { return now_; }
   // What the machine's worker says now.
-  [[nodiscard]] wire::Report report_of(const MachineId& machine);
+  [[nodiscard]] wire::Heartbeat heartbeat_of(const MachineId& machine);
   [[nodiscard]] const std::vector<MachineId>& machines() const { return machines_; }
-  void report_all();
+  void heartbeat_all();
   void add_job(bool gang);
 
  private:
--- a/tests/cluster/local_cluster.cpp
+++ b/tests/cluster/local_cluster.cpp
@@ -65,7 +65,7 @@
   }
   ports_.push_back(hold_port());
   const std::string nobody = net::local_address(ports_.back()).text();
-  cloud_ = std::make_unique<standins::HttpCloud>(addresses_, around.report_s, around.lease_s);
+  cloud_ = std::make_unique<standins::HttpCloud>(addresses_, around.heartbeat_interval_s, around.lease_s);
   for (std::size_t node = 0; node < nodes; ++node) {
     json siblings = json::array();
     for (std::size_t other = 0; other < nodes; ++other) {
@@ -89,7 +89,7 @@
           {"teams", {{{"name", "red"}, {"cpus", 8.0}, {"cpus_max", 16.0}, {"gpus", 0.0}, {"gpus_max", 0.0}}}},
           {"objectives", json::array()},
           {"workers",
-           {{"report_s", around.report_s},
+           {{"report_s", around.heartbeat_interval_s},
             {"lease_s", around.lease_s},
             {"gang_wait_s", 10.0},
             {"gang_peer_s", 2.0},
--- a/tests/cluster/local_cluster.h
+++ b/tests/cluster/local_cluster.h
@@ -21,7 +21,7 @@
 };
 
 struct Surroundings {
-  double report_s = 0.5;
+  double heartbeat_interval_s = 0.5;
   double lease_s = 5;
   double cancel_s = 20;
   bool links = false;  // whether nodes reach each other through stand-ins, so that they can be cut from each other
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -44,89 +44,89 @@
   const auto wall_away = [this](std::int64_t when) {
     return std::clamp<std::int64_t>(when - wall_ms(), -kHorizonMs, kHorizonMs);
   };
-  const state::LeadView lead = state::lead_view(store_.get(state::kHolderKey), store_.get(state::kTermKey));
+  const state::LeadershipView lead = state::leadership_view(store_.get(state::kLeaderKey), store_.get(state::kTermKey));
   const auto term = [&](Term one) { return static_cast<std::int64_t>(lead.record.term.number() - one.number()); };
-  const auto mark_now = [this](const std::string& key) { return store_.get(key).entry.mark; };
+  const auto mark_now = [this](const std::string& key) { return store_.get(key).entry.revision; };
   const auto data = [&](const std::string& key, const wire::Value& value) {
     out << key;
-    if (key.starts_with(state::kLivePrefix) || key.starts_with(state::kLingerPrefix)) {
+    if (key.starts_with(state::kActiveJobPrefix) || key.starts_with(state::kTerminatingJobPrefix)) {
       const state::JobRecord record = state::job_from(value);
       if (!record.whole) return;
       out << record.whole->next;
       for (const bool done : record.whole->done) out << (done ? 1 : 0);
-      for (const state::RunRecord& run : record.whole->runs)
-        out << run.index << run.attempt << run.machine.text() << run.session;
-    } else if (key.starts_with(state::kOverPrefix)) {
+      for (const state::AllocationRecord& run : record.whole->allocations)
+        out << run.index << run.attempt << run.machine.text() << run.incarnation;
+    } else if (key.starts_with(state::kFinishedJobPrefix)) {
       out << value.text("end");
     }
   };
   // ---- the state service ----
-  out << outage_ << parted_ << lead.record.leader.text() << (lead.holder_mark != Revision{});
-  if (lead.holder_mark != Revision{}) {
-    const auto lease = leases_.find(lead.holder_lease);
+  out << outage_ << parted_ << lead.record.leader.text() << (lead.leader_revision != Revision{});
+  if (lead.leader_revision != Revision{}) {
+    const auto lease = leases_.find(lead.leader_lease);
     out << (lease == leases_.end() ? "?" : away(lease->second));
   }
-  out << wall_away(lead.others_until_wall_ms);
-  for (const char* prefix : {state::kLivePrefix, state::kOverPrefix, state::kLingerPrefix}) {
+  out << wall_away(lead.older_leaders_until_wall_ms);
+  for (const char* prefix : {state::kActiveJobPrefix, state::kFinishedJobPrefix, state::kTerminatingJobPrefix}) {
     for (const kv::Entry& entry : store_.list(prefix).entries) data(entry.key, entry.data);
   }
   // ---- controllers ----
   for (const Node& node : nodes_) {
     const control::Controller& controller = node.controller;
     out << "node" << node.frozen << node.refused << (node.lease.number != 0) << node.writing << node.leader_seen.text()
-        << term(node.term_seen) << controller.leading() << controller.gives_way(now_);
+        << term(node.term_seen) << controller.is_leader() << controller.should_yield_leadership(now_);
     if (node.lease.number != 0 && leases_.contains(node.lease.number)) out << away(leases_.at(node.lease.number));
     for (const Duty duty : node.stalled) out << "stalled" << duty;
     for (const auto& [id, status] : node.ended) out << id.text() << status.state;
     if (node.taking)
       out << "taking" << term(node.taking->term) << away(node.taking->asked)
-          << (node.taking->mark == mark_now(state::kTermKey)) << wall_away(node.taking->until_wall_ms);
-    if (setup_->grants) {
-      zone::Holder probe = node.holder;
+          << (node.taking->revision == mark_now(state::kTermKey)) << wall_away(node.taking->until_wall_ms);
+    if (setup_->delegations) {
+      zone::DelegatedLease probe = node.holder;
       out << "holds" << (node.leader_answered ? away(*node.leader_answered) : "-");
       for (const Machine& machine : machines_) {
         const auto may = probe.answers(machine.worker.id(), machine.zone, Term{}, now_);
         out << (may ? term(*may) : -1);
       }
       if (probe.until()) out << away(*probe.until());
-      zone::Holder asks = node.holder;
-      const zone::Ask ask = asks.next_ask(node.term_seen, now_);
-      out << (ask.holds != zone::GrantNo{});
+      zone::DelegatedLease asks = node.holder;
+      const zone::DelegationRequest ask = asks.next_request(node.term_seen, now_);
+      out << (ask.holds != zone::DelegationNumber{});
       for (const zone::Use& use : ask.uses) out << use.machine.text() << use.ago.count();
     }
-    if (!controller.leading()) continue;
-    out << term(controller.term()) << (controller.term_mark() == mark_now(state::kTermKey)) << away(node.lease_at)
-        << away(node.read_at) << away(node.others_until) << controller.plan_wanted();
-    for (const kv::Event& event : store_.follow(state::kLivePrefix, node.follow_from).events)
+    if (!controller.is_leader()) continue;
+    out << term(controller.term()) << (controller.term_revision() == mark_now(state::kTermKey)) << away(node.lease_at)
+        << away(node.read_at) << away(node.older_leaders_until) << controller.plan_wanted();
+    for (const kv::Event& event : store_.watch(state::kActiveJobPrefix, node.watch_from).events)
       event.data ? data(event.key, *event.data) : void(out << event.key << "gone");
     for (const auto& [id, job] : controller.jobs()) {
-      out << id.text() << (job.mark == mark_now(state::live_key(id))) << job.withdrawn << job.had_runs << job.reload
-          << job.done_count << job.begun << job.errors << away(job.not_before) << job.failed_on.size()
+      out << id.text() << (job.revision == mark_now(state::active_job_key(id))) << job.cancelled << job.had_allocations
+          << job.reload << job.done_count << job.begun << job.errors << away(job.not_before) << job.failed_on.size()
           << (job.gather_until ? away(*job.gather_until) : "-");
-      for (const jobs::Part& part : job.parts) {
+      for (const jobs::JobShard& part : job.shards) {
         out << part.next << part.dirty << part.in_flight << part.reload;
         for (const bool done : part.done) out << (done ? 1 : 0);
-        for (const auto& [index, run] : part.runs) {
-          out << index << run.attempt << run.machine.text() << run.session << static_cast<bool>(run.durable)
-              << run.adopted << run.halting << away(run.halt_due) << (run.seen ? static_cast<int>(*run.seen) : -1)
+        for (const auto& [index, run] : part.allocations) {
+          out << index << run.attempt << run.machine.text() << run.incarnation << static_cast<bool>(run.durable)
+              << run.adopted << run.stopping << away(run.stop_due) << (run.seen ? static_cast<int>(*run.seen) : -1)
               << away(run.placed);
         }
       }
     }
     for (const auto& [id, machine] : controller.machines()) {
-      out << id.text() << machine.state << machine.reported << machine.saw_term << machine.session
-          << away(machine.last_report) << machine.expired << machine.halting << machine.strangers << machine.zone
-          << machine.errors << away(machine.known);
-      if (setup_->grants) out << away(controller.grants().renewed_until(machine.zone, id));
+      out << id.text() << machine.state << machine.has_reported << machine.saw_term << machine.incarnation
+          << away(machine.last_heartbeat) << machine.expired << machine.stopping << machine.has_unknown_tasks
+          << machine.zone << machine.errors << away(machine.known);
+      if (setup_->delegations) out << away(controller.delegations().renewed_until(machine.zone, id));
     }
-    if (setup_->grants) out << controller.grants().older_terms_over();
+    if (setup_->delegations) out << controller.delegations().have_older_terms_ended();
   }
   // ---- machines ----
   for (const Machine& machine : machines_) {
     standins::Worker worker = machine.worker;  // its attempts can be looked at by who may change them
     out << worker.id().text() << worker.alive << worker.hung << machine.deaf << machine.node << machine.changed
-        << away(machine.next_report) << away(machine.lease_from)
-        << (machine.waits_until ? away(*machine.waits_until) : "-") << term(worker.term()) << worker.session();
+        << away(machine.next_heartbeat) << away(machine.lease_from)
+        << (machine.waits_until ? away(*machine.waits_until) : "-") << term(worker.term()) << worker.incarnation();
     for (const auto& [key, attempt] : worker.attempts()) {
       out << key.first.text() << key.second << attempt.state << attempt.reason << attempt.on_machine
           << (attempt.began ? away(*attempt.began + attempt.length) : "-");
@@ -137,30 +137,30 @@
   for (const auto& [what, fate] : armed_) out << "armed" << what.first << what.second << fate;
   for (const Message& message : captured_) {
     out << "captured" << message.sort << message.fate << message.node << (nodes_[message.node].life == message.life)
-        << message.machine << away(message.sent) << message.left << term(message.term) << message.session;
-    for (const kv::Condition& condition : message.txn.conditions)
-      out << condition.key << (condition.mark == mark_now(condition.key)) << (condition.mark == Revision{});
+        << message.machine << away(message.sent) << message.left << term(message.term) << message.incarnation;
+    for (const kv::Precondition& condition : message.txn.preconditions)
+      out << condition.key << (condition.revision == mark_now(condition.key)) << (condition.revision == Revision{});
     for (const kv::Change& change : message.txn.changes)
       change.data ? data(change.key, *change.data) : void(out << change.key << "gone");
-    if (message.batch) out << (message.batch->term_mark == nodes_[message.node].controller.term_mark());
+    if (message.batch) out << (message.batch->term_revision == nodes_[message.node].controller.term_revision());
     if (message.result) out << message.result->answer;
     if (message.taking) out << term(message.taking->term);
-    if (message.sort == Sort::report || message.sort == Sort::answer) {
-      const wire::Report& report = message.report;
-      out << report.session << term(report.term);
-      for (const wire::TaskReport& task : report.tasks) out << task.task.text() << task.attempt << task.state;
+    if (message.sort == Sort::heartbeat || message.sort == Sort::answer) {
+      const wire::Heartbeat& heartbeat = message.heartbeat;
+      out << heartbeat.incarnation << term(heartbeat.term);
+      for (const wire::TaskStatus& task : heartbeat.tasks) out << task.task.text() << task.attempt << task.state;
       for (const Node& node : nodes_) {
-        const auto known = node.controller.machines().find(report.machine);
-        if (known != node.controller.machines().end()) out << (known->second.sequence < report.sequence);
+        const auto known = node.controller.machines().find(heartbeat.machine);
+        if (known != node.controller.machines().end()) out << (known->second.sequence < heartbeat.sequence);
       }
     }
     if (message.commands) {
       for (const wire::Command& command : *message.commands)
         out << command.kind << command.task.text() << command.attempt;
     }
-    if (message.sort == Sort::grant) out << term(message.grant.term) << message.grant.age.count();
-    for (const MachineId& except : message.grant.except) out << except.text();
-    if (message.sort == Sort::ask) out << term(message.ask.term) << (message.ask.holds != zone::GrantNo{});
+    if (message.sort == Sort::delegation) out << term(message.delegation.term) << message.delegation.age.count();
+    for (const MachineId& except : message.delegation.except) out << except.text();
+    if (message.sort == Sort::ask) out << term(message.ask.term) << (message.ask.holds != zone::DelegationNumber{});
   }
   // ---- users ----
   for (const auto& [id, state] : told_) out << id.text() << state;
