--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -58,12 +58,12 @@
 
 Millis Model::Stage::run_left(const TaskKey&) { return control::from_seconds(model->setup_->run_s); }
 
-void Model::Stage::on_started(const TaskKey& task, AttemptNo, const MachineId& id) {
+void Model::Stage::on_started(const TaskKey& task, AttemptNumber, const MachineId& id) {
   const auto machine = std::ranges::find(model->machines_, id, [](const Machine& one) { return one.worker.id(); });
   model->rules_.on_started(task, {.machine = id, .type = "g", .zone = machine->zone, .spot = false}, model->now_);
 }
 
-void Model::Stage::on_gone(const TaskKey& task, AttemptNo, const MachineId& machine, bool done) {
+void Model::Stage::on_gone(const TaskKey& task, AttemptNumber, const MachineId& machine, bool done) {
   model->rules_.on_gone(task, machine, done, model->now_);
   if (!done || !model->done_.insert(task).second) return;
   const auto all = std::ranges::count(model->done_, task.job, &TaskKey::job);
@@ -80,7 +80,7 @@
       stalled(other.stalled),
       lease(other.lease),
       taking(other.taking),
-      follow_from(other.follow_from),
+      watch_from(other.watch_from),
       leader_seen(other.leader_seen),
       term_seen(other.term_seen),
       holder(other.holder),
@@ -89,7 +89,7 @@
       ended(other.ended),
       lease_at(other.lease_at),
       read_at(other.read_at),
-      others_until(other.others_until) {}
+      older_leaders_until(other.older_leaders_until) {}
 
 Model::Model(const Setup& setup)
     : setup_(&setup), stage_(std::make_shared<Stage>()), now_(Millis(1'000'000)), rules_(settings_of(0)) {
@@ -108,7 +108,7 @@
                                   control::from_seconds(kLeaseS), *stage_, now_},
                        .zone = zone,
                        .lease_from = now_});
-  machines_.back().worker.gang_ready = [stage = stage_.get()](const JobId& id, AttemptNo attempt) {
+  machines_.back().worker.gang_ready = [stage = stage_.get()](const JobId& id, AttemptNumber attempt) {
     std::set<std::uint32_t> ready;
     for (Machine& machine : stage->model->machines_) {
       for (const auto& [key, there] : machine.worker.attempts()) {
@@ -129,17 +129,17 @@
     if (other != node) settings.siblings.push_back({.name = name_of(other), .zone = zone_of(other), .endpoint = {}});
   }
   settings.teams = {{.name = "red", .cpus = 0, .cpus_max = setup_->team_cpus_most, .gpus = 0, .gpus_max = 0}};
-  settings.report_s = kReportS;
+  settings.heartbeat_interval_s = kReportS;
   settings.lease_s = kLeaseS;
   settings.cancel_s = kCancelS;
   settings.gang_wait_s = 30;
   settings.gang_peer_s = 5;
   settings.state_value_kb = 8;
   settings.state_txn_ops = 16;
-  settings.cloud_list_lag_s = 5;
-  settings.operators.may_rent = false;
-  settings.operators.may_return = false;
-  settings.operators.zone_grants = setup_->grants;
+  settings.cloud_list_delay_s = 5;
+  settings.operators.can_scale_out = false;
+  settings.operators.can_scale_in = false;
+  settings.operators.zone_lease_delegation = setup_->delegations;
   return settings;
 }
 
@@ -148,7 +148,7 @@
   Node made{control::Controller(settings)};
   made.controller.on_types({type()});
   made.life = life;
-  made.holder = zone::Holder(settings.name, settings.zone, life, control::grant_spans(settings));
+  made.holder = zone::DelegatedLease(settings.name, settings.zone, life, control::delegation_spans(settings));
   return made;
 }
 
@@ -176,7 +176,7 @@
   if (!apply_choice(action)) return false;
   rules_.check(now_);
   for (const Node& node : nodes_) {
-    if (!fault_ && node.controller.leading()) fault_ = node.controller.disagreement();
+    if (!fault_ && node.controller.is_leader()) fault_ = node.controller.find_inconsistency();
   }
   return true;
 }
@@ -191,10 +191,10 @@
   switch (action.kind) {
     case Kind::pass: return a < kSpans.size() && (pass(kSpans[a], b == 1), true);
     case Kind::turn: return a < nodes_.size() && !nodes_[a].frozen && (turn(a, static_cast<Duty>(b)), true);
-    case Kind::report:
+    case Kind::heartbeat:
       if (a >= machines_.size() || !machines_[a].worker.alive || machines_[a].worker.hung || machines_[a].waits_until)
         return false;
-      machines_[a].next_report = now_;
+      machines_[a].next_heartbeat = now_;
       report_turn(a);
       return true;
     case Kind::submit:
@@ -221,7 +221,7 @@
       outage_ = !outage_;
       if (outage_) return true;
       store_.renew_all(now_);
-      for (auto& [unused, until] : leases_) until = now_ + constants::kLeaderLease;
+      for (auto& [unused, until] : leases_) until = now_ + constants::kLeaderLeaseTtl;
       return true;
     case Kind::part: return parted_ = !parted_, true;
     case Kind::cut: return a < machines_.size() && b < nodes_.size() && flip(cuts_, std::pair(a, b));
@@ -254,7 +254,7 @@
   }
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
     for (std::size_t duty = 0; duty < kDuties; ++duty) {
-      if (nodes_[node].frozen || (static_cast<Duty>(duty) == Duty::ask && !setup_->grants)) continue;
+      if (nodes_[node].frozen || (static_cast<Duty>(duty) == Duty::ask && !setup_->delegations)) continue;
       add(Kind::turn, node, duty);
       add(Kind::stall, node, duty);
     }
@@ -264,7 +264,7 @@
   }
   for (std::size_t machine = 0; machine < machines_.size(); ++machine) {
     if (!machines_[machine].worker.alive) continue;
-    add(Kind::report, machine);
+    add(Kind::heartbeat, machine);
     add(Kind::hang, machine);
     add(Kind::deaf, machine);
     for (std::size_t node = 0; node < nodes_.size(); ++node) add(Kind::cut, machine, node);
@@ -283,11 +283,11 @@
     arm(Sort::lead, node, {Fate::late, Fate::lost, Fate::slow});
     arm(Sort::write, node, {Fate::late, Fate::lost, Fate::slow, Fate::held});
     arm(Sort::user, node, {Fate::late, Fate::lost});
-    if (setup_->grants) arm(Sort::ask, node, {Fate::late});
-    if (setup_->grants) arm(Sort::grant, node, {Fate::slow});
+    if (setup_->delegations) arm(Sort::ask, node, {Fate::late});
+    if (setup_->delegations) arm(Sort::delegation, node, {Fate::slow});
   }
   for (std::size_t machine = 0; machine < machines_.size(); ++machine) {
-    arm(Sort::report, machine, {Fate::late, Fate::held});
+    arm(Sort::heartbeat, machine, {Fate::late, Fate::held});
     arm(Sort::answer, machine, {Fate::slow, Fate::held});
     arm(Sort::halt, machine, {Fate::late});
   }
@@ -312,7 +312,7 @@
     const bool waits = message->sort == Sort::write && (message->fate == Fate::slow || message->fate == Fate::held) &&
                        message->life == node.life && node.writing;
     if (!waits || node.frozen || node.stalled.contains(Duty::write) ||
-        now_ - message->sent < constants::kStateCallLimit) {
+        now_ - message->sent < constants::kStoreCallTimeout) {
       ++message;
       continue;
     }
@@ -331,12 +331,12 @@
   if (!outage_) store_.expire(now_);
   give_up_calls();
   for (Machine& machine : machines_) {
-    const SessionNo before = machine.worker.session();
+    const AgentIncarnation before = machine.worker.incarnation();
     if (machine.worker.advance(now_)) {
       machine.changed = true;
-      machine.next_report = std::min(machine.next_report, now_ + Millis(100));
+      machine.next_heartbeat = std::min(machine.next_heartbeat, now_ + Millis(100));
     }
-    if (machine.worker.session() != before) machine.lease_from = now_;
+    if (machine.worker.incarnation() != before) machine.lease_from = now_;
     if (machine.waits_until && now_ >= *machine.waits_until) {
       turn_to(static_cast<std::size_t>(&machine - machines_.data()), (machine.node + 1) % nodes_.size(), Millis(1000));
     }
@@ -348,15 +348,15 @@
 void Model::round(bool reversed) {
   std::vector<std::size_t> order(nodes_.size());
   for (std::size_t at = 0; at < order.size(); ++at) order[at] = reversed ? order.size() - 1 - at : at;
-  const auto reports = [this] {
+  const auto heartbeats = [this] {
     for (std::size_t machine = 0; machine < machines_.size(); ++machine) report_turn(machine);
   };
   advance();
-  if (reversed) reports();
+  if (reversed) heartbeats();
   for (const std::size_t node : order) {
-    for (const Duty duty : {Duty::lead, Duty::lead, Duty::follow, Duty::plan, Duty::write, Duty::ask}) turn(node, duty);
+    for (const Duty duty : {Duty::lead, Duty::lead, Duty::watch, Duty::plan, Duty::write, Duty::ask}) turn(node, duty);
   }
-  if (!reversed) reports();
+  if (!reversed) heartbeats();
   for (const std::size_t node : order) {
     turn(node, Duty::plan);
     turn(node, Duty::write);
@@ -368,7 +368,7 @@
   if (nodes_[node].frozen || nodes_[node].stalled.contains(duty)) return;
   switch (duty) {
     case Duty::lead: return lead_turn(node);
-    case Duty::follow: return follow_turn(node);
+    case Duty::watch: return follow_turn(node);
     case Duty::plan: return plan_turn(node);
     case Duty::write: return write_turn(node);
     case Duty::ask: return ask_turn(node);
@@ -392,31 +392,31 @@
   Node& self = nodes_[node];
   if (self.taking) return read_records(node);
   if (!served(node)) return;
-  if (self.controller.leading()) {
+  if (self.controller.is_leader()) {
     const Answer answer = store_.touch(self.lease, now_);
-    if (answer == Answer::not_found) return self.controller.resign("its lease has ended");
-    leases_[self.lease.number] = now_ + constants::kLeaderLease;
-    self.controller.confirm_lease(now_);
+    if (answer == Answer::not_found) return self.controller.step_down("its lease has ended");
+    leases_[self.lease.number] = now_ + constants::kLeaderLeaseTtl;
+    self.controller.on_leader_lease_renewed(now_);
     self.lease_at = now_;
     return;
   }
   if (self.lease.number != 0) store_.revoke(std::exchange(self.lease, {}));
-  const state::LeadView view = state::lead_view(store_.get(state::kHolderKey), store_.get(state::kTermKey));
-  const bool held = view.holder_mark != Revision{};
+  const state::LeadershipView view = state::leadership_view(store_.get(state::kLeaderKey), store_.get(state::kTermKey));
+  const bool held = view.leader_revision != Revision{};
   self.leader_seen = held ? view.record.leader : NodeName{};
   self.term_seen = view.record.term;
-  self.holder.hear_of(self.term_seen);
-  if ((held && view.record.leader != name_of(node)) || self.controller.gives_way(now_)) return;
-  take_lead(node, view);
+  self.holder.observe_term(self.term_seen);
+  if ((held && view.record.leader != name_of(node)) || self.controller.should_yield_leadership(now_)) return;
+  acquire_leadership(node, view);
 }
 
-void Model::take_lead(std::size_t node, const state::LeadView& view) {
+void Model::acquire_leadership(std::size_t node, const state::LeadershipView& view) {
   Node& self = nodes_[node];
-  const kv::LeaseId lease = store_.grant(constants::kLeaderLease, now_);
-  leases_[lease.number] = now_ + constants::kLeaderLease;
-  const std::int64_t until = state::others_until(view, wall_ms(), control::fence_span(settings_of(node)).count(),
-                                                 static_cast<std::int64_t>(0));
-  const kv::Txn txn = state::take_lead_txn(view, name_of(node), lease, until);
+  const kv::LeaseId lease = store_.grant_lease(constants::kLeaderLeaseTtl, now_);
+  leases_[lease.number] = now_ + constants::kLeaderLeaseTtl;
+  const std::int64_t until = state::older_leaders_until(view, wall_ms(), control::fence_span(settings_of(node)).count(),
+                                                        static_cast<std::int64_t>(0));
+  const kv::Txn txn = state::acquire_leadership_txn(view, name_of(node), lease, until);
   const auto found = fate(Sort::lead, node);
   if (found == Fate::late || found == Fate::held) {
     return capture({.sort = Sort::lead, .fate = Fate::late, .node = node, .sent = now_, .left = 2, .txn = txn});
@@ -425,7 +425,7 @@
   if (result.answer != Answer::ok) return store_.revoke(lease);
   self.lease = lease;
   const Node::Taking taking{
-      .term = view.record.term.next(), .mark = result.revision, .until_wall_ms = until, .asked = now_};
+      .term = view.record.term.next(), .revision = result.revision, .until_wall_ms = until, .asked = now_};
   // With no answer it looks once more and finds itself.
   if (found == Fate::slow)
     return capture({.sort = Sort::lead, .fate = Fate::slow, .node = node, .sent = now_, .taking = taking});
@@ -437,61 +437,61 @@
   Node& self = nodes_[node];
   if (!served(node)) return;
   const Node::Taking taking = *std::exchange(self.taking, std::nullopt);
-  const kv::ListResult live = store_.list(state::kLivePrefix);
+  const kv::ListResult live = store_.list(state::kActiveJobPrefix);
   const kv::GetResult term = store_.get(state::kTermKey);
-  const control::Takeover takeover{
+  const control::FailoverSnapshot failover{
       .term = taking.term,
-      .term_mark = taking.mark,
-      .others_until = now_ + Millis(std::max<std::int64_t>(0, taking.until_wall_ms - wall_ms())),
-      .live = live.entries,
-      .linger = store_.list(state::kLingerPrefix).entries,
-      .parts = {},
+      .term_revision = taking.revision,
+      .older_leaders_until = now_ + Millis(std::max<std::int64_t>(0, taking.until_wall_ms - wall_ms())),
+      .active_jobs = live.entries,
+      .terminating_jobs = store_.list(state::kTerminatingJobPrefix).entries,
+      .shards = {},
       .wall_ms = wall_ms()};
   const control::Readiness found{
       .self = name_of(node),
       .term = taking.term,
-      .term_mark = taking.mark,
+      .term_revision = taking.revision,
       .record = state::term_from(term.entry.data),
-      .record_mark = term.entry.mark,
+      .record_revision = term.entry.revision,
       .records_at = live.revision,
       .lease_asked = taking.asked,
-      .others_until = takeover.others_until,
+      .older_leaders_until = failover.older_leaders_until,
       .fence_least = taking.until_wall_ms == 0
                          ? Instant{}
                          : taking.asked + control::fence_span(settings_of(node)) - constants::kClockRounding};
   if (control::not_ready(found, now_)) return store_.revoke(std::exchange(self.lease, {}));
-  self.controller.lead(takeover, taking.asked);
-  self.follow_from = live.revision;
+  self.controller.become_leader(failover, taking.asked);
+  self.watch_from = live.revision;
   self.writing = false;
   self.lease_at = self.read_at = taking.asked;
-  self.others_until = takeover.others_until;
+  self.older_leaders_until = failover.older_leaders_until;
   self.leader_seen = name_of(node);
   self.term_seen = taking.term;
 }
 
 void Model::follow_turn(std::size_t node) {
   Node& self = nodes_[node];
-  if (!self.controller.leading() || !served(node)) return;
-  const kv::FollowResult news = store_.follow(state::kLivePrefix, self.follow_from);
+  if (!self.controller.is_leader() || !served(node)) return;
+  const kv::WatchResult news = store_.watch(state::kActiveJobPrefix, self.watch_from);
   for (const kv::Event& event : news.events) {
     const auto id = state::job_of_key(event.key);
     if (event.data) {
-      self.controller.on_job_record(*id, *event.data, event.mark, wall_ms(), now_);
+      self.controller.on_job_record(*id, *event.data, event.revision, wall_ms(), now_);
     } else {
       self.controller.on_job_removed(*id, now_);
     }
   }
-  self.controller.confirm_reading(now_);
+  self.controller.on_records_confirmed(now_);
   self.read_at = now_;
-  self.follow_from = news.revision;
+  self.watch_from = news.revision;
 }
 
 void Model::plan_turn(std::size_t node) {
   Node& self = nodes_[node];
-  if (!self.controller.leading()) return;
+  if (!self.controller.is_leader()) return;
   self.controller.tick(now_);
   if (self.controller.plan_wanted()) self.controller.plan_pass(now_);
-  if (const std::vector<MachineId> names = self.controller.next_returns(now_); !names.empty()) {
+  if (const std::vector<MachineId> names = self.controller.next_scale_in(now_); !names.empty()) {
     std::vector<std::string> zones;
     for (Machine& machine : machines_) {
       if (!machine.worker.alive || std::ranges::find(names, machine.worker.id()) == names.end()) continue;
@@ -501,9 +501,9 @@
     if (machines_.size() < kMachinesMost) {  // its successor is up at once
       for (const std::string& zone : zones) add_machine(zone);
     }
-    self.controller.on_returned(names, now_);
+    self.controller.on_scaled_in(names, now_);
   }
-  for (const control::DirectHalt& halt : self.controller.due_halts(now_)) {
+  for (const control::DirectStop& halt : self.controller.due_direct_stops(now_)) {
     const auto found = std::ranges::find(machines_, halt.machine, [](const Machine& one) { return one.worker.id(); });
     if (found == machines_.end()) continue;
     const auto machine = static_cast<std::size_t>(found - machines_.begin());
@@ -514,9 +514,9 @@
                .sent = now_,
                .commands = halt.commands,
                .term = halt.term,
-               .session = halt.session});
+               .incarnation = halt.incarnation});
     } else if (!found->deaf && !found->worker.hung && found->worker.alive && !cut(machine, node)) {
-      (void)found->worker.direct(halt.term, halt.session, halt.commands, now_);
+      (void)found->worker.direct(halt.term, halt.incarnation, halt.commands, now_);
       found->changed = true;
     }
   }
@@ -527,10 +527,10 @@
   if (self.writing) return;
   while (served(node)) {
     const auto reload = self.controller.next_reload();
-    if (!reload || !self.controller.leading()) break;
+    if (!reload || !self.controller.is_leader()) break;
     const kv::GetResult found = store_.get(reload->key());
-    self.controller.on_reloaded(*reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt,
-                                now_);
+    self.controller.on_reloaded(*reload,
+                                found.answer == Answer::ok ? std::optional(found.entry.revision) : std::nullopt, now_);
   }
   const auto batch = self.controller.begin_write(now_);
   if (!batch) return;
@@ -548,27 +548,30 @@
 void Model::ask_turn(std::size_t node) {
   Node& self = nodes_[node];
   const auto leader = node_of(self.leader_seen);
-  if (!setup_->grants || self.controller.leading() || !leader || *leader == node) return;
+  if (!setup_->delegations || self.controller.is_leader() || !leader || *leader == node) return;
   Message message{
-      .sort = Sort::ask, .node = node, .sent = now_, .left = 2, .ask = self.holder.next_ask(self.term_seen, now_)};
+      .sort = Sort::ask, .node = node, .sent = now_, .left = 2, .ask = self.holder.next_request(self.term_seen, now_)};
   if (fate(Sort::ask, node)) return capture(std::move(message));
   message.life = self.life;
-  on_ask(message);
+  on_delegation_request(message);
 }
 
-void Model::on_ask(const Message& message) {
+void Model::on_delegation_request(const Message& message) {
   // The leader that it asked; by now that may lead no longer.
   for (std::size_t leader = 0; leader < nodes_.size(); ++leader) {
     if (leader == message.node || nodes_[leader].frozen || parted_ ||
         nodes_[leader].controller.term() != message.ask.term)
       continue;
-    const auto grant = nodes_[leader].controller.on_ask(message.ask, now_);
+    const auto delegation = nodes_[leader].controller.on_delegation_request(message.ask, now_);
     Node& asker = nodes_[message.node];
-    if (!grant || asker.life != message.life) return;
-    Message answer{
-        .sort = Sort::grant, .fate = Fate::slow, .node = message.node, .sent = message.sent, .grant = *grant};
-    if (asker.frozen || fate(Sort::grant, message.node)) return capture(std::move(answer));
-    if (asker.holder.on_grant(*grant, message.sent)) asker.leader_answered = now_;
+    if (!delegation || asker.life != message.life) return;
+    Message answer{.sort = Sort::delegation,
+                   .fate = Fate::slow,
+                   .node = message.node,
+                   .sent = message.sent,
+                   .delegation = *delegation};
+    if (asker.frozen || fate(Sort::delegation, message.node)) return capture(std::move(answer));
+    if (asker.holder.on_delegation(*delegation, message.sent)) asker.leader_answered = now_;
     return;
   }
 }
@@ -578,81 +581,85 @@
 void Model::turn_to(std::size_t machine, std::size_t node, Millis pause) {
   machines_[machine].waits_until.reset();
   machines_[machine].node = node;
-  machines_[machine].next_report = now_ + pause;
+  machines_[machine].next_heartbeat = now_ + pause;
 }
 
 void Model::report_turn(std::size_t number) {
   for (std::size_t hop = 0; hop < kHops; ++hop) {
     Machine& machine = machines_[number];
-    if (!machine.worker.alive || machine.worker.hung || machine.waits_until || now_ < machine.next_report) return;
+    if (!machine.worker.alive || machine.worker.hung || machine.waits_until || now_ < machine.next_heartbeat) return;
     machine.changed = false;
-    machine.waits_until = now_ + constants::kReportAnswerLimit;
-    const wire::Report report = machine.worker.report();
-    const auto found = fate(Sort::report, number);
+    machine.waits_until = now_ + constants::kHeartbeatTimeout;
+    const wire::Heartbeat heartbeat = machine.worker.heartbeat();
+    const auto found = fate(Sort::heartbeat, number);
     if (found) {  // a copy, or the report itself
-      capture({.sort = Sort::report,
+      capture({.sort = Sort::heartbeat,
                .fate = *found,
                .node = machine.node,
                .machine = number,
                .sent = now_,
                .left = 2,
-               .report = report});
+               .heartbeat = heartbeat});
     }
-    if (found != Fate::held) deliver_report(number, report, now_, machine.node);
+    if (found != Fate::held) deliver_heartbeat(number, heartbeat, now_, machine.node);
   }
 }
 
-void Model::deliver_report(std::size_t number, const wire::Report& report, Instant sent, std::size_t node) {
+void Model::deliver_heartbeat(std::size_t number, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node) {
   Machine& machine = machines_[number];
   Node& self = nodes_[node];
   if (self.frozen) {
     if (captured_.size() < setup_->captured_most)
-      capture(
-          {.sort = Sort::report, .fate = Fate::held, .node = node, .machine = number, .sent = sent, .report = report});
+      capture({.sort = Sort::heartbeat,
+               .fate = Fate::held,
+               .node = node,
+               .machine = number,
+               .sent = sent,
+               .heartbeat = heartbeat});
     return;
   }
   if (cut(number, node)) return turn_to(number, (node + 1) % nodes_.size(), Millis(1000));
-  if (self.controller.leading()) return take_report(number, report, sent, node, node);
+  if (self.controller.is_leader()) return take_heartbeat(number, heartbeat, sent, node, node);
   const auto leader = node_of(self.leader_seen);
   if (leader && *leader != node) {
-    if (!cut(number, *leader) && !nodes_[*leader].frozen && nodes_[*leader].controller.leading()) {
-      if (answer_by_grant(number, report, sent, node, false)) return;
+    if (!cut(number, *leader) && !nodes_[*leader].frozen && nodes_[*leader].controller.is_leader()) {
+      if (answer_by_delegation(number, heartbeat, sent, node, false)) return;
       if (!machine.deaf) turn_to(number, *leader, Millis(0));
       return;
     }
-    if (!parted_ && !nodes_[*leader].frozen) return take_report(number, report, sent, *leader, node);
+    if (!parted_ && !nodes_[*leader].frozen) return take_heartbeat(number, heartbeat, sent, *leader, node);
   }
-  if (answer_by_grant(number, report, sent, node, true)) return;
+  if (answer_by_delegation(number, heartbeat, sent, node, true)) return;
   turn_to(number, (node + 1) % nodes_.size(), Millis(1000));
 }
 
-bool Model::answer_by_grant(std::size_t number, const wire::Report& report, Instant sent, std::size_t node,
-                            bool tried) {
+bool Model::answer_by_delegation(std::size_t number, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node,
+                                 bool tried) {
   Node& self = nodes_[node];
-  const bool near = self.leader_answered && now_ - *self.leader_answered < constants::kContactLost;
+  const bool near = self.leader_answered && now_ - *self.leader_answered < constants::kLeaderContactTimeout;
   if (near && !tried) return false;
-  const auto term = self.holder.answers(report.machine, report.zone, report.term, now_);
+  const auto term = self.holder.answers(heartbeat.machine, heartbeat.zone, heartbeat.term, now_);
   if (!term) return false;
-  deliver_answer(number, std::vector<wire::Command>{}, *term, report.session, sent);
+  deliver_answer(number, std::vector<wire::Command>{}, *term, heartbeat.incarnation, sent);
   return true;
 }
 
-void Model::take_report(std::size_t number, const wire::Report& report, Instant sent, std::size_t node,
-                        std::size_t via) {
+void Model::take_heartbeat(std::size_t number, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node,
+                           std::size_t via) {
   Node& self = nodes_[node];
   Message message{.sort = Sort::answer,
                   .fate = Fate::held,
                   .node = node,
                   .machine = number,
                   .sent = sent,
-                  .report = report,
-                  .commands = self.controller.on_report(report, now_),
+                  .heartbeat = heartbeat,
+                  .commands = self.controller.on_heartbeat(heartbeat, now_),
                   .term = self.controller.term()};
-  if (now_ - sent >= constants::kReportAnswerLimit) return;
+  if (now_ - sent >= constants::kHeartbeatTimeout) return;
   if (!message.commands) {
     // Who passed it on may have a grant.
-    if (via != node && answer_by_grant(number, report, sent, via, true)) return;
-    return deliver_answer(number, {}, {}, report.session, sent);
+    if (via != node && answer_by_delegation(number, heartbeat, sent, via, true)) return;
+    return deliver_answer(number, {}, {}, heartbeat.incarnation, sent);
   }
   const auto found = armed_.find({Sort::answer, number});
   if (found != armed_.end() && found->second == Fate::held) {  // it waits at the node
@@ -668,13 +675,13 @@
   Node& self = nodes_[message.node];
   if (self.frozen || self.life != message.life) return;
   auto commands = message.commands;
-  if (!self.controller.settled(message.report)) {
+  if (!self.controller.settled(message.heartbeat)) {
     plan_turn(message.node);
     write_turn(message.node);
   }
-  const auto later = self.controller.later_commands(message.report, now_);
+  const auto later = self.controller.later_commands(message.heartbeat, now_);
   if (!later || (guards::kept(guards::Guard::answer_term) && self.controller.term() != message.term)) {
-    return deliver_answer(message.machine, {}, {}, message.report.session, message.sent);
+    return deliver_answer(message.machine, {}, {}, message.heartbeat.incarnation, message.sent);
   }
   for (const wire::Command& command : *later) {
     if (std::ranges::find(*commands, command) == commands->end()) commands->push_back(command);
@@ -687,20 +694,20 @@
                     .sent = message.sent,
                     .commands = commands,
                     .term = message.term,
-                    .session = message.report.session});
+                    .incarnation = message.heartbeat.incarnation});
   }
-  deliver_answer(message.machine, commands, message.term, message.report.session, message.sent);
+  deliver_answer(message.machine, commands, message.term, message.heartbeat.incarnation, message.sent);
 }
 
 void Model::deliver_answer(std::size_t number, const std::optional<std::vector<wire::Command>>& commands, Term term,
-                           SessionNo session, Instant sent) {
+                           AgentIncarnation incarnation, Instant sent) {
   Machine& machine = machines_[number];
   if (!machine.worker.alive || machine.worker.hung || machine.deaf || !machine.waits_until) return;
-  if (*machine.waits_until != sent + constants::kReportAnswerLimit || now_ >= *machine.waits_until) return;
+  if (*machine.waits_until != sent + constants::kHeartbeatTimeout || now_ >= *machine.waits_until) return;
   if (!commands) return turn_to(number, (machine.node + 1) % nodes_.size(), Millis(1000));
   machine.waits_until.reset();
-  machine.next_report = now_ + (commands->empty() ? control::from_seconds(kReportS) : Millis(500));
-  if (machine.worker.answer(term, *commands, session, sent, now_)) {
+  machine.next_heartbeat = now_ + (commands->empty() ? control::from_seconds(kReportS) : Millis(500));
+  if (machine.worker.answer(term, *commands, incarnation, sent, now_)) {
     machine.lease_from = std::max(machine.lease_from, sent);
   }
 }
@@ -711,14 +718,14 @@
 Model::Seen Model::look(std::size_t node, const JobId& job) {
   Node& self = nodes_[node];
   if (const auto known = self.ended.find(job); known != self.ended.end()) return {.status = known->second, .live = {}};
-  const kv::GetResult live = store_.get(state::live_key(job));
+  const kv::GetResult live = store_.get(state::active_job_key(job));
   if (live.answer == Answer::ok) {
     const state::JobRecord record = state::job_from(live.entry.data);
-    return {.status = state::status_of(record), .live = record, .mark = live.entry.mark};
+    return {.status = state::status_of(record), .live = record, .revision = live.entry.revision};
   }
-  const kv::GetResult over = store_.get(state::over_key(job));
+  const kv::GetResult over = store_.get(state::finished_job_key(job));
   if (over.answer != Answer::ok) return {};
-  return {.status = self.ended[job] = state::over_from(job, over.entry.data), .live = {}};
+  return {.status = self.ended[job] = state::finished_job_from(job, over.entry.data), .live = {}};
 }
 
 void Model::submit(const wire::JobSpec& spec, std::size_t node) {
@@ -732,7 +739,7 @@
     told_[spec.id] = *state;
   };
   if (!served(node)) return answer(503, {});
-  const kv::Txn txn = state::accept_txn(state::new_job(spec, wall_ms()));
+  const kv::Txn txn = state::create_job_txn(state::new_job(spec, wall_ms()));
   const auto found = fate(Sort::user, node);
   if (found == Fate::late)
     capture({.sort = Sort::user, .node = node, .sent = now_, .left = 2, .txn = txn, .creates = spec.id});
@@ -750,14 +757,14 @@
     if (!state) return;
     rules_.on_told(job, *state, now_);
     told_[job] = *state;
-    if (*state == wire::JobState::withdrawn) withdrawn_.try_emplace(job, now_);
+    if (*state == wire::JobState::cancelled) withdrawn_.try_emplace(job, now_);
   };
   if (!served(node)) return answer(503, {});
-  for (int tries = 0; tries < constants::kConflictsMost; ++tries) {
+  for (int tries = 0; tries < constants::kMaxConflictRetries; ++tries) {
     const Seen seen = look(node, job);
     if (!seen.status) return answer(404, {});
     if (!seen.live) return answer(200, seen.status->state);
-    const kv::Txn txn = state::withdraw_txn(*seen.live, seen.mark);
+    const kv::Txn txn = state::cancel_job_txn(*seen.live, seen.revision);
     const auto found = fate(Sort::user, node);
     if (found == Fate::late) {  // with no answer the front tries again
       capture({.sort = Sort::user, .node = node, .sent = now_, .left = 2, .txn = txn});
@@ -765,8 +772,8 @@
     }
     if (store_.txn(txn).answer == Answer::ok && !found) {
       nodes_[node].ended[job] = {
-          .id = job, .state = wire::JobState::withdrawn, .done = seen.status->done, .running = 0};
-      return answer(200, wire::JobState::withdrawn);
+          .id = job, .state = wire::JobState::cancelled, .done = seen.status->done, .running = 0};
+      return answer(200, wire::JobState::cancelled);
     }
   }
   answer(503, {});
@@ -783,7 +790,7 @@
   if (!seen.status) return rules_.on_told_unknown(job);
   rules_.on_told(job, seen.status->state, now_);
   told_[job] = seen.status->state;
-  if (seen.status->state == wire::JobState::withdrawn) withdrawn_.try_emplace(job, now_);
+  if (seen.status->state == wire::JobState::cancelled) withdrawn_.try_emplace(job, now_);
 }
 
 // ---- captured messages ----
@@ -795,7 +802,7 @@
   const bool to_store = !message.txn.changes.empty() && !message.result;
   const bool to_node = message.fate == Fate::slow || message.fate == Fate::held;
   if (to_store && outage_) return false;
-  if (to_node && message.sort != Sort::report && node.frozen) return false;
+  if (to_node && message.sort != Sort::heartbeat && node.frozen) return false;
   if (to_node && message.sort == Sort::write && node.stalled.contains(Duty::write)) return false;
   if (message.left > 1 && message.fate != Fate::held) {
     --captured_[number].left;
@@ -805,7 +812,7 @@
   const bool lives = node.life == message.life;
   switch (message.sort) {
     case Sort::lead:
-      if (message.taking && lives && !node.controller.leading() && !node.taking && node.lease.number != 0)
+      if (message.taking && lives && !node.controller.is_leader() && !node.taking && node.lease.number != 0)
         node.taking = message.taking;
       if (to_store) (void)store_.txn(message.txn);
       return true;
@@ -817,19 +824,19 @@
       return true;
     }
     case Sort::user: (void)carry_out(message.txn, message.creates); return true;
-    case Sort::report:
+    case Sort::heartbeat:
       if (message.fate == Fate::held) {
-        if (machines_[message.machine].waits_until == message.sent + constants::kReportAnswerLimit && !node.frozen) {
-          deliver_report(message.machine, message.report, message.sent, message.node);
+        if (machines_[message.machine].waits_until == message.sent + constants::kHeartbeatTimeout && !node.frozen) {
+          deliver_heartbeat(message.machine, message.heartbeat, message.sent, message.node);
           return true;
         }
       }
       // Nobody waits for its answer, and it comes to every controller.
       for (Node& one : nodes_) {
-        if (!one.frozen && one.controller.leading()) {
-          (void)one.controller.on_report(message.report, now_);
+        if (!one.frozen && one.controller.is_leader()) {
+          (void)one.controller.on_heartbeat(message.heartbeat, now_);
         } else if (!one.frozen) {
-          (void)one.holder.answers(message.report.machine, message.report.zone, message.report.term, now_);
+          (void)one.holder.answers(message.heartbeat.machine, message.heartbeat.zone, message.heartbeat.term, now_);
         }
       }
       return true;
@@ -837,20 +844,20 @@
       if (message.fate == Fate::held) {
         end_answer(message);
       } else {
-        deliver_answer(message.machine, message.commands, message.term, message.session, message.sent);
+        deliver_answer(message.machine, message.commands, message.term, message.incarnation, message.sent);
       }
       return true;
     case Sort::halt: {
       Machine& machine = machines_[message.machine];
       if (machine.worker.alive && !machine.deaf && !machine.worker.hung) {
-        (void)machine.worker.direct(message.term, message.session, *message.commands, now_);
+        (void)machine.worker.direct(message.term, message.incarnation, *message.commands, now_);
         machine.changed = true;
       }
       return true;
     }
-    case Sort::ask: on_ask(message); return true;
-    case Sort::grant:
-      if (lives && node.holder.on_grant(message.grant, message.sent)) node.leader_answered = now_;
+    case Sort::ask: on_delegation_request(message); return true;
+    case Sort::delegation:
+      if (lives && node.holder.on_delegation(message.delegation, message.sent)) node.leader_answered = now_;
       return true;
   }
   return true;
--- a/tests/explorer/model.h
+++ b/tests/explorer/model.h
@@ -28,34 +28,34 @@
 using plan::Millis;
 
 enum class Kind : std::uint8_t {
-  pass,     // a: of kSpans; b: the order of each round
-  turn,     // a: node, b: of kDuties; no time passes
-  report,   // a: machine, whose report need not be due
-  submit,   // a: job, b: node
-  cancel,   // a: job, b: node
-  ask,      // a: job, b: node
-  crash,    // a: node; it begins anew at once
-  freeze,   // a: node; and again: it goes on
-  refuse,   // a: node, by the state service alone; and again: it is served
-  stall,    // a: node, b: of kDuties, which does nothing and hears no answer, as others have the processor; and again
-  outage,   // of the state service; and again: its end
-  part,     // siblings hear nothing of each other; and again: they do
-  cut,      // a: machine, b: node; and again: mended
-  hang,     // a: machine; and again: it goes on
-  deaf,     // a: machine; and again: it hears
-  capture,  // a: of Sort, b: node or machine, c: of Fate; the next such message
-  arrive,   // a: of the captured messages, the oldest is 0
+  pass,       // a: of kSpans; b: the order of each round
+  turn,       // a: node, b: of kDuties; no time passes
+  heartbeat,  // a: machine, whose report need not be due
+  submit,     // a: job, b: node
+  cancel,     // a: job, b: node
+  ask,        // a: job, b: node
+  crash,      // a: node; it begins anew at once
+  freeze,     // a: node; and again: it goes on
+  refuse,     // a: node, by the state service alone; and again: it is served
+  stall,      // a: node, b: of kDuties, which does nothing and hears no answer, as others have the processor; and again
+  outage,     // of the state service; and again: its end
+  part,       // siblings hear nothing of each other; and again: they do
+  cut,        // a: machine, b: node; and again: mended
+  hang,       // a: machine; and again: it goes on
+  deaf,       // a: machine; and again: it hears
+  capture,    // a: of Sort, b: node or machine, c: of Fate; the next such message
+  arrive,     // a: of the captured messages, the oldest is 0
 };
 
 // What can be captured; `b` of a capture is the machine for report, answer and halt, and the node for the others.
-enum class Sort : std::uint8_t { lead, write, user, report, answer, halt, ask, grant };
+enum class Sort : std::uint8_t { lead, write, user, heartbeat, answer, halt, ask, delegation };
 enum class Fate : std::uint8_t {
   late,  // no answer now; carried out whenever it arrives, and once more
   lost,  // carried out now, no answer
   slow,  // carried out now, answered when it arrives
   held,  // neither, until it arrives
 };
-enum class Duty : std::uint8_t { lead, follow, plan, write, ask };
+enum class Duty : std::uint8_t { lead, watch, plan, write, ask };
 inline constexpr std::array kSpans{Millis(1000), Millis(2000), Millis(5000), Millis(9000), Millis(19'000)};
 
 struct Action {
@@ -76,7 +76,7 @@
   std::vector<wire::JobSpec> jobs;
   double run_s = 1000;
   double team_cpus_most = 0;  // 0: no limit
-  bool grants = false;
+  bool delegations = false;
   std::set<Kind> kinds;           // that a breadth-first search chooses from
   std::vector<Action> begins;     // what has happened before it
   std::set<Sort> captures;        // likewise
@@ -121,22 +121,22 @@
     kv::LeaseId lease;
     struct Taking {  // the lead is taken, the records are not read yet
       Term term;
-      Revision mark;
+      Revision revision;
       std::int64_t until_wall_ms = 0;
       Instant asked;
     };
     std::optional<Taking> taking;
-    Revision follow_from;
+    Revision watch_from;
     NodeName leader_seen;
     Term term_seen;
-    zone::Holder holder;
+    zone::DelegatedLease holder;
     std::optional<Instant> leader_answered;
     bool writing = false;
     std::map<JobId, wire::JobStatus> ended;  // that the front remembers
     // As the controller was told, for the digest.
     Instant lease_at;
     Instant read_at;
-    Instant others_until;
+    Instant older_leaders_until;
   };
   struct Machine {
     standins::Worker worker;
@@ -145,7 +145,7 @@
     bool deaf = false;
     bool changed = true;
     Instant lease_from;  // as the worker's own, for the digest
-    Instant next_report;
+    Instant next_heartbeat;
     std::optional<Instant> waits_until;  // for an answer
   };
   struct Message {
@@ -161,12 +161,12 @@
     std::optional<kv::TxnResult> result;
     std::optional<Node::Taking> taking;
     std::optional<JobId> creates;
-    wire::Report report;
+    wire::Heartbeat heartbeat;
     std::optional<std::vector<wire::Command>> commands;
     Term term;
-    SessionNo session;
-    zone::Ask ask;
-    zone::Grant grant;
+    AgentIncarnation incarnation;
+    zone::DelegationRequest ask;
+    zone::LeaseDelegation delegation;
   };
   // What workers ask of whichever copy is being played.
   struct Stage final : standins::Surroundings {
@@ -175,8 +175,8 @@
     Millis run_left(const TaskKey& task) override;
     bool is_done(const TaskKey& task) override { return model->done_.contains(task); }
     void keep_progress(const TaskKey&, Millis) override {}
-    void on_started(const TaskKey& task, AttemptNo attempt, const MachineId& machine) override;
-    void on_gone(const TaskKey& task, AttemptNo attempt, const MachineId& machine, bool done) override;
+    void on_started(const TaskKey& task, AttemptNumber attempt, const MachineId& machine) override;
+    void on_gone(const TaskKey& task, AttemptNumber attempt, const MachineId& machine, bool done) override;
   };
 
   [[nodiscard]] config::Settings settings_of(std::size_t node) const;
@@ -198,20 +198,22 @@
   void advance();
   void turn(std::size_t node, Duty duty);
   void lead_turn(std::size_t node);
-  void take_lead(std::size_t node, const state::LeadView& view);
+  void acquire_leadership(std::size_t node, const state::LeadershipView& view);
   void read_records(std::size_t node);
   void follow_turn(std::size_t node);
   void plan_turn(std::size_t node);
   void write_turn(std::size_t node);
   void ask_turn(std::size_t node);
-  void on_ask(const Message& message);
+  void on_delegation_request(const Message& message);
   void report_turn(std::size_t machine);
-  void deliver_report(std::size_t machine, const wire::Report& report, Instant sent, std::size_t node);
-  bool answer_by_grant(std::size_t machine, const wire::Report& report, Instant sent, std::size_t node, bool tried);
-  void take_report(std::size_t machine, const wire::Report& report, Instant sent, std::size_t node, std::size_t via);
+  void deliver_heartbeat(std::size_t machine, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node);
+  bool answer_by_delegation(std::size_t machine, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node,
+                            bool tried);
+  void take_heartbeat(std::size_t machine, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node,
+                      std::size_t via);
   void end_answer(const Message& message);
   void deliver_answer(std::size_t machine, const std::optional<std::vector<wire::Command>>& commands, Term term,
-                      SessionNo session, Instant sent);
+                      AgentIncarnation incarnation, Instant sent);
   void turn_to(std::size_t machine, std::size_t node, Millis pause);
   void submit(const wire::JobSpec& spec, std::size_t node);
   void cancel(const JobId& job, std::size_t node);
@@ -219,7 +221,7 @@
   struct Seen {
     std::optional<wire::JobStatus> status;
     std::optional<state::JobRecord> live;
-    Revision mark;
+    Revision revision;
   };
   [[nodiscard]] Seen look(std::size_t node, const JobId& job);
   kv::TxnResult carry_out(const kv::Txn& txn, const std::optional<JobId>& creates);
--- a/tests/explorer/search.cpp
+++ b/tests/explorer/search.cpp
@@ -25,7 +25,7 @@
     case Kind::pass: return action.a < 2 ? 12 : action.a < 4 ? 5 : 2;
     case Kind::turn: return 0.5;
     case Kind::stall: return 0.3;
-    case Kind::report: return 1;
+    case Kind::heartbeat: return 1;
     case Kind::submit: return 0.8;
     case Kind::cancel: return 0.25;
     case Kind::ask: return 0.5;
--- a/tests/explorer/setups.cpp
+++ b/tests/explorer/setups.cpp
@@ -54,16 +54,16 @@
                   .machines = {"a", "a"},
                   .jobs = {job(1)},
                   .kinds = {Kind::pass, Kind::crash, Kind::freeze, Kind::cut, Kind::hang, Kind::deaf, Kind::capture,
-                            Kind::arrive, Kind::report, Kind::refuse},
+                            Kind::arrive, Kind::heartbeat, Kind::refuse},
                   .begins = {kSubmitted, kSecond, kSecond},
-                  .captures = {Sort::report, Sort::answer, Sort::halt}});
+                  .captures = {Sort::heartbeat, Sort::answer, Sort::halt}});
   // The same before anything happened.
   made.push_back({.name = "start",
                   .machines = {"a", "a"},
                   .jobs = {job(1)},
                   .kinds = {Kind::pass, Kind::submit, Kind::crash, Kind::cut, Kind::hang, Kind::capture, Kind::arrive},
                   .begins = {},
-                  .captures = {Sort::write, Sort::report}});
+                  .captures = {Sort::write, Sort::heartbeat}});
   // Its end.
   made.push_back({.name = "ends",
                   .machines = {"a"},
@@ -72,7 +72,7 @@
                   .kinds = {Kind::pass, Kind::submit, Kind::cancel, Kind::ask, Kind::crash, Kind::refuse, Kind::capture,
                             Kind::arrive},
                   .begins = {kSubmitted, kSecond, kSecond},
-                  .captures = {Sort::write, Sort::report, Sort::answer, Sort::user}});
+                  .captures = {Sort::write, Sort::heartbeat, Sort::answer, Sort::user}});
   // Two jobs of a team that may run one task at a time.
   made.push_back({.name = "limit",
                   .machines = {"a", "a"},
@@ -81,13 +81,13 @@
                   .kinds = {Kind::pass, Kind::submit, Kind::cancel, Kind::crash, Kind::cut, Kind::hang, Kind::freeze,
                             Kind::capture, Kind::arrive},
                   .begins = {kSubmitted, kSecond, kSecond},
-                  .captures = {Sort::write, Sort::report}});
+                  .captures = {Sort::write, Sort::heartbeat}});
   wire::JobSpec spread = job(1, wire::JobKind::array, 2, kMachineCpus);
   spread.spread = true;
   made.push_back({.name = "spread",
                   .machines = {"a", "a"},
                   .jobs = {spread},
-                  .kinds = {Kind::pass, Kind::turn, Kind::report, Kind::crash, Kind::cut, Kind::hang},
+                  .kinds = {Kind::pass, Kind::turn, Kind::heartbeat, Kind::crash, Kind::cut, Kind::hang},
                   .begins = {kSubmitted, kSecond, kSecond},
                   .captures = {}});
   wire::JobSpec near = job(1, wire::JobKind::gang, 2, kMachineCpus);
@@ -99,16 +99,16 @@
                   .kinds = {Kind::pass, Kind::cancel, Kind::crash, Kind::cut, Kind::hang, Kind::refuse, Kind::capture,
                             Kind::arrive},
                   .begins = {kSubmitted, kSecond, kSecond},
-                  .captures = {Sort::write, Sort::report, Sort::answer}});
+                  .captures = {Sort::write, Sort::heartbeat, Sort::answer}});
   // Two zones, in the second of which a sibling answers by grant.
   made.push_back({.name = "zones",
                   .machines = {"b", "a"},
                   .jobs = {job(1)},
-                  .grants = true,
+                  .delegations = true,
                   .kinds = {Kind::pass, Kind::cancel, Kind::crash, Kind::freeze, Kind::refuse, Kind::outage, Kind::part,
                             Kind::cut, Kind::hang, Kind::capture, Kind::arrive},
                   .begins = {kSubmitted, kSecond, kSecond, {.kind = Kind::pass, .a = 1}},
-                  .captures = {Sort::ask, Sort::grant, Sort::report}});
+                  .captures = {Sort::ask, Sort::delegation, Sort::heartbeat}});
   // Three controllers.
   made.push_back({.name = "three",
                   .nodes = 3,
@@ -143,7 +143,7 @@
     case Kind::pass:
       return std::to_string(kSpans.at(action.a).count() / 1000) + " s pass" + (action.b == 1 ? ", reports first" : "");
     case Kind::turn: return "node-" + a + " " + kDutyNames.at(action.b);
-    case Kind::report: return machine() + " reports";
+    case Kind::heartbeat: return machine() + " reports";
     case Kind::submit: return "a user submits " + job() + " at node-" + b;
     case Kind::cancel: return "its user cancels " + job() + " at node-" + b;
     case Kind::ask: return "its user asks for " + job() + " at node-" + b;
@@ -158,7 +158,7 @@
     case Kind::deaf: return machine() + " hears nothing, or hears again";
     case Kind::capture:
       return "the next " + std::string(kSortNames.at(action.a)) + " of " +
-             (action.a == static_cast<int>(Sort::report) || action.a == static_cast<int>(Sort::answer) ||
+             (action.a == static_cast<int>(Sort::heartbeat) || action.a == static_cast<int>(Sort::answer) ||
                       action.a == static_cast<int>(Sort::halt)
                   ? "machine m-00000" + std::to_string(action.b + 1)
                   : "node-" + b) +
--- a/tests/golden/controller_test.cpp
+++ b/tests/golden/controller_test.cpp
@@ -102,8 +102,8 @@
   }
 
   // Asks until the answer is as it should be; throws with the last answer when it never is.
-  template <typename Condition>
-  Value wait_for(const net::Address& to, const std::string& path, Condition is_good) {
+  template <typename Precondition>
+  Value wait_for(const net::Address& to, const std::string& path, Precondition is_good) {
     const auto until = net::Clock::now() + kWaitLimit;
     std::string last = "no answer";
     while (net::Clock::now() < until) {
@@ -117,8 +117,8 @@
     }
     throw std::runtime_error("GET " + path + " is not as expected: " + last);
   }
-  template <typename Condition>
-  Value wait_for(const std::string& path, Condition is_good) {
+  template <typename Precondition>
+  Value wait_for(const std::string& path, Precondition is_good) {
     return wait_for(cluster_.address(0), path, is_good);
   }
 
--- a/tests/golden/messages_test.cpp
+++ b/tests/golden/messages_test.cpp
@@ -23,20 +23,22 @@
 }
 
 TEST(GoldenMessages, BetweenControllers) {
-  expect_read_back("messages_controllers.txt",
-                   {{"leadership", leadership_again},
-                    {"zone request", [](const Value& value) { return to_value(zone::ask_from(value)); }},
-                    {"zone grant", [](const Value& value) { return to_value(zone::grant_from(value)); }},
-                    {"standby request", [](const Value& value) { return to_value(standby::ask_from(value)); }},
-                    {"standby answer", [](const Value& value) { return to_value(standby::word_from(value)); }}});
+  expect_read_back(
+      "messages_controllers.txt",
+      {{"leadership", leadership_again},
+       {"zone request", [](const Value& value) { return to_value(zone::delegation_request_from(value)); }},
+       {"zone grant", [](const Value& value) { return to_value(zone::delegation_from(value)); }},
+       {"standby request", [](const Value& value) { return to_value(standby::snapshot_request_from(value)); }},
+       {"standby answer", [](const Value& value) { return to_value(standby::message_from(value)); }}});
 }
 
 Value answer_again(const Value& value) {
-  return wire::report_answer(Term(value.count("alpha")), wire::commands_from(value));
+  return wire::heartbeat_response(Term(value.count("alpha")), wire::commands_from(value));
 }
 
 Value direct_commands_again(const Value& value) {
-  return wire::direct_commands(Term(value.count("alpha")), SessionNo(value.count("prowl")), wire::commands_from(value));
+  return wire::direct_commands(Term(value.count("alpha")), AgentIncarnation(value.count("prowl")),
+                               wire::commands_from(value));
 }
 
 Value redirect_again(const Value& value) {
@@ -45,7 +47,7 @@
 
 TEST(GoldenMessages, WithWorkers) {
   expect_read_back("messages_workers.txt",
-                   {{"heartbeat", [](const Value& value) { return to_value(wire::report_from(value)); }},
+                   {{"heartbeat", [](const Value& value) { return to_value(wire::heartbeat_from(value)); }},
                     {"heartbeat answer", answer_again},
                     {"commands", direct_commands_again},
                     {"redirect", redirect_again}});
@@ -53,11 +55,11 @@
 
 // The program only writes it.
 Value rental_again(const Value& value) {
-  return to_value(wire::RentRequest{.request = value.text("hunt"),
-                                    .type = value.text("burrow"),
-                                    .zone = value.text("covert"),
-                                    .spot = value.flag("strays"),
-                                    .count = value.count("count")});
+  return to_value(wire::ScaleOutRequest{.request = value.text("hunt"),
+                                        .type = value.text("burrow"),
+                                        .zone = value.text("covert"),
+                                        .spot = value.flag("strays"),
+                                        .count = value.count("count")});
 }
 
 // The program only reads it.
@@ -115,7 +117,7 @@
       }
     }
   };
-  const auto heartbeat = [](const Value& value) { return to_value(wire::report_from(value)); };
+  const auto heartbeat = [](const Value& value) { return to_value(wire::heartbeat_from(value)); };
   const auto job = [](const Value& value) { return to_value(wire::job_spec_from(value)); };
   try_each_without("heartbeat",
                    from_json(R"({"den":"m-000001","addr":"10.0.0.1:7000","burrow":"plain","covert":"zone-a",)"
@@ -141,15 +143,15 @@
                              R"("cacheS":0.0,"buryS":0.0,"duskS":9.0})"),
                    job);
   try_each_without("zone request", from_json(R"({"node":"node-1","life":1,"sequence":2,"term":3,"holds":4,"uses":[]})"),
-                   [](const Value& value) { return to_value(zone::ask_from(value)); });
+                   [](const Value& value) { return to_value(zone::delegation_request_from(value)); });
   try_each_without("zone grant", from_json(R"({"number":1,"term":2,"zone":"zone-a","age":3,"except":[]})"),
-                   [](const Value& value) { return to_value(zone::grant_from(value)); });
+                   [](const Value& value) { return to_value(zone::delegation_from(value)); });
   try_each_without("standby request", from_json(R"({"standby":1,"node":"node-1","number":2,"life":3,"held":4})"),
-                   [](const Value& value) { return to_value(standby::ask_from(value)); });
+                   [](const Value& value) { return to_value(standby::snapshot_request_from(value)); });
   try_each_without("standby answer",
                    from_json(R"({"standby":1,"number":1,"life":2,"term":3,"at":5,"taken":4,"starts":0.5,"after":1,)"
                              R"("upto":2,"last":3,"facts":[]})"),
-                   [](const Value& value) { return to_value(standby::word_from(value)); });
+                   [](const Value& value) { return to_value(standby::message_from(value)); });
   expect_same("messages_refused.txt", refused);
 }
 
--- a/tests/golden/state_service_test.cpp
+++ b/tests/golden/state_service_test.cpp
@@ -53,22 +53,22 @@
   constexpr double kEnough = 1e6;
   const auto until = net::Clock::now() + std::chrono::seconds(60);
   RecordingServer server;
-  kv::RateBudget budget(kEnough, kEnough, 1);
-  kv::Client client(server.address(), budget, kv::Urgency::duty);
+  kv::RateLimiter rate_limiter(kEnough, kEnough, 1);
+  kv::Client client(server.address(), rate_limiter, kv::Urgency::duty);
   std::string answers;
 
   server.answers(R"({"mark":17,"data":{"next":3}})");
   const kv::GetResult found = client.get("live/j-000412", until);
-  answers += "get: mark " + std::to_string(found.entry.mark.number()) + " " + to_json(found.entry.data) + "\n";
+  answers += "get: mark " + std::to_string(found.entry.revision.number()) + " " + to_json(found.entry.data) + "\n";
 
   server.answers(R"({"tally":20,"items":[{"k":"live/j-000412","data":"x","mark":17}],"more":false})");
   const kv::ListResult listed = client.list("live/", milliseconds(60'000));
   answers += "list: revision " + std::to_string(listed.revision.number());
   for (const kv::Entry& entry : listed.entries) {
-    answers += " " + entry.key + " mark " + std::to_string(entry.mark.number()) + " " + to_json(entry.data);
+    answers += " " + entry.key + " mark " + std::to_string(entry.revision.number()) + " " + to_json(entry.data);
   }
 
-  const kv::Txn txn{.conditions = {{.key = "a", .mark = Revision(4)}, {.key = "b", .mark = {}}},
+  const kv::Txn txn{.preconditions = {{.key = "a", .revision = Revision(4)}, {.key = "b", .revision = {}}},
                     .changes = {{.key = "a", .data = Value(Value::Map{{"x", 1}}), .lease = kv::LeaseId{9}},
                                 {.key = "b", .data = Value("text"), .lease = {}},
                                 {.key = "c", .data = {}, .lease = {}}}};
@@ -78,15 +78,15 @@
   for (const std::string& key : client.txn(txn, until).failed) answers += "\nconflict: " + key;
 
   server.answers(R"({"tether":33})");
-  answers += "\nlease: " + std::to_string(client.grant(milliseconds(9'000), until).value().number) + "\n";
+  answers += "\nlease: " + std::to_string(client.grant_lease(milliseconds(9'000), until).value().number) + "\n";
   (void)client.touch(kv::LeaseId{33}, until);
   (void)client.revoke(kv::LeaseId{33}, until);
 
   server.answers(R"({"tally":22,"news":[{"set":"a","data":7,"mark":21},{"remove":"b","mark":22}]})");
-  const kv::FollowResult followed = client.follow("live/", Revision(20), milliseconds(1'500), until);
+  const kv::WatchResult followed = client.watch("live/", Revision(20), milliseconds(1'500), until);
   answers += "watch: revision " + std::to_string(followed.revision.number());
   for (const kv::Event& event : followed.events) {
-    answers += " " + event.key + " mark " + std::to_string(event.mark.number()) + " " +
+    answers += " " + event.key + " mark " + std::to_string(event.revision.number()) + " " +
                (event.data ? to_json(*event.data) : "removed");
   }
   expect_same("state_service.txt", server.told() + answers + "\n");
@@ -94,8 +94,8 @@
 
 std::string text_of(const kv::Txn& txn) {
   std::string text;
-  for (const kv::Condition& condition : txn.conditions) {
-    text += "if " + condition.key + " " + std::to_string(condition.mark.number()) + "\n";
+  for (const kv::Precondition& condition : txn.preconditions) {
+    text += "if " + condition.key + " " + std::to_string(condition.revision.number()) + "\n";
   }
   for (const kv::Change& change : txn.changes) {
     text += "set " + change.key + " " + to_json(change.data.value()) + " " + to_hex(change.data.value());
@@ -105,20 +105,20 @@
   return text;
 }
 
-kv::GetResult got(const std::string& json, std::uint64_t mark) {
-  return {.answer = kv::Answer::ok, .entry = {.key = {}, .data = from_json(json), .mark = Revision(mark)}};
+kv::GetResult got(const std::string& json, std::uint64_t revision) {
+  return {.answer = kv::Answer::ok, .entry = {.key = {}, .data = from_json(json), .revision = Revision(revision)}};
 }
 
 TEST(GoldenStateService, TakingTheLead) {
   const kv::GetResult nothing{.answer = kv::Answer::not_found, .entry = {}};
   std::string told;
-  const state::LeadView first = state::lead_view(nothing, nothing);
-  told += text_of(state::take_lead_txn(first, NodeName("node-0"), kv::LeaseId{5}, 0));
-  const state::LeadView later = state::lead_view(got(R"({"node":"node-0","tether":5})", 8),
-                                                 got(R"({"term":7,"leader":"node-0","until":1760000000000})", 9));
-  told += "held by lease " + std::to_string(later.holder_lease) + ", others until " +
-          std::to_string(later.others_until_wall_ms) + "\n";
-  told += text_of(state::take_lead_txn(later, NodeName("node-1"), kv::LeaseId{6}, 1760000009000));
+  const state::LeadershipView first = state::leadership_view(nothing, nothing);
+  told += text_of(state::acquire_leadership_txn(first, NodeName("node-0"), kv::LeaseId{5}, 0));
+  const state::LeadershipView later = state::leadership_view(
+      got(R"({"node":"node-0","tether":5})", 8), got(R"({"term":7,"leader":"node-0","until":1760000000000})", 9));
+  told += "held by lease " + std::to_string(later.leader_lease) + ", others until " +
+          std::to_string(later.older_leaders_until_wall_ms) + "\n";
+  told += text_of(state::acquire_leadership_txn(later, NodeName("node-1"), kv::LeaseId{6}, 1760000009000));
   expect_same("leadership.txt", told);
 }
 
--- a/tests/golden/user_api_test.cpp
+++ b/tests/golden/user_api_test.cpp
@@ -31,8 +31,8 @@
 // Conditions and changes, with the bytes of what is stored.
 std::string text_of(const kv::Txn& txn) {
   std::string text = "  write";
-  for (const kv::Condition& condition : txn.conditions) {
-    text += " if " + condition.key + (condition.mark == Revision{} ? " is not there" : " is unchanged");
+  for (const kv::Precondition& condition : txn.preconditions) {
+    text += " if " + condition.key + (condition.revision == Revision{} ? " is not there" : " is unchanged");
   }
   text += "\n";
   for (const kv::Change& change : txn.changes) {
--- a/tests/scenarios/checker_test.cpp
+++ b/tests/scenarios/checker_test.cpp
@@ -70,13 +70,13 @@
   served.on_submitted(job("j-000003", wire::JobKind::array, 1), at(0));
   served.on_submitted(job("j-000004", wire::JobKind::gang, 2), at(0));
   served.on_over(JobId("j-000004"));
-  served.on_started({JobId("j-000003"), 0}, AttemptNo(1), at(5));
+  served.on_started({JobId("j-000003"), 0}, AttemptNumber(1), at(5));
   // Of the first all tasks are there at once; the other's are not, or not in one attempt.
-  for (const std::uint32_t task : {0U, 1U}) served.on_started({JobId("j-000001"), task}, AttemptNo(1), at(20));
-  served.on_started({JobId("j-000002"), 0}, AttemptNo(1), at(20));
-  served.on_gone({JobId("j-000002"), 0}, AttemptNo(1), at(21));
-  served.on_started({JobId("j-000002"), 1}, AttemptNo(1), at(21));
-  served.on_started({JobId("j-000002"), 0}, AttemptNo(2), at(22));
+  for (const std::uint32_t task : {0U, 1U}) served.on_started({JobId("j-000001"), task}, AttemptNumber(1), at(20));
+  served.on_started({JobId("j-000002"), 0}, AttemptNumber(1), at(20));
+  served.on_gone({JobId("j-000002"), 0}, AttemptNumber(1), at(21));
+  served.on_started({JobId("j-000002"), 1}, AttemptNumber(1), at(21));
+  served.on_started({JobId("j-000002"), 0}, AttemptNumber(2), at(22));
   const std::vector<Served::Share> shares = served.shares(at(100));
   ASSERT_EQ(shares.size(), 3U);
   EXPECT_EQ(shares[0].text(), "class work: 3 of 4 served, longest wait 100 s, not served: j-000002");
@@ -96,8 +96,8 @@
   for (const int begun : {1, 2}) {
     Served served;
     for (const char* id : {"j-000001", "j-000002", "j-000003", "j-000004"}) served.on_submitted(single(id), at(0));
-    if (begun > 1) served.on_started({JobId("j-000002"), 0}, AttemptNo(1), at(1));
-    served.on_started({JobId("j-000001"), 0}, AttemptNo(1), at(1));
+    if (begun > 1) served.on_started({JobId("j-000002"), 0}, AttemptNumber(1), at(1));
+    served.on_started({JobId("j-000001"), 0}, AttemptNumber(1), at(1));
     const std::vector<std::string> verdicts = served.verdicts(at(100));
     EXPECT_EQ(verdicts.size(), begun == 1 ? 3U : 0U);  // class, largest, team
   }
@@ -106,7 +106,7 @@
     Served served;
     for (const char* id : {"j-000001", "j-000002", "j-000003"}) {
       served.on_submitted(single(id), at(0));
-      served.on_started({JobId(id), 0}, AttemptNo(1), at(1));
+      served.on_started({JobId(id), 0}, AttemptNumber(1), at(1));
     }
     served.on_submitted(by_class ? single("j-000004", "rare") : job("j-000004", wire::JobKind::array, 2), at(0));
     const std::vector<std::string> verdicts = served.verdicts(at(100));
@@ -122,9 +122,9 @@
     Served served;
     served.on_submitted(job("j-000001", wire::JobKind::gang, 2), at(10));
     served.on_submitted(single("j-000002"), at(10));  // not of the largest
-    served.on_started({JobId("j-000001"), 0}, AttemptNo(1), at(20));
-    served.on_started({JobId("j-000001"), 1}, AttemptNo(1), at(second));
-    served.on_started({JobId("j-000002"), 0}, AttemptNo(1), at(400));
+    served.on_started({JobId("j-000001"), 0}, AttemptNumber(1), at(20));
+    served.on_started({JobId("j-000001"), 1}, AttemptNumber(1), at(second));
+    served.on_started({JobId("j-000002"), 0}, AttemptNumber(1), at(400));
     EXPECT_EQ(served.verdicts(at(500)),
               second == 250 ? std::vector<std::string>{}
                             : std::vector<std::string>{"j-000001, a largest of class work, waited 241 s"});
@@ -145,9 +145,9 @@
   other.priority = priority;
   served.on_submitted(other, at(submitted_at));
   served.on_submitted(large, at(10));
-  served.on_started({other.id, 0}, AttemptNo(1), at(20));
-  served.on_gone({other.id, 0}, AttemptNo(1), at(220));
-  for (const std::uint32_t task : {0U, 1U}) served.on_started({large.id, task}, AttemptNo(1), at(300));
+  served.on_started({other.id, 0}, AttemptNumber(1), at(20));
+  served.on_gone({other.id, 0}, AttemptNumber(1), at(220));
+  for (const std::uint32_t task : {0U, 1U}) served.on_started({large.id, task}, AttemptNumber(1), at(300));
   return served.verdicts(at(500));
 }
 
@@ -188,7 +188,7 @@
     Rules rules(strict_settings());
     const TaskKey task{known(rules, single("j-000001")).id, 0};
     rules.on_started(task, place("m-1"), at(1));
-    rules.on_told(task.job, wire::JobState::withdrawn, at(10));
+    rules.on_told(task.job, wire::JobState::cancelled, at(10));
     rules.check(at(50));
     EXPECT_EQ(rule(rules), "");
     // Its machine hung meanwhile, say; it may also have completed.
@@ -199,7 +199,7 @@
   Rules rules(strict_settings());
   const TaskKey task{known(rules, single("j-000001")).id, 0};
   rules.on_started(task, place("m-1"), at(1));
-  rules.on_told(task.job, wire::JobState::withdrawn, at(10));
+  rules.on_told(task.job, wire::JobState::cancelled, at(10));
   rules.check(at(51));
   rules.check(at(52));
   EXPECT_EQ(rules.broken(), std::vector<std::string>{"ran_cancelled: j-000001/0 on m-1"}) << "told once";
@@ -209,8 +209,8 @@
   for (const int start : {10, 11, 50, 51}) {
     Rules rules(strict_settings());
     const TaskKey task{known(rules, single("j-000001")).id, 0};
-    rules.on_told(task.job, wire::JobState::withdrawn, at(10));
-    rules.on_told(task.job, wire::JobState::withdrawn, at(30));  // told again
+    rules.on_told(task.job, wire::JobState::cancelled, at(10));
+    rules.on_told(task.job, wire::JobState::cancelled, at(30));  // told again
     rules.on_started(task, place("m-1"), at(start));
     rules.on_gone(task, MachineId("m-1"), false, at(start));
     EXPECT_EQ(rules.starts_after_cancel(), start == 11 || start == 50 ? 1U : 0U) << start;
@@ -492,7 +492,7 @@
   wait(272, 272, room);
   EXPECT_EQ(rule(rules), "left_waiting");
   // What is over waits for nothing.
-  for (const wire::JobState state : {wire::JobState::done, wire::JobState::withdrawn}) {
+  for (const wire::JobState state : {wire::JobState::done, wire::JobState::cancelled}) {
     Rules other(strict_settings());
     const JobId over = known(other, single("j-000001")).id;
     if (state == wire::JobState::done) other.on_gone({over, 0}, MachineId("m-1"), true, at(0));
@@ -506,7 +506,7 @@
   for (const int asked : {9, 10}) {
     Rules rules(strict_settings());
     const JobId id = known(rules, single("j-000001")).id;
-    rules.on_told(id, wire::JobState::withdrawn, at(10));
+    rules.on_told(id, wire::JobState::cancelled, at(10));
     rules.on_told(id, wire::JobState::running, at(11), at(asked));
     EXPECT_EQ(rule(rules), asked == 9 ? "" : "went_back");
     EXPECT_TRUE(rules.is_over(id));
@@ -522,7 +522,7 @@
   const JobId id = known(rules, single("j-000001")).id;
   rules.on_gone({id, 0}, MachineId("m-1"), true, at(5));
   rules.on_told(id, wire::JobState::done, at(10));
-  rules.on_told(id, wire::JobState::withdrawn, at(11), at(9));
+  rules.on_told(id, wire::JobState::cancelled, at(11), at(9));
   EXPECT_EQ(rule(rules), "went_back") << "both can't be, whenever it was asked";
 }
 
@@ -532,7 +532,7 @@
     rules.on_submitted(job(id, wire::JobKind::array, 1));
     rules.on_accepted(JobId(id), at(0));
   }
-  rules.on_told(JobId("j-000002"), wire::JobState::withdrawn, at(1));
+  rules.on_told(JobId("j-000002"), wire::JobState::cancelled, at(1));
   rules.on_trouble(at(50));
   rules.check_answers(at(125));
   EXPECT_TRUE(rules.broken().empty()) << "75 s from the end of the troubles";
--- a/tests/scenarios/days_test.cpp
+++ b/tests/scenarios/days_test.cpp
@@ -21,7 +21,7 @@
   settings.teams = {{.name = "red", .cpus = 32, .cpus_max = 64, .gpus = 0, .gpus_max = 0},
                     {.name = "blue", .cpus = 16, .cpus_max = 40, .gpus = 2, .gpus_max = 6}};
   settings.objectives = {{.kind = "wait", .job_class = "quick", .within_s = 8, .share = 0.8}};
-  settings.report_s = short_leases ? 1 : 3;
+  settings.heartbeat_interval_s = short_leases ? 1 : 3;
   settings.lease_s = short_leases ? 10 : 27;
   settings.gang_wait_s = 45;
   settings.gang_peer_s = 4;
@@ -31,13 +31,14 @@
   settings.state_value_kb = 8;
   settings.state_txn_ops = 12;
   settings.cloud_rps = 2;
-  settings.cloud_list_lag_s = 5;
+  settings.cloud_list_delay_s = 5;
   settings.max_connections = 100;
   settings.skew_ms = 50;
   if (zone_troubles) {
     settings.zones = {"a", "b", "c"};
     settings.operators.preemption = true;
-    settings.operators.zone_grants = settings.operators.zone_watch = settings.operators.zone_evacuation = true;
+    settings.operators.zone_lease_delegation = settings.operators.zone_watch = settings.operators.zone_evacuation =
+        true;
   }
   return settings;
 }
@@ -107,7 +108,7 @@
       const double when_s = group_s + pick(0, 60) / 10.0;
       const double for_s = pick(0, 3) == 0 ? pick(20, 75) : pick(2, 20);
       const double share = pick(1, 9) / 10.0;
-      const bool leading = pick(0, 2) > 0;
+      const bool is_leader = pick(0, 2) > 0;
       const auto node = static_cast<std::size_t>(pick(0, static_cast<int>(nodes) - 1));
       const std::string zone(1, static_cast<char>('a' + pick(0, 1)));
       const bool one_zone = pick(0, 2) == 0;
@@ -117,7 +118,7 @@
       std::function<void()> trouble;
       switch (pick(0, 23)) {
         case 0:
-        case 1: trouble = [=, &world] { world.refuse_state(leader_or(node, leading), for_s); }; break;
+        case 1: trouble = [=, &world] { world.refuse_state(leader_or(node, is_leader), for_s); }; break;
         case 2: trouble = [=, &world] { world.state_outage(for_s); }; break;
         case 3: trouble = [=, &world] { world.late_writes(share, for_s, false); }; break;
         case 4: trouble = [=, &world] { world.late_writes(share, for_s, true); }; break;
@@ -143,13 +144,13 @@
             for (const MachineId& id : all_of()) world.hang(id, for_s);
           };
           break;
-        case 11: trouble = [=, &world] { world.cancel_now(4, leading ? for_s : 0); }; break;
+        case 11: trouble = [=, &world] { world.cancel_now(4, is_leader ? for_s : 0); }; break;
         case 12: trouble = [=, &world] { world.cancel_at_end(share, for_s); }; break;
         case 13: trouble = [=, &world] { world.odd_requests(for_s); }; break;
         case 14: trouble = [=, &world] { world.close_looks(for_s); }; break;
         case 15:
           trouble = [=, &world] {
-            const std::size_t one = leader_or(node, leading);
+            const std::size_t one = leader_or(node, is_leader);
             world.cut_node_from_state(one, for_s, one_zone);
             world.cut_node_from_siblings(one, for_s);
           };
@@ -161,7 +162,7 @@
         case 20:
           trouble = [=, &world] {
             world.late_commands(1, for_s);
-            world.cancel_now(4, leading ? for_s : 0);
+            world.cancel_now(4, is_leader ? for_s : 0);
             for (const MachineId& id : all_of()) world.make_mute(id, std::min(for_s, 20.0));
           };
           break;
@@ -243,7 +244,7 @@
   const bool tight = concurrent && seed % 5 < 2;  // teams are at their limits for most of the day
   config::Settings settings = day_settings(seed % 2 == 0, zone_troubles);
   if (concurrent) {
-    settings.operators.zone_grants = settings.operators.zone_watch = seed % 4 < 2;
+    settings.operators.zone_lease_delegation = settings.operators.zone_watch = seed % 4 < 2;
     settings.operators.standby = seed % 3 == 0;
   }
   if (tight) {
@@ -384,7 +385,7 @@
   for (const JobId& id : jobs) {
     const auto status = world.ask(id);
     ASSERT_TRUE(status) << id.text();
-    EXPECT_TRUE(status->state == wire::JobState::done || status->state == wire::JobState::withdrawn)
+    EXPECT_TRUE(status->state == wire::JobState::done || status->state == wire::JobState::cancelled)
         << id.text() << " is " << wire::name_of(status->state);
   }
 }
--- a/tests/scenarios/history_test.cpp
+++ b/tests/scenarios/history_test.cpp
@@ -110,7 +110,7 @@
     told.at(9, Request::question, 200, JobState::pending);
     EXPECT_EQ(told.rule(), "") << "it was carried out late";
     if (const auto lost = told.ask(Request::cancellation, 10); status != 0) told.answer(lost, 11, status);
-    told.at(12, Request::question, 200, JobState::running).at(90'000, Request::question, 200, JobState::withdrawn);
+    told.at(12, Request::question, 200, JobState::running).at(90'000, Request::question, 200, JobState::cancelled);
     EXPECT_EQ(told.rule(), "");
     told.at(90'001, Request::question, 200, JobState::running);
     EXPECT_EQ(told.rule(), "went_back") << "once it is seen it holds";
@@ -119,10 +119,10 @@
 
 TEST(History, AFinalStateStays) {
   for (const bool cancelled : {false, true}) {
-    for (const JobState next : {JobState::pending, JobState::running, JobState::done, JobState::withdrawn}) {
+    for (const JobState next : {JobState::pending, JobState::running, JobState::done, JobState::cancelled}) {
       Told told;
       told.accepted(0).at(1, Request::question, 200, JobState::running);
-      const JobState last = cancelled ? JobState::withdrawn : JobState::done;
+      const JobState last = cancelled ? JobState::cancelled : JobState::done;
       const auto other = told.ask(Request::question, 2);
       if (cancelled) {
         told.at(3, Request::cancellation, 200, last).ended(4);
@@ -139,7 +139,7 @@
 
 TEST(History, OnlyItsUserCancelsAJob) {
   Told never;
-  never.accepted(0).at(9, Request::question, 200, JobState::withdrawn);
+  never.accepted(0).at(9, Request::question, 200, JobState::cancelled);
   EXPECT_EQ(never.rule(), "went_back");
   Told later;
   later.accepted(0).at(1, Request::cancellation, 404);
@@ -147,10 +147,10 @@
   Told under_way;
   under_way.accepted(0);
   (void)under_way.ask(Request::cancellation, 1);
-  under_way.at(2, Request::question, 200, JobState::withdrawn);
+  under_way.at(2, Request::question, 200, JobState::cancelled);
   EXPECT_EQ(under_way.rule(), "");
   Told in_vain;  // before it was known, and without effect
-  in_vain.at(0, Request::cancellation, 404).accepted(1).at(2, Request::question, 200, JobState::withdrawn);
+  in_vain.at(0, Request::cancellation, 404).accepted(1).at(2, Request::question, 200, JobState::cancelled);
   EXPECT_EQ(in_vain.rule(), "went_back");
 }
 
@@ -196,7 +196,7 @@
 TEST(History, ACancellationMeetsTheEnd) {
   for (const int ms : {3999, 4000}) {
     Told told;
-    told.accepted(0).ended(1000).at(ms, Request::cancellation, 200, JobState::withdrawn);
+    told.accepted(0).ended(1000).at(ms, Request::cancellation, 200, JobState::cancelled);
     EXPECT_EQ(told.rule(), ms < 4000 ? "" : "late") << "until then nobody may know of the end";
   }
 }
@@ -233,11 +233,11 @@
   [[nodiscard]] bool tells() const { return kind == Kind::end || (answered && (status == 200 || status == 404)); }
 };
 
-enum class Register : std::uint8_t { absent, live, done, withdrawn };
+enum class Register : std::uint8_t { absent, live, done, cancelled };
 
 Register register_of(JobState state) {
   if (state == JobState::done) return Register::done;
-  return state == JobState::withdrawn ? Register::withdrawn : Register::live;
+  return state == JobState::cancelled ? Register::cancelled : Register::live;
 }
 
 constexpr int kMomentMs = 500;  // so that kDoneLag is a few moments
@@ -251,9 +251,9 @@
       if (event.kind == Event::Kind::end) {
         steps_.push_back({.what = What::end, .state = {}, .from = from, .to = from, .needed = true});
         // The register follows: after the end, and if that was punctual before what is asked when the lag is over.
-        const int lag = static_cast<int>(History::kDoneLag.count()) / kMomentMs;
-        const int to = event.punctual ? 2 * (event.asked + lag) - 1 : kNever;
-        steps_.push_back({.what = What::follow, .state = {}, .from = from + 1, .to = to, .needed = event.punctual});
+        const int aging_penalty = static_cast<int>(History::kDoneLag.count()) / kMomentMs;
+        const int to = event.punctual ? 2 * (event.asked + aging_penalty) - 1 : kNever;
+        steps_.push_back({.what = What::watch, .state = {}, .from = from + 1, .to = to, .needed = event.punctual});
         continue;
       }
       const int to = event.answered ? 2 * *event.answered : kNever;
@@ -262,7 +262,7 @@
       if (event.kind == Event::Kind::submission && !refused)
         steps_.push_back({.what = What::accept, .state = {}, .from = from, .to = effect_to, .needed = false});
       if (event.kind == Event::Kind::cancellation && !refused)
-        steps_.push_back({.what = What::withdraw, .state = {}, .from = from, .to = effect_to, .needed = false});
+        steps_.push_back({.what = What::cancel, .state = {}, .from = from, .to = effect_to, .needed = false});
       if (!event.tells()) continue;
       const Register state = refused ? Register::absent : register_of(*event.state);
       if (event.kind == Event::Kind::cancellation && state == Register::live) impossible_ = true;
@@ -273,7 +273,7 @@
 
  private:
   static constexpr int kNever = 1'000'000;
-  enum class What : std::uint8_t { accept, withdraw, end, follow, tell };
+  enum class What : std::uint8_t { accept, cancel, end, watch, tell };
   struct Step {
     What what;
     Register state;
@@ -305,8 +305,8 @@
   static std::optional<Register> after(const Step& step, Register now) {
     switch (step.what) {
       case What::accept: return now == Register::absent ? Register::live : now;
-      case What::withdraw: return now == Register::live ? Register::withdrawn : now;
-      case What::follow: return now == Register::live ? Register::done : now;
+      case What::cancel: return now == Register::live ? Register::cancelled : now;
+      case What::watch: return now == Register::live ? Register::done : now;
       case What::end: return now == Register::absent ? std::nullopt : std::optional(now);
       case What::tell: break;
     }
@@ -384,9 +384,9 @@
   const int end = moments.back();
   const bool punctual = pick(0, 1) == 0;
   if (pick(0, 1) == 0) {
-    const double lag = static_cast<double>(History::kDoneLag.count()) / kMomentMs;
+    const double aging_penalty = static_cast<double>(History::kDoneLag.count()) / kMomentMs;
     acts.emplace(end, end_act);
-    acts.emplace(within(end + 0.001, end + (punctual ? lag : 3 * lag)), follow_act);
+    acts.emplace(within(end + 0.001, end + (punctual ? aging_penalty : 3 * aging_penalty)), follow_act);
   }
   Register now = Register::absent;
   bool ended = false;
@@ -397,12 +397,12 @@
     Event& event = events[at];
     const bool refused = event.tells() && pick(0, 4) == 0;
     if (event.kind == Event::Kind::submission && now == Register::absent && !refused) now = Register::live;
-    if (event.kind == Event::Kind::cancellation && now == Register::live) now = Register::withdrawn;
+    if (event.kind == Event::Kind::cancellation && now == Register::live) now = Register::cancelled;
     if (!event.tells()) continue;
     if (now == Register::absent) event.status = 404;
     if (now == Register::live) event.state = pick(0, 1) == 0 ? JobState::pending : JobState::running;
     if (now == Register::done) event.state = JobState::done;
-    if (now == Register::withdrawn) event.state = JobState::withdrawn;
+    if (now == Register::cancelled) event.state = JobState::cancelled;
   }
   if (ended) {
     events.push_back(
--- a/tests/scenarios/large_days_test.cpp
+++ b/tests/scenarios/large_days_test.cpp
@@ -25,7 +25,7 @@
   settings.teams = {{.name = "red", .cpus = 10'000, .cpus_max = 26'000, .gpus = 0, .gpus_max = 0},
                     {.name = "blue", .cpus = 7000, .cpus_max = 15'000, .gpus = 300, .gpus_max = 700}};
   settings.objectives = {{.kind = "wait", .job_class = "gangs", .within_s = 40, .share = 0.9}};
-  settings.report_s = 4;
+  settings.heartbeat_interval_s = 4;
   settings.lease_s = 22;
   settings.cancel_s = 52;
   settings.gang_wait_s = 60;
@@ -35,7 +35,7 @@
   settings.state_value_kb = 8;
   settings.state_txn_ops = 24;
   settings.cloud_rps = 3;
-  settings.cloud_list_lag_s = 10;
+  settings.cloud_list_delay_s = 10;
   settings.max_connections = 2200;
   settings.skew_ms = 50;
   return settings;
--- a/tests/scenarios/pools_test.cpp
+++ b/tests/scenarios/pools_test.cpp
@@ -15,7 +15,7 @@
 config::Settings settings_of() {
   config::Settings settings;
   settings.nodes = 3;
-  settings.report_s = 1;
+  settings.heartbeat_interval_s = 1;
   settings.lease_s = 10;
   settings.cancel_s = 40;
   settings.gang_wait_s = 45;
@@ -25,7 +25,7 @@
   settings.state_write_rps = 50;
   settings.state_value_kb = 8;
   settings.cloud_rps = 2;
-  settings.cloud_list_lag_s = 5;
+  settings.cloud_list_delay_s = 5;
   settings.skew_ms = 50;
   settings.zones = {"a", "b", "c"};
   settings.teams = {{.name = "red", .cpus = 96, .cpus_max = 96}, {.name = "blue", .cpus = 32, .cpus_max = 64}};
@@ -162,7 +162,7 @@
   std::mt19937 random(GetParam());
   const auto below = [&random](unsigned most) { return random() % most; };
   config::Settings settings = settings_of();
-  settings.operators.zone_watch = settings.operators.zone_grants = below(2) == 0;
+  settings.operators.zone_watch = settings.operators.zone_lease_delegation = below(2) == 0;
   World world(settings, supplies_of(), 3, GetParam());
   catalog::PoolDef pool = pool_of(4);
   pool.lends = below(2) == 0;
--- a/tests/scenarios/refusal_days_test.cpp
+++ b/tests/scenarios/refusal_days_test.cpp
@@ -48,7 +48,7 @@
   Returns returns = Returns::in_outage;  // when the refusal ends
   int phase = 0;                         // of the refusal, against renewals of the leader's lease and reports
   Path path = Path::direct;
-  bool grants = false;
+  bool delegations = false;
   Restart restart = Restart::none;  // of the old leader
   bool frozen = false;              // the old leader gets no turn while its fence ends
   int longer = 2;                   // the outage, than `cancel_s`
@@ -64,10 +64,10 @@
                                           "slow in the outage"};
     return std::string(long_spans ? "long" : "short") + " spans, cancel " + std::to_string(cancel) + ", outage " +
            std::to_string(outage) + ", refusal ends " + kReturns[static_cast<std::size_t>(returns)] + ", phase " +
-           std::to_string(phase) + ", path " + kPaths[static_cast<std::size_t>(path)] + (grants ? " with grants" : "") +
-           ", restart " + kRestarts[static_cast<std::size_t>(restart)] + (frozen ? ", frozen" : "") + ", longer " +
-           std::to_string(longer) + (standby ? ", standby" : "") + ", drift " + std::to_string(drift) +
-           (hung ? ", hung" : "") + ", confirmed by " + std::to_string(other);
+           std::to_string(phase) + ", path " + kPaths[static_cast<std::size_t>(path)] +
+           (delegations ? " with grants" : "") + ", restart " + kRestarts[static_cast<std::size_t>(restart)] +
+           (frozen ? ", frozen" : "") + ", longer " + std::to_string(longer) + (standby ? ", standby" : "") +
+           ", drift " + std::to_string(drift) + (hung ? ", hung" : "") + ", confirmed by " + std::to_string(other);
   }
 };
 
@@ -96,7 +96,7 @@
   made.outage = one_of(swept, kOutages);
   made.returns = static_cast<Returns>(swept(3));
   made.phase = swept(2);
-  std::tie(made.path, made.grants) = one_of(swept, kPaths);
+  std::tie(made.path, made.delegations) = one_of(swept, kPaths);
   made.restart = static_cast<Restart>(swept(5));
   made.frozen = drawn(3) == 0;
   made.longer = one_of(drawn, kLongers);
@@ -112,7 +112,7 @@
   settings.zones = {"a", "b", "c"};
   settings.nodes = 3;
   settings.teams = {{.name = "red", .cpus = 32, .cpus_max = 64, .gpus = 0, .gpus_max = 0}};
-  settings.report_s = refusal.long_spans ? 3 : 1;
+  settings.heartbeat_interval_s = refusal.long_spans ? 3 : 1;
   settings.lease_s = refusal.long_spans ? 27 : 10;
   settings.cancel_s = refusal.long_spans ? 57 : 40;
   settings.gang_wait_s = 45;
@@ -122,9 +122,9 @@
   settings.state_value_kb = 8;
   settings.state_txn_ops = 12;
   settings.cloud_rps = 2;
-  settings.cloud_list_lag_s = 5;
+  settings.cloud_list_delay_s = 5;
   settings.skew_ms = 50;
-  settings.operators.zone_grants = settings.operators.zone_watch = refusal.grants;
+  settings.operators.zone_lease_delegation = settings.operators.zone_watch = refusal.delegations;
   settings.operators.standby = refusal.standby;
   return settings;
 }
@@ -182,7 +182,7 @@
   double out = 0;
   double back = 0;
   explicit Moments(const RefusalCase& refusal, const config::Settings& settings) {
-    const double half = settings.report_s / 2;
+    const double half = settings.heartbeat_interval_s / 2;
     refused = kRefused + refusal.phase * 0.5;  // half of the time between two renewals of the leader's lease
     cancelled = refused + refusal.cancel * half;
     out = cancelled + std::max(0.1, refusal.outage * half);
@@ -208,9 +208,9 @@
   std::size_t old = 0;
   world.at(when.refused, [&] {
     old = world.leader().value_or(0);
-    const double ends = refusal.returns == Returns::before_outage ? when.out - settings.report_s / 2
-                        : refusal.returns == Returns::in_outage   ? when.out + settings.report_s
-                                                                  : when.back + 3 * settings.report_s;
+    const double ends = refusal.returns == Returns::before_outage ? when.out - settings.heartbeat_interval_s / 2
+                        : refusal.returns == Returns::in_outage   ? when.out + settings.heartbeat_interval_s
+                                                                  : when.back + 3 * settings.heartbeat_interval_s;
     if (ends > when.refused) world.refuse_state(old, ends - when.refused);
     const double all_s = when.back - when.refused;
     if (refusal.path == Path::alone || refusal.path == Path::holder) world.cut_siblings(all_s);
@@ -249,7 +249,7 @@
       world.cancel(job, (old + refusal.other) % 3);
     }
   });
-  std::optional<std::uint64_t> reports;
+  std::optional<std::uint64_t> heartbeats;
   std::size_t granted = 0;
   std::map<JobId, double> last_seen;
   for (double at = when.cancelled; at < when.back + kSettles; at += kLook) {
@@ -261,14 +261,14 @@
         }
       }
       if (!world.rules().cancelled_at(kService) || at >= when.back) return;
-      if (!reports) {
-        reports = controller.counters().reports;
-        granted = world.answered_by_grant();
+      if (!heartbeats) {
+        heartbeats = controller.counters().heartbeats;
+        granted = world.answered_by_delegation();
         outcome.confirmed = day_s(*world.rules().cancelled_at(kService)) < when.out;
       }
       const std::uint64_t more =
-          controller.counters().reports > *reports ? controller.counters().reports - *reports : 0;
-      outcome.answered = std::max(outcome.answered, more + world.answered_by_grant() - granted);
+          controller.counters().heartbeats > *heartbeats ? controller.counters().heartbeats - *heartbeats : 0;
+      outcome.answered = std::max(outcome.answered, more + world.answered_by_delegation() - granted);
     });
   }
   world.run_until(when.back + kSettles);
@@ -286,7 +286,7 @@
     EXPECT_GT(margin_s, 0) << job.text() << " told at " << told_s << " s, seen at " << last_seen[job] << " s";
     outcome.least_margin_s = std::min(outcome.least_margin_s, margin_s);
     const auto status = world.ask(job);
-    EXPECT_TRUE(status && status->state == wire::JobState::withdrawn) << job.text();
+    EXPECT_TRUE(status && status->state == wire::JobState::cancelled) << job.text();
   }
   return outcome;
 }
@@ -340,7 +340,7 @@
   const auto pick = [&](int low, int high) { return std::uniform_int_distribution<int>(low, high)(random); };
   RefusalCase spans;
   spans.long_spans = pick(0, 1) == 1;
-  spans.grants = pick(0, 1) == 1;
+  spans.delegations = pick(0, 1) == 1;
   spans.standby = pick(0, 1) == 1;
   const config::Settings settings = settings_of(spans);
   World world(settings, supplies(), 3, seed);
@@ -412,7 +412,7 @@
   EXPECT_EQ(world.accepted().size(), 9U);
   for (const JobId& id : cancelled) {
     const auto status = world.ask(id);
-    EXPECT_TRUE(status && (status->state == wire::JobState::withdrawn || status->state == wire::JobState::done))
+    EXPECT_TRUE(status && (status->state == wire::JobState::cancelled || status->state == wire::JobState::done))
         << id.text();
   }
 }
--- a/tests/scenarios/scenario.cpp
+++ b/tests/scenarios/scenario.cpp
@@ -127,17 +127,17 @@
 
 void Scenario::read_settings(const Words& words) {
   Options options(words, 1, {});
-  settings_.report_s = options.number("report", 1);
+  settings_.heartbeat_interval_s = options.number("report", 1);
   settings_.lease_s = options.number("lease", 10);
   settings_.cancel_s = options.number("cancel", 40);
   settings_.gang_wait_s = options.number("gang_wait", 45);
   settings_.gang_peer_s = options.number("gang_peer", 4);
   settings_.state_txn_ops = static_cast<std::size_t>(options.number("txn_ops", 12));
-  settings_.cloud_list_lag_s = options.number("list_lag", 5);
+  settings_.cloud_list_delay_s = options.number("list_lag", 5);
   settings_.operators.idle_return_s = options.number("idle_return", 0);
-  settings_.operators.may_rent = options.enabled("may_rent", true);
+  settings_.operators.can_scale_out = options.enabled("may_rent", true);
   settings_.operators.preemption = options.enabled("preemption", false);
-  settings_.operators.zone_grants = options.enabled("zone_grants", false);
+  settings_.operators.zone_lease_delegation = options.enabled("zone_grants", false);
   settings_.operators.zone_watch = options.enabled("zone_watch", false);
   settings_.operators.standby = options.enabled("standby", false);
   settings_.operators.zone_evacuation = options.enabled("zone_evacuation", false);
--- a/tests/scenarios/scenario_expectations.cpp
+++ b/tests/scenarios/scenario_expectations.cpp
@@ -112,7 +112,7 @@
     EXPECT_TRUE(world().alike());
     return;
   }
-  const calendar::Keeper* keeper = world().calendar(world().leader().value_or(0));
+  const calendar::DeadlineController* keeper = world().calendar(world().leader().value_or(0));
   ASSERT_NE(keeper, nullptr);
   for (const auto& [key, known] : keeper->occurrences()) {
     const calendar::Occurrence& one = known.seen;
@@ -154,7 +154,7 @@
   } else if (what == "killed") {  // tasks, by their workers' leases so far
     EXPECT_EQ(world().killed_by_lease(), count_from(words.at(2), what));
   } else if (what == "granted") {  // reports answered by what a node was granted: none | some
-    EXPECT_EQ(world().answered_by_grant() > 0, words.at(2) == "some");
+    EXPECT_EQ(world().answered_by_delegation() > 0, words.at(2) == "some");
   } else if (what == "hints") {  // taken by new leaders: N
     EXPECT_EQ(world().hints_taken(), count_from(words.at(2), what));
   } else if (what == "rented") {  // machines, by all leaders so far: N
--- a/tests/smoke/refused_test.cpp
+++ b/tests/smoke/refused_test.cpp
@@ -29,7 +29,7 @@
 using plan::Millis;
 using standins::HttpCloud;
 
-constexpr cluster::Surroundings kAround{.report_s = 0.25, .lease_s = 3, .cancel_s = 9, .links = true};
+constexpr cluster::Surroundings kAround{.heartbeat_interval_s = 0.25, .lease_s = 3, .cancel_s = 9, .links = true};
 constexpr Millis kCancel{9'000};
 constexpr Millis kTurn{10};
 constexpr std::size_t kNodes = 3;
@@ -134,7 +134,7 @@
     EXPECT_TRUE(wait_for([&] {
       const net::HttpResponse answer = ask(node, "POST", "/api/jobs/" + job.text() + "/abort");
       return answer.status == 200 &&
-             wire::job_status_from(wire::decode(answer.body)).state == wire::JobState::withdrawn;
+             wire::job_status_from(wire::decode(answer.body)).state == wire::JobState::cancelled;
     }));
     return now();
   }
@@ -220,7 +220,7 @@
           answer = ask(node, "GET", "/api/jobs/" + id.text());
           return answer.status == 200;
         }));
-        EXPECT_EQ(wire::job_status_from(wire::decode(answer.body)).state, wire::JobState::withdrawn)
+        EXPECT_EQ(wire::job_status_from(wire::decode(answer.body)).state, wire::JobState::cancelled)
             << job.text() << " at node " << node;
       }
     }
@@ -366,7 +366,7 @@
   cluster_->state().set_fate(
       [&seen](const net::HttpRequest& request) {
         for (const JobId& job : {kFirst, kSecond}) {
-          if (request.body.find(state::over_key(job)) == std::string::npos) continue;
+          if (request.body.find(state::finished_job_key(job)) == std::string::npos) continue;
           if (seen[job]++ == 0) return job == kFirst ? standins::Fate::lost : standins::Fate::late;
         }
         return standins::Fate::answered;
@@ -400,9 +400,9 @@
           bool before = false;
           while (!stop.stop_requested()) {
             const Told told = look(node, job, "GET", "");
-            const bool withdrawn = told.status == 200 && told.state == wire::JobState::withdrawn;
-            if (withdrawn && !before) ++known;
-            before = before || withdrawn;
+            const bool cancelled = told.status == 200 && told.state == wire::JobState::cancelled;
+            if (cancelled && !before) ++known;
+            before = before || cancelled;
             std::this_thread::sleep_for(Millis(50));
           }
         });
@@ -412,7 +412,7 @@
       users.emplace_back([&, job](const std::stop_token& stop) {
         while (!stop.stop_requested()) {
           if (const Told told = look(1, job, "POST", "/abort"); told.status == 200) {
-            EXPECT_EQ(told.state, wire::JobState::withdrawn) << job.text();
+            EXPECT_EQ(told.state, wire::JobState::cancelled) << job.text();
             return;
           }
           std::this_thread::sleep_for(Millis(100));
@@ -428,7 +428,7 @@
   for (const JobId& job : {kFirst, kSecond}) {
     std::optional<Instant> first;
     for (const Told& told : all) {
-      if (told.job != job || told.status != 200 || told.state != wire::JobState::withdrawn) continue;
+      if (told.job != job || told.status != 200 || told.state != wire::JobState::cancelled) continue;
       first = std::min(first.value_or(told.had), told.had);
     }
     ASSERT_TRUE(first);
@@ -436,7 +436,7 @@
       if (told.job != job) continue;
       EXPECT_NE(told.status, 404) << job.text() << " was accepted";
       if (told.asked <= *first || told.status != 200) continue;
-      EXPECT_EQ(told.state, wire::JobState::withdrawn)
+      EXPECT_EQ(told.state, wire::JobState::cancelled)
           << job.text() << ": asked " << (told.asked - *first).count() << " ms after the first was told";
     }
     for (const HttpCloud::Stay& stay : cluster_->cloud().stays(job)) {
--- a/tests/smoke/restart_test.cpp
+++ b/tests/smoke/restart_test.cpp
@@ -102,7 +102,7 @@
   return {.status = 0, .body = {}, .retry_after_s = {}};
 }
 
-enum class Held { takeover, reading, write, rental };
+enum class Held { failover, reading, write, rental };
 
 struct Where {
   const char* name;
@@ -129,16 +129,16 @@
 
   static Moment::Kind kind_of(Held held, const JobId& job) {
     switch (held) {
-      case Held::takeover:
+      case Held::failover:
         return [](const net::HttpRequest& request) {
-          return request.path == "/txn" && request.body.find(state::kHolderKey) != std::string::npos;
+          return request.path == "/txn" && request.body.find(state::kLeaderKey) != std::string::npos;
         };
       case Held::reading:
         return [](const net::HttpRequest& request) {
-          return request.path == "/kv" && request.query.at("starts") == state::kPartPrefix;
+          return request.path == "/kv" && request.query.at("starts") == state::kJobShardPrefix;
         };
       case Held::write:  // the job's placement
-        return [key = state::live_key(job)](const net::HttpRequest& request) {
+        return [key = state::active_job_key(job)](const net::HttpRequest& request) {
           return request.path == "/txn" && request.body.find(state::kTermKey) != std::string::npos &&
                  request.body.find(key) != std::string::npos;
         };
@@ -227,7 +227,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Restart, QuickRestarts,
-    ::testing::Values(Where{"Takeover", Held::takeover, false}, Where{"TakeoverShared", Held::takeover, true},
+    ::testing::Values(Where{"Takeover", Held::failover, false}, Where{"TakeoverShared", Held::failover, true},
                       Where{"Reading", Held::reading, false}, Where{"ReadingShared", Held::reading, true},
                       Where{"Write", Held::write, false}, Where{"WriteShared", Held::write, true},
                       Where{"RentalOfOne", Held::rental, false, 0, 2}, Where{"RentalOfAll", Held::rental, false, 2, 4},
--- a/tests/smoke/smoke_test.cpp
+++ b/tests/smoke/smoke_test.cpp
@@ -59,12 +59,12 @@
 }
 
 // The first report of an idle machine of that name.
-wire::Report idle_report(const std::string& machine) {
+wire::Heartbeat idle_report(const std::string& machine) {
   return {.machine = MachineId(machine),
           .address = "127.0.0.1:1",
           .type = "plain",
           .zone = "a",
-          .session = SessionNo(1),
+          .incarnation = AgentIncarnation(1),
           .sequence = 1,
           .term = Term(0),
           .notice_s = {},
@@ -146,7 +146,7 @@
 // Whether the state service keeps the machine types: from then on a fresh process can judge its first job.
 bool types_kept(Cluster& cluster) {
   net::HttpClient client(cluster.state().address(), std::chrono::seconds(1));
-  const auto answer = client.call({.method = "GET", .path = std::string("/kv/") + state::kTypesKey, .body = {}},
+  const auto answer = client.call({.method = "GET", .path = std::string("/kv/") + state::kMachineTypesKey, .body = {}},
                                   net::Clock::now() + std::chrono::seconds(10));
   return answer && answer->status == 200;
 }
@@ -212,10 +212,10 @@
     }
   }
   const std::size_t sibling = 1 - leader;
-  wire::Report report = idle_report("m-500001");
+  wire::Heartbeat heartbeat = idle_report("m-500001");
   const auto tell = [&] {
-    const auto answer = post(cluster.address(sibling), "/checkin", wire::encode(wire::to_value(report)));
-    report.sequence = report.sequence + 1;
+    const auto answer = post(cluster.address(sibling), "/checkin", wire::encode(wire::to_value(heartbeat)));
+    heartbeat.sequence = heartbeat.sequence + 1;
     return answer;
   };
   // One that the leader never served is sent there, and its report passed on when it comes back.
@@ -227,17 +227,17 @@
   ASSERT_EQ(answer.status, 200);
   EXPECT_EQ(wire::decode(answer.body).count("alpha"), term);
   // One that the leader served before is not sent back to it.
-  report.machine = MachineId("m-500002");
-  report.term = Term(term);
+  heartbeat.machine = MachineId("m-500002");
+  heartbeat.term = Term(term);
   EXPECT_EQ(tell().status, 200);
   EXPECT_NE(run("counters " + to(cluster, sibling)).out.find("\nreports_relayed 2\n"), std::string::npos);
   // A later term than the leader's ends its lead; it is not passed on in circles.
-  report.term = Term(term + 100);
+  heartbeat.term = Term(term + 100);
   EXPECT_EQ(tell().status, 421);
   // Without a leader it is told to try another node.
   cluster.kill(leader);
-  report.machine = MachineId("m-500003");
-  report.term = Term(term);
+  heartbeat.machine = MachineId("m-500003");
+  heartbeat.term = Term(term);
   answer = tell();
   EXPECT_TRUE(answer.status == 421 || answer.status == 200);  // the sibling may have taken the lead
 }
@@ -262,21 +262,21 @@
   EXPECT_NE(run("zones --json " + to(cluster, leader)).out.find(R"("granting": true)"), std::string::npos);
   cluster.state().set_out(true);
   ASSERT_EQ(::kill(cluster.pid(leader), SIGSTOP), 0);
-  wire::Report report = idle_report("m-500001");
+  wire::Heartbeat heartbeat = idle_report("m-500001");
   net::HttpResponse answer;
   do {
-    answer = post(cluster.address(sibling), "/checkin", wire::encode(wire::to_value(report)));
-    ++report.sequence;
+    answer = post(cluster.address(sibling), "/checkin", wire::encode(wire::to_value(heartbeat)));
+    ++heartbeat.sequence;
   } while (answer.status != 200);
   EXPECT_GT(wire::decode(answer.body).count("alpha"), 0U);
   EXPECT_TRUE(wire::decode(answer.body).list("calls").empty());
   // Another zone's worker is none of its business, and what was granted ends.
-  report.zone = "b";
-  EXPECT_NE(post(cluster.address(sibling), "/checkin", wire::encode(wire::to_value(report))).status, 200);
-  report.zone = "a";
+  heartbeat.zone = "b";
+  EXPECT_NE(post(cluster.address(sibling), "/checkin", wire::encode(wire::to_value(heartbeat))).status, 200);
+  heartbeat.zone = "a";
   do {
-    answer = post(cluster.address(sibling), "/checkin", wire::encode(wire::to_value(report)));
-    ++report.sequence;
+    answer = post(cluster.address(sibling), "/checkin", wire::encode(wire::to_value(heartbeat)));
+    ++heartbeat.sequence;
   } while (answer.status == 200);
   EXPECT_NE(run("counters " + to(cluster, sibling)).out.find("reports_granted "), std::string::npos);
   ::kill(cluster.pid(leader), SIGCONT);
@@ -352,7 +352,7 @@
   node::RequestHandler front(context);
   const std::string body = wire::encode(wire::to_value(job("j-000001", 1)));
   EXPECT_EQ(front.submit(body).status, 503);
-  state.put(state::kTypesKey,
+  state.put(state::kMachineTypesKey,
             wire::to_value(std::vector<wire::MachineType>{{.name = "plain", .cpus = 8, .ram_gb = 32, .zones = {"a"}}}));
   EXPECT_EQ(front.submit(body).status, 201);
 }
@@ -447,10 +447,10 @@
   EXPECT_EQ(call(*connect(), {.method = "GET", .path = "/up", .body = {}}).status, 200);
   std::vector<std::unique_ptr<net::HttpClient>> workers;
   for (int i = 0; i < bound - users_share - 10; ++i) {  // a few places are the cluster's own cloud's
-    const wire::Report report = idle_report("m-" + std::to_string(500'000 + i));
+    const wire::Heartbeat heartbeat = idle_report("m-" + std::to_string(500'000 + i));
     workers.push_back(connect());
     EXPECT_EQ(
-        call(*workers.back(), {.method = "POST", .path = "/checkin", .body = wire::encode(wire::to_value(report))})
+        call(*workers.back(), {.method = "POST", .path = "/checkin", .body = wire::encode(wire::to_value(heartbeat))})
             .status,
         200)
         << i;
@@ -497,15 +497,15 @@
   }
   EXPECT_LE(users, limits.unreserved);
   EXPECT_GE(users, std::min(limits.unreserved, 1500 / kScale) - 10);
-  const auto report = [](int machine, std::uint64_t sequence) {
-    wire::Report made = idle_report("m-" + std::to_string(500'000 + machine));
+  const auto heartbeat = [](int machine, std::uint64_t sequence) {
+    wire::Heartbeat made = idle_report("m-" + std::to_string(500'000 + machine));
     made.sequence = sequence;
     return net::HttpRequest{.method = "POST", .path = "/checkin", .body = wire::encode(wire::to_value(made))};
   };
   std::vector<std::unique_ptr<net::HttpClient>> workers;
   for (int i = 0; i < 1260 / kScale; ++i) {
     workers.push_back(connect());
-    ASSERT_EQ(call(*workers.back(), report(i, 1)).status, 200) << i;
+    ASSERT_EQ(call(*workers.back(), heartbeat(i, 1)).status, 200) << i;
   }
   int refused = 0;
   for (int i = 0; i < 700 / kScale; ++i) {
@@ -516,9 +516,9 @@
   EXPECT_TRUE(refused > 0 || kScale > 1);
   const long threads = number_of(cluster.pid(0), "Threads");
   EXPECT_GE(threads, users + 1260 / kScale);
-  EXPECT_LE(threads, constants::kThreadsMost);
+  EXPECT_LE(threads, constants::kMaxThreads);
   for (std::size_t i = 0; i < workers.size(); ++i) {
-    ASSERT_EQ(call(*workers[i], report(static_cast<int>(i), 2)).status, 200) << i;
+    ASSERT_EQ(call(*workers[i], heartbeat(static_cast<int>(i), 2)).status, 200) << i;
   }
 }
 
--- a/tests/smoke/takeover_test.cpp
+++ b/tests/smoke/takeover_test.cpp
@@ -24,7 +24,7 @@
     spec.cpus = 1;
     spec.image = "img";
     spec.estimate_s = 5;
-    state.put(state::live_key(spec.id), state::to_value(state::new_job(spec, 0)));
+    state.put(state::active_job_key(spec.id), state::to_value(state::new_job(spec, 0)));
   }
   config::Settings settings;
   settings.name = NodeName("node-0");
@@ -61,7 +61,7 @@
   std::atomic<bool> lost{false};
   state.set_between([&](const net::HttpRequest& request, const net::HttpServer::Handler& stand_in) {
     if (request.path != "/txn" || lost.exchange(true)) return stand_in(request);
-    const kv::Txn earlier = state::take_lead_txn({}, NodeName("node-0"), kv::LeaseId{999}, 0);
+    const kv::Txn earlier = state::acquire_leadership_txn({}, NodeName("node-0"), kv::LeaseId{999}, 0);
     for (const kv::Change& change : earlier.changes) state.put(change.key, *change.data);
     return net::HttpResponse{.status = 500, .body = {}, .retry_after_s = {}};
   });
--- a/tests/standins/history.cpp
+++ b/tests/standins/history.cpp
@@ -53,7 +53,7 @@
     if (answer.state == wire::JobState::done) {
       lower(job.done_before, *entry.answered, number);
       std::erase(job.cancellations, number);
-    } else if (answer.state == wire::JobState::withdrawn) {
+    } else if (answer.state == wire::JobState::cancelled) {
       lower(job.withdrawn_before, *entry.answered, number);
     } else if (answer.state) {
       raise(job.over_after, entry.asked, number);
--- a/tests/standins/http_world.cpp
+++ b/tests/standins/http_world.cpp
@@ -102,7 +102,7 @@
   return asked_;
 }
 
-HttpResponse HttpState::follow(const std::map<std::string, std::string>& query, Door& door) {
+HttpResponse HttpState::watch(const std::map<std::string, std::string>& query, Door& door) {
   const Revision from(std::stoull(query.at("from")));
   const std::string& prefix = query.at("starts");
   const auto until = net::Clock::now() + Millis(std::stoll(query.at("holdMs")));
@@ -110,13 +110,13 @@
   if (out(door)) return {.status = 503, .body = {}, .retry_after_s = {}};
   const std::uint64_t holds_ended = holds_ended_;
   ++watches_[holds_ended];
-  kv::FollowResult news;
+  kv::WatchResult news;
   while (!closing_) {
     if (out(door)) {  // whatever it was asked for, it waits for the end of that
       changed_.wait(lock);
       continue;
     }
-    news = store_.follow(prefix, from);
+    news = store_.watch(prefix, from);
     if (!news.events.empty() || net::Clock::now() >= until || holds_ended_ != holds_ended) break;
     changed_.wait_until(lock, until);
   }
@@ -127,9 +127,9 @@
   Value::List list;
   for (const kv::Event& event : news.events) {
     if (event.data) {
-      list.emplace_back(Value::Map{{"set", event.key}, {"data", *event.data}, {"mark", event.mark.number()}});
+      list.emplace_back(Value::Map{{"set", event.key}, {"data", *event.data}, {"mark", event.revision.number()}});
     } else {
-      list.emplace_back(Value::Map{{"remove", event.key}, {"mark", event.mark.number()}});
+      list.emplace_back(Value::Map{{"remove", event.key}, {"mark", event.revision.number()}});
     }
   }
   return reply(200, Value::Map{{"tally", news.revision.number()}, {"news", std::move(list)}});
@@ -167,7 +167,7 @@
 
 HttpResponse HttpState::handle(const HttpRequest& request, Door& door) {
   const std::string& path = request.path;
-  if (path == "/follow") return follow(request.query, door);
+  if (path == "/follow") return watch(request.query, door);
   const std::lock_guard lock(mutex_);
   if (out(door)) return {.status = 503, .body = {}, .retry_after_s = {}};
   door.served = now();
@@ -184,19 +184,19 @@
         more = true;
         break;
       }
-      items.emplace_back(Value::Map{{"k", entry.key}, {"data", entry.data}, {"mark", entry.mark.number()}});
+      items.emplace_back(Value::Map{{"k", entry.key}, {"data", entry.data}, {"mark", entry.revision.number()}});
     }
     return reply(200, Value::Map{{"items", std::move(items)}, {"more", more}, {"tally", store_.revision().number()}});
   }
   if (request.method == "GET" && path.starts_with("/kv/")) {
     const kv::GetResult found = store_.get(path.substr(4));
     if (found.answer != kv::Answer::ok) return reply(404, Value::Map{{"tally", store_.revision().number()}});
-    return reply(200,
-                 Value::Map{{"k", found.entry.key}, {"data", found.entry.data}, {"mark", found.entry.mark.number()}});
+    return reply(
+        200, Value::Map{{"k", found.entry.key}, {"data", found.entry.data}, {"mark", found.entry.revision.number()}});
   }
   if (path == "/leases") {
     const auto ttl = static_cast<std::int64_t>(wire::decode(request.body).count("ttlMs"));
-    return reply(200, Value::Map{{"tether", store_.grant(Millis(ttl), now()).number}});
+    return reply(200, Value::Map{{"tether", store_.grant_lease(Millis(ttl), now()).number}});
   }
   if (path.starts_with("/leases/")) {
     const kv::LeaseId lease{std::stoull(path.substr(8))};
@@ -210,7 +210,7 @@
     const Value body = wire::decode(request.body);
     kv::Txn txn;
     for (const Value& condition : body.list("if")) {
-      txn.conditions.push_back({.key = condition.text("k"), .mark = Revision(condition.count("mark"))});
+      txn.preconditions.push_back({.key = condition.text("k"), .revision = Revision(condition.count("mark"))});
     }
     for (const Value& change : body.list("then")) {
       kv::Change made{.key = {}, .data = {}, .lease = {}};
@@ -235,9 +235,9 @@
 
 // ---- cloud and workers ----
 
-HttpCloud::HttpCloud(std::vector<net::Address> nodes, double report_s, double lease_s)
+HttpCloud::HttpCloud(std::vector<net::Address> nodes, double heartbeat_interval_s, double lease_s)
     : nodes_(std::move(nodes)),
-      report_s_(report_s),
+      report_s_(heartbeat_interval_s),
       lease_(control::from_seconds(lease_s)),
       type_{.name = "plain",
             .cpus = 8,
@@ -322,14 +322,14 @@
 
 Millis HttpCloud::run_left(const TaskKey& task) { return control::from_seconds(jobs_.at(task.job).second); }
 
-void HttpCloud::on_started(const TaskKey& task, AttemptNo attempt, const MachineId& machine) {
+void HttpCloud::on_started(const TaskKey& task, AttemptNumber attempt, const MachineId& machine) {
   ++starts_;
   stays_.push_back({.task = task, .attempt = attempt, .machine = machine, .from = passing_, .until = {}});
   if (!on_[task].empty() && !on_[task].contains(machine)) ++ran_twice_;
   on_[task].insert(machine);
 }
 
-void HttpCloud::on_gone(const TaskKey& task, AttemptNo attempt, const MachineId& machine, bool done) {
+void HttpCloud::on_gone(const TaskKey& task, AttemptNumber attempt, const MachineId& machine, bool done) {
   on_[task].erase(machine);
   for (Stay& stay : stays_) {
     if (!stay.until && stay.task == task && stay.attempt == attempt && stay.machine == machine) stay.until = passing_;
@@ -337,7 +337,7 @@
   if (done) done_.insert(task);
 }
 
-bool HttpCloud::ready(const JobId& job, AttemptNo attempt) {
+bool HttpCloud::ready(const JobId& job, AttemptNumber attempt) {
   const std::uint32_t tasks = jobs_.at(job).first.tasks;
   std::uint32_t there = 0;
   for (std::uint32_t index = 0; index < tasks; ++index) {
@@ -395,7 +395,9 @@
         machine.worker = std::make_unique<Worker>(id, type_, machine.zone, machine.spot, lease_, *this, machine.rented);
         machine.lease_from = machine.rented;
         machine.worker->gang_wait = kGangWait;
-        machine.worker->gang_ready = [this](const JobId& job_id, AttemptNo attempt) { return ready(job_id, attempt); };
+        machine.worker->gang_ready = [this](const JobId& job_id, AttemptNumber attempt) {
+          return ready(job_id, attempt);
+        };
         machine.thread = std::jthread([this, id](const std::stop_token& stop) { live(stop, id); });
         rented.push_back(id);
       }
@@ -419,9 +421,9 @@
 void HttpCloud::advance(Machine& machine, Instant at) {
   // What the lease ends is gone at its end, also when the stand-in comes to it later.
   passing_ = std::min(at, machine.lease_from + lease_);
-  const SessionNo session = machine.worker->session();
+  const AgentIncarnation incarnation = machine.worker->incarnation();
   if (machine.worker->advance(at)) machine.changed = true;
-  if (machine.worker->session() != session) machine.lease_from = at;
+  if (machine.worker->incarnation() != incarnation) machine.lease_from = at;
   passing_ = at;
 }
 
@@ -452,10 +454,10 @@
     node = next;
     client = std::make_unique<net::HttpClient>(nodes_[node], Millis(500));
   };
-  Instant next_report = now();
+  Instant next_heartbeat = now();
   while (!stop.stop_requested()) {
     std::this_thread::sleep_for(kTurn);
-    wire::Report report;
+    wire::Heartbeat heartbeat;
     Instant sent;
     bool is_cut = false;
     {
@@ -463,21 +465,21 @@
       const auto found = machines_.find(id);
       if (found == machines_.end() || found->second.gone) return;
       Machine& machine = found->second;
-      if (std::exchange(machine.changed, false)) next_report = std::min(next_report, now() + Millis(100));
-      if (now() < next_report) continue;
+      if (std::exchange(machine.changed, false)) next_heartbeat = std::min(next_heartbeat, now() + Millis(100));
+      if (now() < next_heartbeat) continue;
       sent = now();
       advance(machine, sent);
       machine.changed = false;
-      report = machine.worker->report();
+      heartbeat = machine.worker->heartbeat();
       machine.asks = node;
       is_cut = cut_.contains(node);
     }
     std::optional<HttpResponse> answer;
     if (!is_cut) {
-      answer = client->call({.method = "POST", .path = "/checkin", .body = wire::encode(wire::to_value(report))},
+      answer = client->call({.method = "POST", .path = "/checkin", .body = wire::encode(wire::to_value(heartbeat))},
                             net::Clock::now() + Millis(4000));
     }
-    next_report = now() + control::from_seconds(report_s_);
+    next_heartbeat = now() + control::from_seconds(report_s_);
     const std::lock_guard lock(mutex_);
     const auto found = machines_.find(id);
     if (found == machines_.end() || found->second.gone) return;
@@ -488,13 +490,13 @@
       const auto named = answer ? node_named(*answer) : std::nullopt;
       const bool elsewhere = named && *named != node;
       turn_to(elsewhere ? *named : (node + 1) % nodes_.size());
-      next_report = elsewhere ? now() : now() + kNextNode;
+      next_heartbeat = elsewhere ? now() : now() + kNextNode;
       continue;
     }
     const Value body = wire::decode(answer->body);
     const Term term(body.count("alpha"));
     advance(machine, now());  // a lease that has ended meanwhile is not renewed any more
-    if (!machine.worker->answer(term, wire::commands_from(body), report.session, sent, passing_)) continue;
+    if (!machine.worker->answer(term, wire::commands_from(body), heartbeat.incarnation, sent, passing_)) continue;
     machine.lease_from = std::max(machine.lease_from, sent);
     renewals_.push_back({.machine = id, .node = node, .term = term, .sent = sent});
   }
--- a/tests/standins/http_world.h
+++ b/tests/standins/http_world.h
@@ -65,7 +65,7 @@
   net::HttpResponse receive(const net::HttpRequest& request, Door& door);
   net::HttpResponse judge(const net::HttpRequest& request, Door& door);
   net::HttpResponse handle(const net::HttpRequest& request, Door& door);
-  net::HttpResponse follow(const std::map<std::string, std::string>& query, Door& door);
+  net::HttpResponse watch(const std::map<std::string, std::string>& query, Door& door);
   void end_leases(const std::stop_token& stop);
 
   std::mutex mutex_;
@@ -87,7 +87,7 @@
 // Rents workers that live in this process, each with a thread that reports to the nodes.
 class HttpCloud final : public Surroundings {
  public:
-  HttpCloud(std::vector<net::Address> nodes, double report_s, double lease_s);
+  HttpCloud(std::vector<net::Address> nodes, double heartbeat_interval_s, double lease_s);
   ~HttpCloud() override;
 
   [[nodiscard]] net::Address address() const { return server_->address(); }
@@ -103,7 +103,7 @@
   // stand-in has come to end it or not.
   struct Stay {
     TaskKey task;
-    AttemptNo attempt;
+    AttemptNumber attempt;
     MachineId machine;
     Instant from;
     std::optional<Instant> until;  // nothing: there now
@@ -124,8 +124,8 @@
   Millis run_left(const TaskKey& task) override;
   bool is_done(const TaskKey& task) override { return done_.contains(task); }
   void keep_progress(const TaskKey&, Millis) override {}
-  void on_started(const TaskKey& task, AttemptNo attempt, const MachineId& machine) override;
-  void on_gone(const TaskKey& task, AttemptNo attempt, const MachineId& machine, bool done) override;
+  void on_started(const TaskKey& task, AttemptNumber attempt, const MachineId& machine) override;
+  void on_gone(const TaskKey& task, AttemptNumber attempt, const MachineId& machine, bool done) override;
 
  private:
   struct Machine {
@@ -141,7 +141,7 @@
   };
   net::HttpResponse receive(const net::HttpRequest& request);
   net::HttpResponse handle(const net::HttpRequest& request);
-  [[nodiscard]] bool ready(const JobId& job, AttemptNo attempt);  // all tasks of the gang are there
+  [[nodiscard]] bool ready(const JobId& job, AttemptNumber attempt);  // all tasks of the gang are there
   void live(const std::stop_token& stop, const MachineId& id);
   // Lets time pass for all workers, also while their reports wait for answers.
   void pass_time(const std::stop_token& stop);
--- a/tests/standins/rules.cpp
+++ b/tests/standins/rules.cpp
@@ -265,7 +265,7 @@
 void Rules::on_told(const JobId& job, wire::JobState state, Instant now, std::optional<Instant> asked) {
   if (!specs_.contains(job)) return breach("invented: " + job.text());
   on_accepted(job, now);
-  const bool over = state == wire::JobState::done || state == wire::JobState::withdrawn;
+  const bool over = state == wire::JobState::done || state == wire::JobState::cancelled;
   if (const auto since = over_told_.find(job); since != over_told_.end()) {
     // An answer to a question from before may well be older.
     if (told_.at(job) != state && (over || asked.value_or(now) >= since->second)) breach("went_back: " + job.text());
@@ -274,7 +274,7 @@
   told_[job] = state;
   if (over) over_told_.try_emplace(job, now);
   if (state == wire::JobState::done && done_[job].size() < specs_.at(job).tasks) breach("not_done: " + job.text());
-  if (state == wire::JobState::withdrawn) withdrawn_.try_emplace(job, now);
+  if (state == wire::JobState::cancelled) withdrawn_.try_emplace(job, now);
 }
 
 void Rules::on_told_unknown(const JobId& job, std::optional<Instant> asked) {
--- a/tests/standins/served.cpp
+++ b/tests/standins/served.cpp
@@ -28,7 +28,7 @@
   jobs_.try_emplace(spec.id, Job{.spec = spec, .submitted = now, .began = {}, .over = false, .there = {}});
 }
 
-void Served::on_started(const TaskKey& task, AttemptNo attempt, Instant now) {
+void Served::on_started(const TaskKey& task, AttemptNumber attempt, Instant now) {
   Job& job = jobs_.at(task.job);
   changes_[job.spec.team].push_back({.at = now, .job = task.job, .tasks = 1});
   if (job.began) return;
@@ -40,7 +40,7 @@
   job.began = now;
 }
 
-void Served::on_gone(const TaskKey& task, AttemptNo attempt, Instant now) {
+void Served::on_gone(const TaskKey& task, AttemptNumber attempt, Instant now) {
   Job& job = jobs_.at(task.job);
   changes_[job.spec.team].push_back({.at = now, .job = task.job, .tasks = -1});
   if (const auto found = job.there.find(attempt); found != job.there.end()) found->second.erase(task.index);
--- a/tests/standins/served.h
+++ b/tests/standins/served.h
@@ -32,8 +32,8 @@
   explicit Served(std::vector<config::Team> teams = {}) : teams_(std::move(teams)) {}
 
   void on_submitted(const wire::JobSpec& spec, Instant now);
-  void on_started(const TaskKey& task, AttemptNo attempt, Instant now);
-  void on_gone(const TaskKey& task, AttemptNo attempt, Instant now);
+  void on_started(const TaskKey& task, AttemptNumber attempt, Instant now);
+  void on_gone(const TaskKey& task, AttemptNumber attempt, Instant now);
   void on_over(const JobId& job);  // its user was told that it is done or cancelled
 
   [[nodiscard]] std::vector<Share> shares(Instant now) const;
@@ -48,7 +48,7 @@
     Instant submitted;
     std::optional<Instant> began;  // a gang with all tasks at once, others with their first
     bool over = false;
-    std::map<AttemptNo, std::set<std::uint32_t>> there;  // of a gang that has not begun
+    std::map<AttemptNumber, std::set<std::uint32_t>> there;  // of a gang that has not begun
   };
 
   // A task came to a machine, or left it.
--- a/tests/standins/state_store.cpp
+++ b/tests/standins/state_store.cpp
@@ -9,32 +9,32 @@
 kv::GetResult StateStore::get(const std::string& key) const {
   const auto found = items_.find(key);
   if (found == items_.end()) return {.answer = Answer::not_found, .entry = {.key = key}};
-  return {.answer = Answer::ok, .entry = {.key = key, .data = found->second.data, .mark = found->second.mark}};
+  return {.answer = Answer::ok, .entry = {.key = key, .data = found->second.data, .revision = found->second.revision}};
 }
 
 kv::ListResult StateStore::list(const std::string& prefix) const {
   kv::ListResult result{.answer = Answer::ok, .entries = {}, .revision = revision_};
   for (auto at = items_.lower_bound(prefix); at != items_.end() && at->first.starts_with(prefix); ++at) {
-    result.entries.push_back({.key = at->first, .data = at->second.data, .mark = at->second.mark});
+    result.entries.push_back({.key = at->first, .data = at->second.data, .revision = at->second.revision});
   }
   return result;
 }
 
 void StateStore::put(const std::string& key, Item item) {
-  events_.push_back({.key = key, .data = item.data, .mark = item.mark});
+  events_.push_back({.key = key, .data = item.data, .revision = item.revision});
   items_[key] = std::move(item);
 }
 
 void StateStore::remove(const std::string& key) {
-  if (items_.erase(key) > 0) events_.push_back({.key = key, .data = {}, .mark = revision_});
+  if (items_.erase(key) > 0) events_.push_back({.key = key, .data = {}, .revision = revision_});
 }
 
 kv::TxnResult StateStore::txn(const kv::Txn& txn) {
   kv::TxnResult result{.answer = Answer::ok, .revision = revision_, .failed = {}};
-  for (const kv::Condition& condition : txn.conditions) {
+  for (const kv::Precondition& condition : txn.preconditions) {
     const auto found = items_.find(condition.key);
-    const Revision mark = found == items_.end() ? Revision{} : found->second.mark;
-    if (mark != condition.mark) result.failed.push_back(condition.key);
+    const Revision revision = found == items_.end() ? Revision{} : found->second.revision;
+    if (revision != condition.revision) result.failed.push_back(condition.key);
   }
   for (const kv::Change& change : txn.changes) {
     if (change.lease && !leases_.contains(change.lease->number)) {
@@ -50,7 +50,7 @@
   revision_ = revision_.next();
   for (const kv::Change& change : txn.changes) {
     if (change.data) {
-      put(change.key, {.data = *change.data, .mark = revision_, .lease = change.lease ? change.lease->number : 0});
+      put(change.key, {.data = *change.data, .revision = revision_, .lease = change.lease ? change.lease->number : 0});
     } else {
       remove(change.key);
     }
@@ -59,15 +59,16 @@
   return result;
 }
 
-kv::FollowResult StateStore::follow(const std::string& prefix, Revision from) const {
-  kv::FollowResult result{.answer = Answer::ok, .revision = revision_, .events = {}};
-  for (auto event = std::ranges::upper_bound(events_, from, {}, &kv::Event::mark); event != events_.end(); ++event) {
+kv::WatchResult StateStore::watch(const std::string& prefix, Revision from) const {
+  kv::WatchResult result{.answer = Answer::ok, .revision = revision_, .events = {}};
+  for (auto event = std::ranges::upper_bound(events_, from, {}, &kv::Event::revision); event != events_.end();
+       ++event) {
     if (event->key.starts_with(prefix)) result.events.push_back(*event);
   }
   return result;
 }
 
-kv::LeaseId StateStore::grant(Millis ttl, Instant now) {
+kv::LeaseId StateStore::grant_lease(Millis ttl, Instant now) {
   const kv::LeaseId lease{next_lease_++};
   leases_[lease.number] = {.ttl = ttl, .until = now + ttl};
   return lease;
--- a/tests/standins/state_store.h
+++ b/tests/standins/state_store.h
@@ -19,8 +19,8 @@
   [[nodiscard]] kv::GetResult get(const std::string& key) const;
   [[nodiscard]] kv::ListResult list(const std::string& prefix) const;
   [[nodiscard]] kv::TxnResult txn(const kv::Txn& txn);
-  [[nodiscard]] kv::FollowResult follow(const std::string& prefix, Revision from) const;
-  [[nodiscard]] kv::LeaseId grant(Millis ttl, Instant now);
+  [[nodiscard]] kv::WatchResult watch(const std::string& prefix, Revision from) const;
+  [[nodiscard]] kv::LeaseId grant_lease(Millis ttl, Instant now);
   [[nodiscard]] kv::Answer touch(kv::LeaseId lease, Instant now);
   void revoke(kv::LeaseId lease);
   void expire(Instant now);
@@ -31,7 +31,7 @@
  private:
   struct Item {
     wire::Value data;
-    Revision mark;
+    Revision revision;
     std::uint64_t lease = 0;
   };
   struct Lease {
--- a/tests/standins/worker.cpp
+++ b/tests/standins/worker.cpp
@@ -21,15 +21,15 @@
       lease_from_(now),
       now_(now) {}
 
-wire::Report Worker::report() {
-  wire::Report made{.machine = id_,
-                    .address = "127.0.0.1:1",
-                    .type = type_.name,
-                    .zone = zone_,
-                    .spot = spot_,
-                    .session = session_,
-                    .sequence = ++sequence_,
-                    .term = term_};
+wire::Heartbeat Worker::heartbeat() {
+  wire::Heartbeat made{.machine = id_,
+                       .address = "127.0.0.1:1",
+                       .type = type_.name,
+                       .zone = zone_,
+                       .spot = spot_,
+                       .incarnation = session_,
+                       .sequence = ++sequence_,
+                       .term = term_};
   if (taken_at) made.notice_s = std::max(0.0, control::to_seconds(*taken_at - now_));
   for (const auto& [key, attempt] : attempts_) {
     made.tasks.push_back({.task = key.first,
@@ -41,18 +41,18 @@
   return made;
 }
 
-bool Worker::answer(Term term, const std::vector<wire::Command>& commands, SessionNo session, Instant sent,
+bool Worker::answer(Term term, const std::vector<wire::Command>& commands, AgentIncarnation incarnation, Instant sent,
                     Instant now) {
-  if (session != session_ || term < term_ || term == Term{}) return false;
+  if (incarnation != session_ || term < term_ || term == Term{}) return false;
   term_ = term;
   lease_from_ = std::max(lease_from_, sent);
   execute(commands, now);
   return true;
 }
 
-bool Worker::direct(Term term, SessionNo session, const std::vector<wire::Command>& commands, Instant now) {
+bool Worker::direct(Term term, AgentIncarnation incarnation, const std::vector<wire::Command>& commands, Instant now) {
   ++sequence_;
-  if (session != session_ || term < term_) return false;
+  if (incarnation != session_ || term < term_) return false;
   term_ = term;
   execute(commands, now);
   return true;
@@ -128,7 +128,7 @@
     const auto known = attempts_.find(key);
     if (command.kind == wire::CommandKind::clear) {
       if (known != attempts_.end() && known->second.state == TaskState::ended) attempts_.erase(known);
-    } else if (command.kind == wire::CommandKind::halt) {
+    } else if (command.kind == wire::CommandKind::stop) {
       if (known == attempts_.end() || known->second.state == TaskState::ended) continue;
       Attempt& attempt = known->second;
       const bool can_save = attempt.state == TaskState::running && attempt.spec.checkpoint_s > 0 && attempt.began;
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -18,7 +18,7 @@
 
 struct Attempt {
   wire::JobSpec spec;
-  AttemptNo number;
+  AttemptNumber number;
   wire::TaskState state = wire::TaskState::fetching;
   wire::EndReason reason = wire::EndReason::none;
   bool saved = false;
@@ -37,8 +37,8 @@
   virtual Millis run_left(const TaskKey& task) = 0;       // after what was saved
   virtual bool is_done(const TaskKey& task) = 0;
   virtual void keep_progress(const TaskKey& task, Millis progress) = 0;  // saved outside the machine
-  virtual void on_started(const TaskKey& task, AttemptNo attempt, const MachineId& machine) = 0;
-  virtual void on_gone(const TaskKey& task, AttemptNo attempt, const MachineId& machine, bool done) = 0;
+  virtual void on_started(const TaskKey& task, AttemptNumber attempt, const MachineId& machine) = 0;
+  virtual void on_gone(const TaskKey& task, AttemptNumber attempt, const MachineId& machine, bool done) = 0;
 };
 
 class Worker {
@@ -46,29 +46,30 @@
   Worker(MachineId id, const wire::MachineType& type, std::string zone, bool spot, Millis lease, Surroundings& around,
          Instant now);
 
-  [[nodiscard]] wire::Report report();
+  [[nodiscard]] wire::Heartbeat heartbeat();
   // The answer to a report that was sent at `sent`; false when it was dropped.
-  bool answer(Term term, const std::vector<wire::Command>& commands, SessionNo session, Instant sent, Instant now);
+  bool answer(Term term, const std::vector<wire::Command>& commands, AgentIncarnation incarnation, Instant sent,
+              Instant now);
   // POST /commands: whether they were executed.
-  bool direct(Term term, SessionNo session, const std::vector<wire::Command>& commands, Instant now);
+  bool direct(Term term, AgentIncarnation incarnation, const std::vector<wire::Command>& commands, Instant now);
   // Lets time pass: images arrive, tasks end, the lease may expire. True when something changed.
   bool advance(Instant now);
   void kill(Instant now);  // the machine is gone
 
   [[nodiscard]] const MachineId& id() const { return id_; }
-  [[nodiscard]] std::map<std::pair<TaskKey, AttemptNo>, Attempt>& attempts() { return attempts_; }
-  [[nodiscard]] const std::map<std::pair<TaskKey, AttemptNo>, Attempt>& attempts() const { return attempts_; }
+  [[nodiscard]] std::map<std::pair<TaskKey, AttemptNumber>, Attempt>& attempts() { return attempts_; }
+  [[nodiscard]] const std::map<std::pair<TaskKey, AttemptNumber>, Attempt>& attempts() const { return attempts_; }
   [[nodiscard]] Term term() const { return term_; }
-  [[nodiscard]] SessionNo session() const { return session_; }
+  [[nodiscard]] AgentIncarnation incarnation() const { return session_; }
   [[nodiscard]] std::size_t killed_by_lease() const { return killed_by_lease_; }
 
   bool alive = true;
   bool hung = false;
-  bool faulty = false;                                      // tasks fail on it
-  bool shares_fetch = false;                                // images fetched at the same time share the rate
-  Millis gang_wait{Millis::max()};                          // a task waits so long for its gang
-  std::optional<Instant> taken_at;                          // announced
-  std::function<bool(const JobId&, AttemptNo)> gang_ready;  // all tasks of the attempt have their image
+  bool faulty = false;                                          // tasks fail on it
+  bool shares_fetch = false;                                    // images fetched at the same time share the rate
+  Millis gang_wait{Millis::max()};                              // a task waits so long for its gang
+  std::optional<Instant> taken_at;                              // announced
+  std::function<bool(const JobId&, AttemptNumber)> gang_ready;  // all tasks of the attempt have their image
 
  private:
   // Whether the image is there; using it makes it the newest, and the oldest go for want of room.
@@ -92,12 +93,12 @@
   bool spot_;
   Millis lease_;
   Surroundings& around_;
-  SessionNo session_{1};
+  AgentIncarnation session_{1};
   std::uint64_t sequence_ = 0;
   std::size_t killed_by_lease_ = 0;
   Term term_;
   Instant lease_from_;
-  std::map<std::pair<TaskKey, AttemptNo>, Attempt> attempts_;
+  std::map<std::pair<TaskKey, AttemptNumber>, Attempt> attempts_;
   std::vector<std::pair<std::string, double>> images_;  // name and GB, most recently used first
   std::map<std::string, Fetch> fetches_;                // under way
   Instant now_;
--- a/tests/standins/world.cpp
+++ b/tests/standins/world.cpp
@@ -66,13 +66,13 @@
   const config::Settings own = settings_of(node);
   Node& self = nodes_[node];
   self.zone = own.zone;
-  self.holder =
-      zone::Holder(own.name, own.zone, static_cast<std::uint64_t>(wall_ms()), control::grant_spans(settings_));
+  self.holder = zone::DelegatedLease(own.name, own.zone, static_cast<std::uint64_t>(wall_ms()),
+                                     control::delegation_spans(settings_));
   self.controller = std::make_unique<control::Controller>(own);
   self.controller->on_types(types());
   self.finals = std::make_unique<user_api::FinalStates>();
-  self.teller = std::make_unique<standby::Teller>(self.life * 100 + node + 1);
-  self.listener = std::make_unique<standby::Listener>(own.name);
+  self.publisher = std::make_unique<standby::Publisher>(self.life * 100 + node + 1);
+  self.subscriber = std::make_unique<standby::Subscriber>(own.name);
   self.asking_standby = false;
   self.hints_wanted_until.reset();
   if (set_.version != catalog::Version{}) self.pools = std::make_unique<PoolSide>(*this);
@@ -167,7 +167,7 @@
 std::optional<std::size_t> World::leader() const {
   std::optional<std::size_t> best;
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
-    if (!nodes_[node].alive || !nodes_[node].controller->leading()) continue;
+    if (!nodes_[node].alive || !nodes_[node].controller->is_leader()) continue;
     if (!best || nodes_[node].controller->term() > nodes_[*best].controller->term()) best = node;
   }
   return best;
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -46,13 +46,13 @@
 };
 
 // A controller's duties, as far as each may come to its turn late.
-enum class Duty : std::uint8_t { lease, records, writes, planning, cloud, halts, reports, users, asks };
+enum class Duty : std::uint8_t { lease, records, writes, planning, cloud, direct_stops, heartbeats, users, asks };
 inline constexpr std::array kDutyNames{"lease", "records", "writes", "planning", "cloud",
                                        "halts", "reports", "users",  "asks"};
 
 // What a node may be in the middle of when it ends: the lead is asked for, the records are on their way to the new
 // leader, or the write, grant or rental is carried out and nobody has heard of it.
-enum class Moment : std::uint8_t { lead, records, write, grant, rental };
+enum class Moment : std::uint8_t { lead, records, write, delegation, rental };
 inline constexpr std::array kMomentNames{"lead", "records", "write", "grant", "rental"};
 
 class World final : public Surroundings {
@@ -172,7 +172,7 @@
   };
   [[nodiscard]] std::optional<Queue> queue(std::size_t node);
   // Of a node that is alive and follows the records; nothing without a calendar.
-  [[nodiscard]] const calendar::Keeper* calendar(std::size_t node) const;
+  [[nodiscard]] const calendar::DeadlineController* calendar(std::size_t node) const;
   // Whether nodes at the same revision (and time step) say the same of queue, calendar and slack.
   [[nodiscard]] bool alike();
   [[nodiscard]] std::size_t compared() const { return compared_; }  // pairs of these, so far
@@ -184,14 +184,14 @@
   };
   [[nodiscard]] const std::map<std::string, Told>& occurrences() const { return occurrences_; }
   [[nodiscard]] std::size_t nodes() const { return nodes_.size(); }
-  [[nodiscard]] std::size_t answered_by_grant() const { return answered_by_grant_; }
+  [[nodiscard]] std::size_t answered_by_delegation() const { return answered_by_grant_; }
   [[nodiscard]] std::size_t hints_taken() const { return hints_taken_; }  // by new leaders
   [[nodiscard]] std::size_t words_refused() const { return words_refused_; }
   [[nodiscard]] std::size_t rented() const { return rented_; }  // machines, by whoever led
   [[nodiscard]] std::size_t killed_by_lease() const;
   [[nodiscard]] control::Controller& controller(std::size_t node) { return *nodes_.at(node).controller; }
   // Of a node that is alive.
-  [[nodiscard]] const pools::Keeper* pools(std::size_t node) const;
+  [[nodiscard]] const pools::WarmPoolController* pools(std::size_t node) const;
   [[nodiscard]] bool digests_equal() const;
   [[nodiscard]] std::size_t pool_rentals() const;
   [[nodiscard]] std::size_t machines_up() const;
@@ -206,15 +206,15 @@
   Millis run_left(const TaskKey& task) override;
   bool is_done(const TaskKey& task) override { return done_.contains(task); }
   void keep_progress(const TaskKey& task, Millis progress) override { progress_[task] += progress; }
-  void on_started(const TaskKey& task, AttemptNo attempt, const MachineId& machine) override;
-  void on_gone(const TaskKey& task, AttemptNo attempt, const MachineId& machine, bool done) override;
+  void on_started(const TaskKey& task, AttemptNumber attempt, const MachineId& machine) override;
+  void on_gone(const TaskKey& task, AttemptNumber attempt, const MachineId& machine, bool done) override;
 
  private:
   struct PoolSide {
     explicit PoolSide(const World& world);
-    ledger::Ledger ledger;
-    ledger::Jobs jobs;
-    pools::Keeper keeper;
+    record_cache::RecordCache record_cache;
+    record_cache::Jobs jobs;
+    pools::WarmPoolController keeper;
     bool read = false;
     bool following = false;
     bool writing = false;
@@ -234,14 +234,14 @@
     Instant alone_until;  // without siblings
     double drift = 0;
     kv::LeaseId lease;
-    Revision follow_from;
+    Revision watch_from;
     NodeName leader_seen;
     Term term_seen;
     control::Unreached unreached;
     std::string zone;
-    zone::Holder holder;
+    zone::DelegatedLease holder;
     std::optional<Instant> leader_answered;
-    Instant next_ask;
+    Instant next_request;
     bool asking = false;
     std::optional<Instant> state_heard;
     bool calling_lead = false;
@@ -253,15 +253,15 @@
     Instant next_list;
     Instant next_peers;
     std::unique_ptr<PoolSide> pools;
-    std::unique_ptr<ledger::Ledger> ledger;  // once a catalog is declared
-    std::unique_ptr<ledger::Jobs> known_jobs;
-    std::unique_ptr<calendar::Keeper> calendar;  // if it has a calendar
+    std::unique_ptr<record_cache::RecordCache> record_cache;  // once a catalog is declared
+    std::unique_ptr<record_cache::Jobs> known_jobs;
+    std::unique_ptr<calendar::DeadlineController> calendar;  // if it has a calendar
     bool calling_ledger = false;
     bool calling_calendar = false;
     Instant next_calendar;
     classes::StepClock steps;
-    std::unique_ptr<standby::Teller> teller;
-    std::unique_ptr<standby::Listener> listener;
+    std::unique_ptr<standby::Publisher> publisher;
+    std::unique_ptr<standby::Subscriber> subscriber;
     Instant next_standby;
     bool asking_standby = false;
     std::optional<Instant> hints_wanted_until;
@@ -278,7 +278,7 @@
     bool holds = false;
     std::size_t node = 0;  // that it reports to
     bool reporting = false;
-    Instant next_report;
+    Instant next_heartbeat;
     bool changed = false;
     Instant deaf_until;
     Instant mute_until;
@@ -305,8 +305,8 @@
   };
   // What a new leader has read so far.
   struct RecordsRead {
-    control::Takeover takeover;
-    std::int64_t others_until_wall_ms = 0;
+    control::FailoverSnapshot failover;
+    std::int64_t older_leaders_until_wall_ms = 0;
     Instant began;    // when the lead was asked for
     Instant renewed;  // when the last answered renewal of the lease was
     Revision from;    // of the first page
@@ -351,8 +351,8 @@
   // After newer ones, and not during an outage.
   void carry_out_late(std::function<void(StateStore&)> what);
   // A copy of a report that was sent long ago.
-  void hear_copy(std::size_t node, const wire::Report& report);
-  void copy_report(const wire::Report& report);
+  void hear_copy(std::size_t node, const wire::Heartbeat& heartbeat);
+  void copy_report(const wire::Heartbeat& heartbeat);
   void on_new_leader();
   // When the job's running tasks end; nothing if none runs.
   [[nodiscard]] std::optional<Instant> runs_until(const JobId& job) const;
@@ -362,7 +362,7 @@
   void ask_duty(std::size_t node);
   void standby_duty(std::size_t node);
   // What it tells a sibling, as bytes; nothing if it has nothing to tell.
-  [[nodiscard]] std::optional<std::string> standby_word(std::size_t node, const standby::Ask& ask);
+  [[nodiscard]] std::optional<std::string> standby_word(std::size_t node, const standby::SnapshotRequest& ask);
   [[nodiscard]] config::Settings settings_of(std::size_t node) const;
   void begin_life(std::size_t node);
   [[nodiscard]] bool parted(const std::string& one, const std::string& other) const;
@@ -370,15 +370,15 @@
   [[nodiscard]] bool apart(std::size_t one, std::size_t other) const;
   [[nodiscard]] bool hears(std::size_t node, std::size_t sibling) const;
   // With what the node itself was granted; false if that is nothing.
-  bool answer_by_grant(const MachineId& id, const wire::Report& report, Instant sent, std::size_t node,
-                       bool leader_tried);
+  bool answer_by_delegation(const MachineId& id, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node,
+                            bool leader_tried);
   void duties(std::size_t node, std::uint64_t life);
   void lead_duty(std::size_t node);
-  void take_lead(std::size_t node, const state::LeadView& view);
+  void acquire_leadership(std::size_t node, const state::LeadershipView& view);
   // Reads the page of records with this prefix, by its number, that begins after the key `from`, and goes on to the next.
   void read_records(std::size_t node, const std::shared_ptr<RecordsRead>& read, std::size_t prefix,
                     const std::string& from);
-  void lead(std::size_t node, const RecordsRead& read);
+  void become_leader(std::size_t node, const RecordsRead& read);
   void follow_duty(std::size_t node);
   void ledger_duty(std::size_t node);
   void calendar_duty(std::size_t node);
@@ -387,18 +387,19 @@
   void write_duty(std::size_t node);
   void cloud_duty(std::size_t node);
   // Nothing if there is no capacity.
-  std::vector<MachineId> rent(const wire::RentRequest& request);
+  std::vector<MachineId> rent(const wire::ScaleOutRequest& request);
   void give_back(const std::vector<MachineId>& names);
   void halt_duty(std::size_t node);
   void pool_duty(std::size_t node);
   void pool_write(std::size_t node);
   void worker_step(const MachineId& id);
-  void answer_report(const MachineId& id, const wire::Report& report,
+  void answer_report(const MachineId& id, const wire::Heartbeat& heartbeat,
                      std::optional<std::vector<wire::Command>> commands, Instant sent, Instant came, std::size_t node,
                      std::uint64_t life, std::size_t via);
   // To the node that the worker reports to, and `via` it to another one.
-  void deliver_report(const MachineId& id, const wire::Report& report, Instant sent, std::size_t node);
-  void take_report(const MachineId& id, const wire::Report& report, Instant sent, std::size_t node, std::size_t via);
+  void deliver_heartbeat(const MachineId& id, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node);
+  void take_heartbeat(const MachineId& id, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node,
+                      std::size_t via);
   [[nodiscard]] std::optional<std::size_t> node_of(const NodeName& name) const;
   [[nodiscard]] bool reaches(std::size_t node, const Rented& machine) const;
   // What a node sends to it, be it an answer or a command.
@@ -407,7 +408,7 @@
   // Whether the worker waits no longer for the node's answer to what it sent then.
   [[nodiscard]] bool gave_up(const Rented& machine, Instant sent, std::size_t node) const;
   void hear_answer(Rented& machine, const std::optional<std::vector<wire::Command>>& commands, Term term,
-                   SessionNo session, Instant sent, double jitter);
+                   AgentIncarnation incarnation, Instant sent, double jitter);
   MachineId add_machine(const std::string& type, const std::string& zone, bool spot, Millis boot);
   [[nodiscard]] std::vector<wire::MachineType> types() const;
   [[nodiscard]] std::vector<wire::ListedMachine> listing() const;
@@ -473,7 +474,7 @@
   Instant odd_requests_until_;
   Instant close_looks_until_;
   std::size_t odd_jobs_ = 0;
-  std::vector<wire::Report> reports_for_next_;  // copies that wait for the next leader
+  std::vector<wire::Heartbeat> reports_for_next_;  // copies that wait for the next leader
   std::map<std::string, std::size_t> struck_;
   std::multimap<Moment, double> crashes_during_;
   Balancer balancer_;
--- a/tests/standins/world_cloud.cpp
+++ b/tests/standins/world_cloud.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 std::vector<wire::ListedMachine> World::listing() const {
-  const Instant then = now_ - from_seconds(settings_.cloud_list_lag_s);
+  const Instant then = now_ - from_seconds(settings_.cloud_list_delay_s);
   std::vector<wire::ListedMachine> listed;
   for (const auto& [id, machine] : machines_) {
     if (machine.rented > then || (machine.gone && *machine.gone <= then)) continue;
@@ -49,7 +49,7 @@
                                               from_seconds(settings_.lease_s * worker_rate_), *this, time_of(machine));
     machine.worker->gang_wait = from_seconds(settings_.gang_wait_s);
     machine.worker->shares_fetch = fetches_share_;
-    machine.worker->gang_ready = [this](const JobId& job_id, AttemptNo attempt) {
+    machine.worker->gang_ready = [this](const JobId& job_id, AttemptNumber attempt) {
       const wire::JobSpec* spec = job(job_id);
       std::size_t ready = 0;
       for (std::uint32_t index = 0; index < spec->tasks; ++index) {
@@ -67,7 +67,7 @@
       return ready >= spec->tasks;
     };
     machine.node = std::uniform_int_distribution<std::size_t>(0, nodes_.size() - 1)(random_);
-    machine.next_report = now_;
+    machine.next_heartbeat = now_;
     worker_step(id);
   });
   return id;
@@ -86,7 +86,7 @@
   for (std::size_t i = 0; i < count; ++i) add_machine(type, zone, false, Millis(0));
 }
 
-std::vector<MachineId> World::rent(const wire::RentRequest& request) {
+std::vector<MachineId> World::rent(const wire::ScaleOutRequest& request) {
   if (const auto known = rentals_.find(request.request); known != rentals_.end()) return known->second;
   const auto supply = std::ranges::find(supplies_, request.type, [](const Supply& s) { return s.type.name; });
   const auto held = static_cast<std::size_t>(std::ranges::count_if(machines_, [&](const auto& entry) {
@@ -129,25 +129,26 @@
       then(*me.controller, time_of(node));
     });
   };
-  if (const std::vector<MachineId> names = self.controller->next_returns(time_of(node)); !names.empty()) {
+  if (const std::vector<MachineId> names = self.controller->next_scale_in(time_of(node)); !names.empty()) {
     give_back(names);
     copy_late([this, names] { give_back(names); });
-    return answer_after([names](control::Controller& controller, Instant at) { controller.on_returned(names, at); });
+    return answer_after([names](control::Controller& controller, Instant at) { controller.on_scaled_in(names, at); });
   }
   if (self.hints_wanted_until && now_ < *self.hints_wanted_until) return;
-  if (const auto request = self.controller->next_rental(time_of(node))) {
+  if (const auto request = self.controller->next_scale_out(time_of(node))) {
     const std::vector<MachineId> rented = rent(*request);
     copy_late([this, request] { (void)rent(*request); });
     reached(Moment::rental, node);
     if (rented.empty()) {
       return answer_after(
-          [request](control::Controller& controller, Instant at) { controller.on_rent_refused(*request, at); });
+          [request](control::Controller& controller, Instant at) { controller.on_scale_out_refused(*request, at); });
     }
-    return answer_after(
-        [request, rented](control::Controller& controller, Instant at) { controller.on_rented(*request, rented, at); });
+    return answer_after([request, rented](control::Controller& controller, Instant at) {
+      controller.on_scaled_out(*request, rented, at);
+    });
   }
   if (now_ >= self.next_list) {
-    self.next_list = now_ + constants::kListEvery;
+    self.next_list = now_ + constants::kCloudListInterval;
     return answer_after(
         [listed = listing()](control::Controller& controller, Instant at) { controller.on_machine_list(listed, at); });
   }
@@ -155,23 +156,23 @@
 
 void World::halt_duty(std::size_t node) {
   Node& self = nodes_[node];
-  for (const control::DirectHalt& halt : self.controller->due_halts(time_of(node))) {
-    const auto machine = machines_.find(halt.machine);
+  for (const control::DirectStop& direct_stop : self.controller->due_direct_stops(time_of(node))) {
+    const auto machine = machines_.find(direct_stop.machine);
     if (machine == machines_.end() || !machine->second.worker || machine->second.gone) continue;
     const Millis way = late_command().value_or(delay() + slow_link());
-    repeat(way, [this, halt, node] {
-      Rented& target = machines_.at(halt.machine);
+    repeat(way, [this, direct_stop, node] {
+      Rented& target = machines_.at(direct_stop.machine);
       if (target.gone || !target.worker->alive) return true;
       if (!reaches(node, target) || target.worker->hung) return !target.holds && !target.worker->hung;
       if (!is_heard(node, target)) return true;
       if (is_held(target)) return false;
-      (void)target.worker->direct(halt.term, halt.session, halt.commands, time_of(target));
+      (void)target.worker->direct(direct_stop.term, direct_stop.incarnation, direct_stop.commands, time_of(target));
       target.changed = true;
-      copy_late([this, halt] {
-        const Rented& again = machines_.at(halt.machine);
+      copy_late([this, direct_stop] {
+        const Rented& again = machines_.at(direct_stop.machine);
         if (now_ < again.deaf_until) return;
         if (!again.gone && again.worker->alive)
-          (void)again.worker->direct(halt.term, halt.session, halt.commands, time_of(again));
+          (void)again.worker->direct(direct_stop.term, direct_stop.incarnation, direct_stop.commands, time_of(again));
       });
       return true;
     });
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -22,7 +22,7 @@
 
 constexpr Millis kLook{500};              // of followers at who leads, for want of a watch
 constexpr std::size_t kTakeoverPage = 3;  // records that a new leader reads at once
-constexpr std::array kTakeoverPrefixes{state::kLivePrefix, state::kLingerPrefix, state::kPartPrefix};
+constexpr std::array kTakeoverPrefixes{state::kActiveJobPrefix, state::kTerminatingJobPrefix, state::kJobShardPrefix};
 
 }  // namespace
 
@@ -36,16 +36,16 @@
   if (self.pools) pool_duty(node);
   if (catalog_ && !late(node, Duty::records)) ledger_duty(node);
   if (self.calendar && !late(node, Duty::writes)) calendar_duty(node);
-  if (self.controller->leading()) {
+  if (self.controller->is_leader()) {
     if (!late(node, Duty::planning)) {
       self.controller->tick(time_of(node));
       // A step may fall between two portions of a pass.
-      if (self.controller->plan_wanted()) (void)self.controller->plan_some(time_of(node), places_per_step_);
+      if (self.controller->plan_wanted()) (void)self.controller->plan_portion(time_of(node), places_per_step_);
     }
     if (!late(node, Duty::records)) follow_duty(node);
     if (!late(node, Duty::writes)) write_duty(node);
     if (!late(node, Duty::cloud)) cloud_duty(node);
-    if (!late(node, Duty::halts)) halt_duty(node);
+    if (!late(node, Duty::direct_stops)) halt_duty(node);
     peer_duty(node);
   }
   after(kStep, [this, node, life] { duties(node, life); });
@@ -63,32 +63,32 @@
 // Siblings tell a leader that has lost the state service of a successor.
 void World::peer_duty(std::size_t node) {
   Node& self = nodes_[node];
-  const bool silent = self.state_heard && now_ - *self.state_heard >= constants::kPeerSilence;
+  const bool silent = self.state_heard && now_ - *self.state_heard >= constants::kPeerSilenceTimeout;
   if ((!self.cut_from_state && !silent) || now_ < self.next_peers) return;
-  self.next_peers = now_ + constants::kPeerEvery;
+  self.next_peers = now_ + constants::kPeerProbeInterval;
   for (std::size_t other = 0; other < nodes_.size(); ++other) {
     const Node& sibling = nodes_[other];
-    if (other == node || !hears(other, node) || !sibling.controller->leading() ||
+    if (other == node || !hears(other, node) || !sibling.controller->is_leader() ||
         sibling.controller->term() <= self.controller->term())
       continue;
     self.leader_seen = NodeName("node-" + std::to_string(other));
-    self.controller->hear_of(sibling.controller->term());
+    self.controller->observe_term(sibling.controller->term());
   }
 }
 
 // As src/node/zones.cpp does.
 void World::ask_duty(std::size_t node) {
   Node& self = nodes_[node];
-  if (self.asking || now_ < self.next_ask) return;
-  self.next_ask = now_ + constants::kAskEvery;
+  if (self.asking || now_ < self.next_request) return;
+  self.next_request = now_ + constants::kDelegationRequestInterval;
   const auto leader = node_of(self.leader_seen);
-  self.controller->hear_of(self.term_seen);
-  if (!leader || *leader == node || self.controller->leading()) {
+  self.controller->observe_term(self.term_seen);
+  if (!leader || *leader == node || self.controller->is_leader()) {
     self.leader_answered.reset();
     return;
   }
   self.asking = true;
-  const zone::Ask ask = self.holder.next_ask(self.term_seen, time_of(node));
+  const zone::DelegationRequest ask = self.holder.next_request(self.term_seen, time_of(node));
   const auto reaches_leader = [this, node, leader] { return hears(*leader, node); };
   const auto given_up = [this, node, life = self.life] {
     if (nodes_[node].life != life) return;
@@ -96,33 +96,33 @@
     nodes_[node].leader_answered.reset();
   };
   if (!reaches_leader()) {
-    after(constants::kAskLimit, given_up);
+    after(constants::kDelegationRequestTimeout, given_up);
     const auto cut = cut_zones_.find(self.zone);
     if (cut == cut_zones_.end() || !cut->second) return;
     // Held up, the word arrives when the cut is over, and nobody waits for its answer.
     return repeat(kStep, [this, leader, ask, reaches_leader] {
       if (!reaches_leader()) return false;
-      (void)nodes_[*leader].controller->on_ask(ask, time_of(*leader));
+      (void)nodes_[*leader].controller->on_delegation_request(ask, time_of(*leader));
       return true;
     });
   }
   copy_late([this, leader, ask] {
-    if (nodes_[*leader].alive) (void)nodes_[*leader].controller->on_ask(ask, time_of(*leader));
+    if (nodes_[*leader].alive) (void)nodes_[*leader].controller->on_delegation_request(ask, time_of(*leader));
   });
   after(kWordDelay, [this, node, leader, ask, asked = time_of(node), life = self.life, given_up] {
-    const auto grant = nodes_[*leader].controller->on_ask(ask, time_of(*leader));
-    if (grant) reached(Moment::grant, *leader);
-    if (!nodes_[*leader].alive || !grant) return after(kWordDelay, given_up);
-    after(kWordDelay, [this, node, leader, grant, asked, life, given_up] {
+    const auto delegation = nodes_[*leader].controller->on_delegation_request(ask, time_of(*leader));
+    if (delegation) reached(Moment::delegation, *leader);
+    if (!nodes_[*leader].alive || !delegation) return after(kWordDelay, given_up);
+    after(kWordDelay, [this, node, leader, delegation, asked, life, given_up] {
       Node& me = nodes_[node];
       if (!me.alive || me.life != life) return;
-      if (apart(node, *leader)) return after(constants::kAskLimit, given_up);
-      const auto take = [this, node, grant, asked, life] {
+      if (apart(node, *leader)) return after(constants::kDelegationRequestTimeout, given_up);
+      const auto take = [this, node, delegation, asked, life] {
         Node& holder = nodes_[node];
         if (late(node, Duty::asks)) return false;
         if (!holder.alive || holder.life != life) return true;
         holder.asking = false;
-        if (holder.holder.on_grant(*grant, asked)) holder.leader_answered = now_;
+        if (holder.holder.on_delegation(*delegation, asked)) holder.leader_answered = now_;
         return true;
       };
       if (!take()) repeat(kStep, take);
@@ -130,15 +130,15 @@
   });
 }
 
-std::optional<std::string> World::standby_word(std::size_t node, const standby::Ask& ask) {
+std::optional<std::string> World::standby_word(std::size_t node, const standby::SnapshotRequest& ask) {
   Node& self = nodes_[node];
   if (!self.alive || (self.hints_wanted_until && now_ < *self.hints_wanted_until)) return std::nullopt;
-  if (self.teller->wants_picture(time_of(node))) {
-    auto picture = self.controller->leading() ? std::optional(self.controller->soft_state(time_of(node)))
-                                              : self.listener->picture(time_of(node));
-    if (picture) self.teller->show(std::move(*picture));
+  if (self.publisher->wants_snapshot(time_of(node))) {
+    auto snapshot = self.controller->is_leader() ? std::optional(self.controller->soft_state(time_of(node)))
+                                                 : self.subscriber->snapshot(time_of(node));
+    if (snapshot) self.publisher->show(std::move(*snapshot));
   }
-  const auto word = self.teller->tell(ask, time_of(node));
+  const auto word = self.publisher->tell(ask, time_of(node));
   return word ? std::optional(wire::encode(standby::to_value(*word))) : std::nullopt;
 }
 
@@ -149,24 +149,24 @@
   const bool wants = self.hints_wanted_until && now_ < *self.hints_wanted_until;
   auto of = node_of(self.leader_seen);
   if (wants || !of) {
-    if (!wants && self.listener->picture(time_of(node))) return;
+    if (!wants && self.subscriber->snapshot(time_of(node))) return;
     // Any sibling in reach, one after the other.
     of = (node + 1 + std::uniform_int_distribution<std::size_t>(0, nodes_.size())(words_luck_)) % nodes_.size();
   }
-  if (*of == node || (self.controller->leading() && !wants)) return;
-  self.next_standby = now_ + (wants ? kStep : constants::kStandbyEvery);
+  if (*of == node || (self.controller->is_leader() && !wants)) return;
+  self.next_standby = now_ + (wants ? kStep : constants::kStandbyInterval);
   if (!hears(*of, node)) return;
-  if (!wants && nodes_[*of].controller->leading()) self.listener->hear_of(self.term_seen);
-  const standby::Ask ask = self.listener->next_ask(NodeName("node-" + std::to_string(*of)));
+  if (!wants && nodes_[*of].controller->is_leader()) self.subscriber->observe_term(self.term_seen);
+  const standby::SnapshotRequest ask = self.subscriber->next_request(NodeName("node-" + std::to_string(*of)));
   self.asking_standby = true;
   const auto hear = [this, node, life = self.life](const std::string& bytes) {
     Node& me = nodes_[node];
     if (!me.alive || me.life != life) return;
-    if (me.listener->on_answer(bytes, time_of(node))) ++words_refused_;
-    if (!me.hints_wanted_until || !me.controller->leading()) return;
-    const auto hints = me.listener->picture(time_of(node));
+    if (me.subscriber->on_answer(bytes, time_of(node))) ++words_refused_;
+    if (!me.hints_wanted_until || !me.controller->is_leader()) return;
+    const auto hints = me.subscriber->snapshot(time_of(node));
     if (!hints || hints->term >= me.controller->term() || now_ >= *me.hints_wanted_until) return;
-    me.controller->hint(*hints, time_of(node));
+    me.controller->apply_soft_state(*hints, time_of(node));
     ++hints_taken_;
     me.hints_wanted_until.reset();
   };
@@ -193,7 +193,7 @@
       if (nodes_[node].life == life) nodes_[node].calling_lead = false;
     });
   };
-  if (self.controller->leading()) {
+  if (self.controller->is_leader()) {
     const Instant sent = time_of(node);
     struct Touched {
       Answer answer = Answer::none;
@@ -201,9 +201,9 @@
     call_state<Touched>(
         node, Duty::lease, [this, lease = self.lease](StateStore& store) { return Touched{store.touch(lease, now_)}; },
         [this, node, sent, again](const Touched& touched) {
-          if (touched.answer == Answer::ok) nodes_[node].controller->confirm_lease(sent);
-          if (touched.answer == Answer::not_found) nodes_[node].controller->resign("its lease has ended");
-          again(touched.answer == Answer::ok ? constants::kLeaderRenew : constants::kStateRetryPause);
+          if (touched.answer == Answer::ok) nodes_[node].controller->on_leader_lease_renewed(sent);
+          if (touched.answer == Answer::not_found) nodes_[node].controller->step_down("its lease has ended");
+          again(touched.answer == Answer::ok ? constants::kLeaderLeaseRenewInterval : constants::kStoreRetryBackoff);
         });
     return;
   }
@@ -222,44 +222,44 @@
   }
   struct Seen {
     Answer answer = Answer::none;
-    state::LeadView view;
+    state::LeadershipView view;
   };
   call_state<Seen>(
       node, Duty::lease,
       [](StateStore& store) {
-        return Seen{Answer::ok, state::lead_view(store.get(state::kHolderKey), store.get(state::kTermKey))};
+        return Seen{Answer::ok, state::leadership_view(store.get(state::kLeaderKey), store.get(state::kTermKey))};
       },
       [this, node, again](const Seen& seen) {
         Node& me = nodes_[node];
         const NodeName name("node-" + std::to_string(node));
-        if (seen.answer != Answer::ok) return again(constants::kStateRetryPause);
-        const bool held = seen.view.holder_mark != Revision{};
+        if (seen.answer != Answer::ok) return again(constants::kStoreRetryBackoff);
+        const bool held = seen.view.leader_revision != Revision{};
         me.leader_seen = held ? seen.view.record.leader : NodeName{};
         me.term_seen = seen.view.record.term;
         if (held && seen.view.record.leader != name) return again(kLook);
-        if (!me.controller->gives_way(time_of(node))) take_lead(node, seen.view);
+        if (!me.controller->should_yield_leadership(time_of(node))) acquire_leadership(node, seen.view);
         again(kLook);
       },
-      true, self.leader_seen.empty() ? Millis(0) : Millis(constants::kLeaderWatchHold));
+      true, self.leader_seen.empty() ? Millis(0) : Millis(constants::kLeaderWatchHoldTimeout));
 }
 
-void World::take_lead(std::size_t node, const state::LeadView& view) {
+void World::acquire_leadership(std::size_t node, const state::LeadershipView& view) {
   struct Taken {
     Answer answer = Answer::none;
     kv::LeaseId lease;
-    Revision mark;
+    Revision revision;
   };
   const NodeName name("node-" + std::to_string(node));
   reached(Moment::lead, node);
-  const std::int64_t until = state::others_until(view, wall_ms(), control::fence_span(settings_).count(),
-                                                 static_cast<std::int64_t>(settings_.skew_ms));
+  const std::int64_t until = state::older_leaders_until(view, wall_ms(), control::fence_span(settings_).count(),
+                                                        static_cast<std::int64_t>(settings_.skew_ms));
   nodes_[node].taking_lead = true;
   call_state<Taken>(
       node, Duty::lease,
       [this, view, name, until](StateStore& store) {
         Taken taken;
-        taken.lease = store.grant(constants::kLeaderLease, now_);
-        const kv::Txn txn = state::take_lead_txn(view, name, taken.lease, until);
+        taken.lease = store.grant_lease(constants::kLeaderLeaseTtl, now_);
+        const kv::Txn txn = state::acquire_leadership_txn(view, name, taken.lease, until);
         const Fate found = fate();
         if (found == Fate::late) {
           carry_out_late([txn](StateStore& later) { (void)later.txn(txn); });
@@ -271,7 +271,7 @@
           if (!state_out_) (void)store_.txn(txn);
         });
         taken.answer = result.answer;
-        taken.mark = result.revision;
+        taken.revision = result.revision;
         if (result.answer != Answer::ok) store.revoke(taken.lease);
         return taken;
       },
@@ -282,9 +282,9 @@
         }
         nodes_[node].lease = taken.lease;
         auto read = std::make_shared<RecordsRead>();
-        read->takeover.term = view.record.term.next();
-        read->takeover.term_mark = taken.mark;
-        read->others_until_wall_ms = until;
+        read->failover.term = view.record.term.next();
+        read->failover.term_revision = taken.revision;
+        read->older_leaders_until_wall_ms = until;
         read->began = read->renewed = sent;
         read_records(node, read, 0, {});
       },
@@ -314,9 +314,9 @@
       [this, node, read, prefix, give_up, sent = time_of(node)](const Page& page) {
         if (page.answer != Answer::ok) return give_up();
         read->renewed = sent;
-        control::Takeover& takeover = read->takeover;
+        control::FailoverSnapshot& failover = read->failover;
         if (read->from == Revision{}) read->from = page.found.revision;
-        const std::array lists{&takeover.live, &takeover.linger, &takeover.parts};
+        const std::array lists{&failover.active_jobs, &failover.terminating_jobs, &failover.shards};
         std::vector<kv::Entry>& entries = *lists.at(prefix);
         entries.insert(entries.end(), page.found.entries.begin(), page.found.entries.end());
         reached(Moment::records, node);
@@ -324,30 +324,30 @@
         if (page.more) return read_records(node, read, prefix, entries.back().key);
         if (prefix + 1 < kTakeoverPrefixes.size()) return read_records(node, read, prefix + 1, {});
         give_up();
-        if (time_of(node) < read->renewed + constants::kLeaderLease) lead(node, *read);
+        if (time_of(node) < read->renewed + constants::kLeaderLeaseTtl) become_leader(node, *read);
       },
       true);
 }
 
-void World::lead(std::size_t node, const RecordsRead& read) {
+void World::become_leader(std::size_t node, const RecordsRead& read) {
   Node& self = nodes_[node];
-  control::Takeover takeover = read.takeover;
-  takeover.wall_ms = wall_ms();
-  takeover.others_until =
-      time_of(node) + Millis(std::max<std::int64_t>(0, read.others_until_wall_ms - takeover.wall_ms));
-  self.follow_from = read.from;
-  self.controller->lead(takeover, read.began);
-  self.controller->confirm_lease(read.renewed);
+  control::FailoverSnapshot failover = read.failover;
+  failover.wall_ms = wall_ms();
+  failover.older_leaders_until =
+      time_of(node) + Millis(std::max<std::int64_t>(0, read.older_leaders_until_wall_ms - failover.wall_ms));
+  self.watch_from = read.from;
+  self.controller->become_leader(failover, read.began);
+  self.controller->on_leader_lease_renewed(read.renewed);
   if (settings_.operators.standby) {
-    if (takeover.term.number() > 1) self.hints_wanted_until = now_ + constants::kStandbyLate;
-    if (const auto hints = self.listener->picture(time_of(node))) {
-      self.controller->hint(*hints, time_of(node));
+    if (failover.term.number() > 1) self.hints_wanted_until = now_ + constants::kStandbyLate;
+    if (const auto hints = self.subscriber->snapshot(time_of(node))) {
+      self.controller->apply_soft_state(*hints, time_of(node));
       ++hints_taken_;
       self.hints_wanted_until.reset();
     }
   }
   if (self.calendar)
-    self.controller->on_dues(calendar::dues_of(*self.calendar, {.at = time_of(node), .wall_ms = wall_ms()}));
+    self.controller->on_due_jobs(calendar::dues_of(*self.calendar, {.at = time_of(node), .wall_ms = wall_ms()}));
   on_new_leader();
   self.calling_follow = self.calling_write = self.calling_cloud = false;
 }
--- a/tests/standins/world_records.cpp
+++ b/tests/standins/world_records.cpp
@@ -20,26 +20,26 @@
   self.calling_follow = true;
   const Instant sent = time_of(node);
   const Term term = self.controller->term();
-  call_state<kv::FollowResult>(
+  call_state<kv::WatchResult>(
       node, Duty::records,
-      [from = self.follow_from](StateStore& store) { return store.follow(state::kLivePrefix, from); },
-      [this, node, sent, term](const kv::FollowResult& news) {
+      [from = self.watch_from](StateStore& store) { return store.watch(state::kActiveJobPrefix, from); },
+      [this, node, sent, term](const kv::WatchResult& news) {
         Node& me = nodes_[node];
         me.calling_follow = false;
-        if (news.answer != Answer::ok || !me.controller->leading() || me.controller->term() != term) return;
+        if (news.answer != Answer::ok || !me.controller->is_leader() || me.controller->term() != term) return;
         for (const kv::Event& event : news.events) {
           const auto id = state::job_of_key(event.key);
           if (!id) continue;
           if (event.data) {
-            me.controller->on_job_record(*id, *event.data, event.mark, wall_ms(), time_of(node));
+            me.controller->on_job_record(*id, *event.data, event.revision, wall_ms(), time_of(node));
           } else {
             me.controller->on_job_removed(*id, time_of(node));
           }
         }
-        me.controller->confirm_reading(sent);
-        me.follow_from = news.revision;
+        me.controller->on_records_confirmed(sent);
+        me.watch_from = news.revision;
       },
-      true, constants::kFollowHold);
+      true, constants::kWatchHoldTimeout);
 }
 
 // As src/node/shared.cpp does.
@@ -47,18 +47,18 @@
   Node& self = nodes_[node];
   if (self.calling_ledger) return;
   self.calling_ledger = true;
-  if (!self.ledger) {
-    std::vector<std::string> kept{state::kLivePrefix, state::kLingerPrefix, state::kPartPrefix};
+  if (!self.record_cache) {
+    std::vector<std::string> kept{state::kActiveJobPrefix, state::kTerminatingJobPrefix, state::kJobShardPrefix};
     if (!catalog_->calendar.empty()) kept.emplace_back(calendar::kPrefix);
-    self.ledger = std::make_unique<ledger::Ledger>(kept);
-    self.known_jobs = std::make_unique<ledger::Jobs>();
-    self.ledger->add_reader(*self.known_jobs);
+    self.record_cache = std::make_unique<record_cache::RecordCache>(kept);
+    self.known_jobs = std::make_unique<record_cache::Jobs>();
+    self.record_cache->add_reader(*self.known_jobs);
     if (!catalog_->calendar.empty()) {
-      self.calendar = std::make_unique<calendar::Keeper>(
+      self.calendar = std::make_unique<calendar::DeadlineController>(
           [this] { return catalog_; },
           calendar::Limits{.value_bytes = static_cast<std::size_t>(settings_.state_value_kb * 1024),
                            .skew_ms = static_cast<std::int64_t>(settings_.skew_ms)});
-      self.ledger->add_reader(*self.calendar);
+      self.record_cache->add_reader(*self.calendar);
     }
     return call_state<kv::ListResult>(
         node, Duty::records, [](StateStore& store) { return store.list(""); },
@@ -66,41 +66,42 @@
           nodes_[node].calling_ledger = false;
           if (found.answer != Answer::ok) {
             nodes_[node].calendar.reset();
-            return nodes_[node].ledger.reset();
+            return nodes_[node].record_cache.reset();
           }
           std::vector<kv::Entry> entries = found.entries;
           std::erase_if(entries, [](const kv::Entry& entry) {
             return !state::job_of_key(entry.key) && !entry.key.starts_with(calendar::kPrefix);
           });
-          std::erase_if(entries, [](const kv::Entry& entry) { return entry.key.starts_with(state::kOverPrefix); });
-          nodes_[node].ledger->read(entries, found.revision);
+          std::erase_if(entries,
+                        [](const kv::Entry& entry) { return entry.key.starts_with(state::kFinishedJobPrefix); });
+          nodes_[node].record_cache->read(entries, found.revision);
           if (nodes_[node].calendar) nodes_[node].calendar->cold_read();
         });
   }
-  call_state<kv::FollowResult>(
-      node, Duty::records, [from = self.ledger->revision()](StateStore& store) { return store.follow("", from); },
-      [this, node](const kv::FollowResult& news) {
+  call_state<kv::WatchResult>(
+      node, Duty::records, [from = self.record_cache->revision()](StateStore& store) { return store.watch("", from); },
+      [this, node](const kv::WatchResult& news) {
         Node& me = nodes_[node];
         me.calling_ledger = false;
         if (news.answer != Answer::ok) return;
-        me.ledger->heard(news.events, news.revision);
+        me.record_cache->heard(news.events, news.revision);
         if (me.calendar) me.calendar->look({.wall_ms = wall_ms(), .steady = time_of(node)});
       },
-      true, constants::kLedgerHold);
+      true, constants::kRecordCacheWatchHoldTimeout);
 }
 
 // As src/node/shared.cpp does: the leader's plan, what jobs ended as, and a write.
 void World::calendar_duty(std::size_t node) {
   Node& self = nodes_[node];
-  if (self.calling_calendar || now_ < self.next_calendar || !self.controller->may_start(time_of(node))) return;
-  if (self.controller->planning() && now_ < self.next_calendar + constants::kKeepEvery) return;
-  if (!self.ledger->whole() || self.ledger->revision() < self.controller->term_mark()) return;
-  self.next_calendar = now_ + constants::kKeepEvery;
+  if (self.calling_calendar || now_ < self.next_calendar || !self.controller->can_start_tasks(time_of(node))) return;
+  if (self.controller->planning() && now_ < self.next_calendar + constants::kRecordControllerInterval) return;
+  if (!self.record_cache->whole() || self.record_cache->revision() < self.controller->term_revision()) return;
+  self.next_calendar = now_ + constants::kRecordControllerInterval;
   const calendar::Both moment{.at = time_of(node), .wall_ms = wall_ms()};
-  self.controller->on_dues(calendar::dues_of(*self.calendar, moment));
+  self.controller->on_due_jobs(calendar::dues_of(*self.calendar, moment));
   if (!self.controller->planning()) {
-    self.calendar->planned(
-        calendar::plans_of(self.controller->planned_ends(), self.controller->prospects(time_of(node)), moment));
+    self.calendar->planned(calendar::plans_of(self.controller->planned_ends(),
+                                              self.controller->deadline_forecasts(time_of(node)), moment));
   }
   if (const auto key = self.calendar->next_read()) {
     call_state<kv::GetResult>(
@@ -119,7 +120,7 @@
   }
   self.calling_calendar = true;
   kv::Txn guarded = *txn;
-  guarded.conditions.push_back({.key = state::kTermKey, .mark = self.controller->term_mark()});
+  guarded.preconditions.push_back({.key = state::kTermKey, .revision = self.controller->term_revision()});
   call_state<kv::TxnResult>(
       node, Duty::writes,
       [this, guarded](StateStore& store) {
@@ -154,9 +155,9 @@
   return slack;
 }
 
-const calendar::Keeper* World::calendar(std::size_t node) const {
+const calendar::DeadlineController* World::calendar(std::size_t node) const {
   const Node& one = nodes_.at(node);
-  return one.alive && one.ledger && one.ledger->whole() ? one.calendar.get() : nullptr;
+  return one.alive && one.record_cache && one.record_cache->whole() ? one.calendar.get() : nullptr;
 }
 
 bool World::alike() {
@@ -168,9 +169,9 @@
       if (!fresh && entry->second != known->digest) return false;
       if (!fresh) ++compared_;
     }
-    if (const calendar::Keeper* keeper = calendar(node); keeper != nullptr) {
+    if (const calendar::DeadlineController* keeper = calendar(node); keeper != nullptr) {
       const std::pair now(keeper->digest(), slack(nodes_[node]));
-      const auto [entry, fresh] = calendars.try_emplace(nodes_[node].ledger->revision(), now);
+      const auto [entry, fresh] = calendars.try_emplace(nodes_[node].record_cache->revision(), now);
       if (!fresh && entry->second != now) return false;
       if (!fresh) ++compared_;
     }
@@ -187,9 +188,10 @@
 
 std::optional<World::Queue> World::queue(std::size_t node) {
   Node& self = nodes_[node];
-  if (!self.alive || !self.ledger || !self.ledger->whole()) return std::nullopt;
+  if (!self.alive || !self.record_cache || !self.record_cache->whole()) return std::nullopt;
   const classes::Table table(*catalog_);
-  const classes::Basis basis{catalog_->version, catalog_->revision, self.ledger->revision(), self.steps.at(wall_ms())};
+  const classes::Basis basis{catalog_->version, catalog_->revision, self.record_cache->revision(),
+                             self.steps.at(wall_ms())};
   const auto ranks =
       classes::rank(classes::candidates_of(*self.known_jobs, slack(self)), table, settings_.teams, basis.step);
   Queue queue{.basis = {basis.revision, basis.step}, .digest = {}, .jobs = {}};
@@ -212,7 +214,7 @@
           me.calling_write = false;
           if (found.answer != Answer::ok && found.answer != Answer::not_found) return;
           me.controller->on_reloaded(
-              *reload, found.answer == Answer::ok ? std::optional(found.entry.mark) : std::nullopt, time_of(node));
+              *reload, found.answer == Answer::ok ? std::optional(found.entry.revision) : std::nullopt, time_of(node));
         });
     return;
   }
@@ -240,10 +242,10 @@
 // ---- pools ----
 
 World::PoolSide::PoolSide(const World& world)
-    : ledger({pools::kPoolPrefix, accounts::kAccountPrefix}),
+    : record_cache({pools::kPoolPrefix, accounts::kAccountPrefix}),
       keeper([&world](const catalog::PoolDef&, std::int64_t) { return world.windows_open_; },
              static_cast<std::size_t>(world.settings_.state_value_kb * 1024)) {
-  ledger.add_reader(keeper);
+  record_cache.add_reader(keeper);
   keeper.declare(world.set_);
 }
 
@@ -280,25 +282,26 @@
             PoolSide& mine = *nodes_[node].pools;
             done(mine);
             if (all.answer != Answer::ok) return;
-            mine.ledger.read(all.entries, all.revision);
+            mine.record_cache.read(all.entries, all.revision);
             mine.read = true;
           });
     } else {
-      call_state<kv::FollowResult>(
-          node, Duty::records, [from = side.ledger.revision()](StateStore& store) { return store.follow("", from); },
-          [this, node, done](const kv::FollowResult& news) {
+      call_state<kv::WatchResult>(
+          node, Duty::records,
+          [from = side.record_cache.revision()](StateStore& store) { return store.watch("", from); },
+          [this, node, done](const kv::WatchResult& news) {
             PoolSide& mine = *nodes_[node].pools;
             done(mine);
-            if (news.answer == Answer::ok) mine.ledger.heard(news.events, news.revision);
+            if (news.answer == Answer::ok) mine.record_cache.heard(news.events, news.revision);
           },
-          true, constants::kLedgerHold);
+          true, constants::kRecordCacheWatchHoldTimeout);
     }
   }
   if (now_ >= side.next_look && side.read) {
-    side.next_look = now_ + constants::kPoolLook;
-    const ledger::Moment moment{.wall_ms = wall_ms(), .steady = time_of(node)};
-    self.controller->steer(side.keeper.steer());
-    if (self.controller->leading()) side.keeper.observe(self.controller->sight_pools(time_of(node)), moment);
+    side.next_look = now_ + constants::kPoolCheckInterval;
+    const record_cache::Moment moment{.wall_ms = wall_ms(), .steady = time_of(node)};
+    self.controller->set_pool_directives(side.keeper.directives());
+    if (self.controller->is_leader()) side.keeper.observe(self.controller->observe_for_pools(time_of(node)), moment);
   }
   if (!late(node, Duty::writes)) pool_write(node);
 }
@@ -306,8 +309,8 @@
 void World::pool_write(std::size_t node) {
   Node& self = nodes_[node];
   PoolSide& side = *self.pools;
-  if (side.writing || !self.controller->may_start(time_of(node)) || !side.ledger.whole() ||
-      side.ledger.revision() < self.controller->term_mark()) {
+  if (side.writing || !self.controller->can_start_tasks(time_of(node)) || !side.record_cache.whole() ||
+      side.record_cache.revision() < self.controller->term_revision()) {
     return;
   }
   const auto txn =
@@ -321,7 +324,7 @@
   }
   side.writing = true;
   kv::Txn guarded = *txn;
-  guarded.conditions.push_back({.key = state::kTermKey, .mark = self.controller->term_mark()});
+  guarded.preconditions.push_back({.key = state::kTermKey, .revision = self.controller->term_revision()});
   call_state<kv::TxnResult>(
       node, Duty::writes, [guarded](StateStore& store) { return store.txn(guarded); },
       [this, node, txn](const kv::TxnResult& result) {
@@ -330,7 +333,7 @@
       });
 }
 
-const pools::Keeper* World::pools(std::size_t node) const {
+const pools::WarmPoolController* World::pools(std::size_t node) const {
   return nodes_[node].alive && nodes_[node].pools ? &nodes_[node].pools->keeper : nullptr;
 }
 
@@ -339,8 +342,8 @@
   std::map<Revision, std::uint64_t> known;
   std::map<Revision, std::size_t> said;
   for (const Node& node : nodes_) {
-    if (!node.alive || !node.pools || !node.pools->ledger.whole()) continue;
-    const Revision revision = node.pools->ledger.revision();
+    if (!node.alive || !node.pools || !node.pools->record_cache.whole()) continue;
+    const Revision revision = node.pools->record_cache.revision();
     const auto [entry, fresh] = known.try_emplace(revision, node.pools->keeper.digest());
     if (!fresh && entry->second != node.pools->keeper.digest()) return false;
     ++said[revision];
--- a/tests/standins/world_state_calls.h
+++ b/tests/standins/world_state_calls.h
@@ -35,7 +35,7 @@
   if (this->refused(node)) {
     ++struck_["refuse_state"];
     if (hold == Millis(0) || now_ - nodes_[node].refused_from > kOpenWatch) return reply(refused, delay());
-    return repeat(kStep, [this, node, life, what, reply, none, limit = now_ + hold + constants::kStateCallLimit] {
+    return repeat(kStep, [this, node, life, what, reply, none, limit = now_ + hold + constants::kStoreCallTimeout] {
       if (!nodes_[node].alive || nodes_[node].life != life) return true;
       if (now_ >= limit) return reply(none, Millis(0)), true;
       if (this->refused(node) || state_out_ || nodes_[node].cut_from_state) return false;
@@ -53,7 +53,7 @@
         return true;
       });
     }
-    return reply(none, constants::kStateCallLimit);
+    return reply(none, constants::kStoreCallTimeout);
   }
   // A request may be lost, or its answer.
   const int luck = std::uniform_int_distribution<int>(0, 399)(random_);
@@ -61,15 +61,15 @@
   // be told later than on a calm day.
   if (std::is_same_v<Result, kv::TxnResult> && luck < 2) {
     history_.on_trouble(now_);
-    write_lost_until_ = now_ + constants::kStateCallLimit;
+    write_lost_until_ = now_ + constants::kStoreCallTimeout;
   }
-  if (luck == 0) return reply(none, constants::kStateCallLimit);
+  if (luck == 0) return reply(none, constants::kStoreCallTimeout);
   if constexpr (std::is_same_v<Result, kv::TxnResult>) {
     if (const Fate found = fate(); found != Fate::answered) {
       const auto carry_out = [what](StateStore& store) { (void)what(store); };
       if (found == Fate::late) carry_out_late(carry_out);
       if (found == Fate::unanswered) after(delay(), [this, carry_out] { carry_out(store_); });
-      return reply(none, constants::kStateCallLimit);
+      return reply(none, constants::kStoreCallTimeout);
     }
   }
   after(delay() + slow / 2, [this, what, reply, luck, none, copied, slow] {
@@ -79,9 +79,9 @@
         if (!state_out_) (void)what(store_);
       });
     }
-    if (luck == 1 || result.answer == kv::Answer::none) return reply(none, constants::kStateCallLimit);
+    if (luck == 1 || result.answer == kv::Answer::none) return reply(none, constants::kStoreCallTimeout);
     // Answered only after the caller has given up.
-    if (slow > constants::kStateCallLimit) return reply(none, constants::kStateCallLimit - slow / 2);
+    if (slow > constants::kStoreCallTimeout) return reply(none, constants::kStoreCallTimeout - slow / 2);
     reply(result, delay() + slow / 2);
   });
 }
--- a/tests/standins/world_troubles.cpp
+++ b/tests/standins/world_troubles.cpp
@@ -127,7 +127,7 @@
   Rented& machine = machines_.at(id);
   if (machine.gone || !machine.worker) return;
   machine.worker->taken_at = time_of(machine) + from_seconds(notice_s);
-  machine.next_report = now_;
+  machine.next_heartbeat = now_;
   after(from_seconds(notice_s), [this, id] {
     Rented& taken = machines_.at(id);
     if (taken.gone) return;
@@ -176,7 +176,7 @@
 }
 
 void World::slow_state(double for_s) {
-  trouble(for_s + control::to_seconds(constants::kStateCallLimit));
+  trouble(for_s + control::to_seconds(constants::kStoreCallTimeout));
   slow_state_until_ = std::max(slow_state_until_, now_ + from_seconds(for_s));
 }
 
@@ -216,36 +216,36 @@
   late_reports_ = {.share = share, .until = now_ + from_seconds(for_s), .for_next = for_next};
 }
 
-void World::copy_report(const wire::Report& report) {
+void World::copy_report(const wire::Heartbeat& heartbeat) {
   if (now_ >= late_reports_.until || !lucky(late_reports_.share)) return;
-  if (late_reports_.for_next) return reports_for_next_.push_back(report);
-  after(from_seconds(between(kLateReportLeast, kLateReportLeases * settings_.lease_s)), [this, report] {
-    for (std::size_t node = 0; node < nodes_.size(); ++node) hear_copy(node, report);
+  if (late_reports_.for_next) return reports_for_next_.push_back(heartbeat);
+  after(from_seconds(between(kLateReportLeast, kLateReportLeases * settings_.lease_s)), [this, heartbeat] {
+    for (std::size_t node = 0; node < nodes_.size(); ++node) hear_copy(node, heartbeat);
   });
 }
 
 void World::on_new_leader() {
-  for (const wire::Report& report : std::exchange(reports_for_next_, {})) {
-    for (std::size_t node = 0; node < nodes_.size(); ++node) hear_copy(node, report);
+  for (const wire::Heartbeat& heartbeat : std::exchange(reports_for_next_, {})) {
+    for (std::size_t node = 0; node < nodes_.size(); ++node) hear_copy(node, heartbeat);
   }
 }
 
 // As a report that has just been sent, but nobody waits for the answer.
-void World::hear_copy(std::size_t node, const wire::Report& report) {
+void World::hear_copy(std::size_t node, const wire::Heartbeat& heartbeat) {
   Node& self = nodes_[node];
-  if (!self.alive || self.cut_from_workers || parted(self.zone, report.zone)) return;
+  if (!self.alive || self.cut_from_workers || parted(self.zone, heartbeat.zone)) return;
   ++struck_["late_reports"];
-  if (self.controller->leading()) {
-    (void)self.controller->on_report(report, time_of(node));
+  if (self.controller->is_leader()) {
+    (void)self.controller->on_heartbeat(heartbeat, time_of(node));
     return;
   }
   const auto leader = node_of(self.leader_seen);
   if (leader && *leader != node && hears(*leader, node) &&
-      self.unreached.passes(report.machine, report.term, self.term_seen, time_of(node))) {
-    (void)nodes_[*leader].controller->on_report(report, time_of(*leader));
+      self.unreached.passes(heartbeat.machine, heartbeat.term, self.term_seen, time_of(node))) {
+    (void)nodes_[*leader].controller->on_heartbeat(heartbeat, time_of(*leader));
     return;
   }
-  (void)self.holder.answers(report.machine, report.zone, report.term, time_of(node));
+  (void)self.holder.answers(heartbeat.machine, heartbeat.zone, heartbeat.term, time_of(node));
 }
 
 void World::make_deaf(const MachineId& id, double for_s) {
--- a/tests/standins/world_users.cpp
+++ b/tests/standins/world_users.cpp
@@ -62,7 +62,7 @@
           const kv::TxnResult result = store.txn(txn);
           const kv::Change& change = txn.changes.front();
           const auto job = state::job_of_key(change.key);
-          const bool created = job && change.data && change.key == state::live_key(*job);
+          const bool created = job && change.data && change.key == state::active_job_key(*job);
           if (result.answer == Answer::ok && created) rules_.on_created(*job);
           return result;
         },
@@ -123,7 +123,7 @@
           const bool fresh = cancelled_.insert(id).second;
           const wire::JobState state = wire::job_status_from(reply.body).state;
           rules_.on_told(id, state, now_);
-          if (state != wire::JobState::withdrawn) return;
+          if (state != wire::JobState::cancelled) return;
           served_.on_over(id);
           copy_late([this, id] {
             cancelled_.erase(id);
@@ -144,7 +144,7 @@
       return;
     }
     const wire::JobState state = wire::job_status_from(reply.body).state;
-    const bool last = state == wire::JobState::done || state == wire::JobState::withdrawn;
+    const bool last = state == wire::JobState::done || state == wire::JobState::cancelled;
     // Another node may have told of the end after this one had read.
     if (!last && !over && rules_.is_over(id)) return;
     rules_.on_told(id, state, now_);
@@ -238,16 +238,16 @@
 
 std::optional<wire::JobStatus> World::ask(const JobId& id) {
   if (state_out_) return std::nullopt;
-  const kv::GetResult live = store_.get(state::live_key(id));
+  const kv::GetResult live = store_.get(state::active_job_key(id));
   if (live.answer == Answer::ok) return state::status_of(state::job_from(live.entry.data));
-  const kv::GetResult over = store_.get(state::over_key(id));
-  if (over.answer == Answer::ok) return state::over_from(id, over.entry.data);
+  const kv::GetResult over = store_.get(state::finished_job_key(id));
+  if (over.answer == Answer::ok) return state::finished_job_from(id, over.entry.data);
   return std::nullopt;
 }
 
 bool World::hears_state(std::size_t node) const {
   const auto heard = nodes_[node].state_heard;
-  return heard && now_ - *heard < constants::kStateSilence;
+  return heard && now_ - *heard < constants::kStoreSilenceTimeout;
 }
 
 bool World::in_users_reach(std::size_t node) const {
@@ -281,8 +281,8 @@
   rules_.check_answers(now_);
   rules_.check_waiting(machines_for_rules(), now_);
   for (const Node& node : nodes_) {
-    if (!node.alive || !node.controller->leading()) continue;
-    if (const auto fault = node.controller->disagreement())
+    if (!node.alive || !node.controller->is_leader()) continue;
+    if (const auto fault = node.controller->find_inconsistency())
       throw std::logic_error("the job table is inconsistent: " + *fault);
   }
   after(kPollEvery, [this] { poll_users(); });
