--- a/tests/standins/world_workers.cpp
+++ b/tests/standins/world_workers.cpp
@@ -33,102 +33,102 @@
   if (machine.gone || !machine.worker->alive) return;
   if (machine.worker->advance(time_of(machine))) {
     machine.changed = true;
-    machine.next_report = std::min(machine.next_report, now_ + Millis(100));
+    machine.next_heartbeat = std::min(machine.next_heartbeat, now_ + Millis(100));
   }
-  if (!machine.reporting && now_ >= machine.next_report && !machine.worker->hung) {
+  if (!machine.reporting && now_ >= machine.next_heartbeat && !machine.worker->hung) {
     machine.reporting = true;
     machine.changed = false;
-    const wire::Report report = machine.worker->report();
+    const wire::Heartbeat heartbeat = machine.worker->heartbeat();
     const Instant sent = now_;
     const std::size_t node = machine.node;
     const Millis way = delay() + slow_link();
     if (now_ < machine.mute_until) {
       ++struck_["mute"];
     } else {
-      after(way, [this, id, report, sent, node] { deliver_report(id, report, sent, node); });
-      copy_report(report);
+      after(way, [this, id, heartbeat, sent, node] { deliver_heartbeat(id, heartbeat, sent, node); });
+      copy_report(heartbeat);
     }
     // Without an answer within 4 s it turns to the next node.
-    const std::uint64_t sequence = report.sequence;
-    after(constants::kReportAnswerLimit, [this, id, sequence, node] {
+    const std::uint64_t sequence = heartbeat.sequence;
+    after(constants::kHeartbeatTimeout, [this, id, sequence, node] {
       Rented& waiting = machines_.at(id);
-      if (waiting.gone || !waiting.reporting || waiting.worker->session() == SessionNo{}) return;
+      if (waiting.gone || !waiting.reporting || waiting.worker->incarnation() == AgentIncarnation{}) return;
       if (waiting.node == node && sequence > 0) {
         waiting.reporting = false;
         waiting.node = (node + 1) % nodes_.size();
-        waiting.next_report = now_ + Millis(1000);
+        waiting.next_heartbeat = now_ + Millis(1000);
       }
     });
   }
   after(worker_step_, [this, id] { worker_step(id); });
 }
 
-void World::deliver_report(const MachineId& id, const wire::Report& report, Instant sent, std::size_t node) {
+void World::deliver_heartbeat(const MachineId& id, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node) {
   Rented& machine = machines_.at(id);
   if (machine.gone) return;
   if (!nodes_[node].alive) {  // refused
     if (now_ < machine.deaf_until) return;
     machine.reporting = false;
     machine.node = (node + 1) % nodes_.size();
-    machine.next_report = now_ + Millis(1000);
+    machine.next_heartbeat = now_ + Millis(1000);
     return;
   }
   if (!reaches(node, machine)) {
     const auto cut = cut_zones_.find(machine.zone);
     if ((machine.holds || (cut != cut_zones_.end() && cut->second)) && nodes_[node].alive) {
-      after(kStep, [this, id, report, sent, node] { deliver_report(id, report, sent, node); });
+      after(kStep, [this, id, heartbeat, sent, node] { deliver_heartbeat(id, heartbeat, sent, node); });
     }
     return;
   }
   const Node& self = nodes_[node];
   const auto leader = node_of(self.leader_seen);
-  if (!self.controller->leading() && late(node, Duty::reports)) {
-    after(kStep, [this, id, report, sent, node] { deliver_report(id, report, sent, node); });
+  if (!self.controller->is_leader() && late(node, Duty::heartbeats)) {
+    after(kStep, [this, id, heartbeat, sent, node] { deliver_heartbeat(id, heartbeat, sent, node); });
     return;
   }
-  if (!self.controller->leading() && (!leader || *leader == node)) {
-    if (answer_by_grant(id, report, sent, node, true)) return;
-  } else if (!self.controller->leading()) {
-    if (!nodes_[node].unreached.passes(id, report.term, self.term_seen, time_of(node))) {
-      if (!answer_by_grant(id, report, sent, node, false)) take_report(id, report, sent, node, node);
+  if (!self.controller->is_leader() && (!leader || *leader == node)) {
+    if (answer_by_delegation(id, heartbeat, sent, node, true)) return;
+  } else if (!self.controller->is_leader()) {
+    if (!nodes_[node].unreached.passes(id, heartbeat.term, self.term_seen, time_of(node))) {
+      if (!answer_by_delegation(id, heartbeat, sent, node, false)) take_heartbeat(id, heartbeat, sent, node, node);
       return;
     }
     // Passed on by this node. If that fails the worker is sent to any other node.
-    after(delay(), [this, id, report, sent, leader, node] {
+    after(delay(), [this, id, heartbeat, sent, leader, node] {
       if (hears(*leader, node)) {
-        return take_report(id, report, sent, *leader, node);
+        return take_heartbeat(id, heartbeat, sent, *leader, node);
       }
-      if (answer_by_grant(id, report, sent, node, true)) return;
+      if (answer_by_delegation(id, heartbeat, sent, node, true)) return;
       Rented& target = machines_.at(id);
       if (target.gone || !target.reporting || target.node != node || !is_heard(node, target)) return;
       target.reporting = false;
       target.node = (node + 1) % nodes_.size();
-      target.next_report = now_ + Millis(1000);
+      target.next_heartbeat = now_ + Millis(1000);
     });
     return;
   }
-  take_report(id, report, sent, node, node);
+  take_heartbeat(id, heartbeat, sent, node, node);
 }
 
-bool World::answer_by_grant(const MachineId& id, const wire::Report& report, Instant sent, std::size_t node,
-                            bool leader_tried) {
+bool World::answer_by_delegation(const MachineId& id, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node,
+                                 bool leader_tried) {
   Node& self = nodes_[node];
-  const bool near = self.leader_answered && now_ - *self.leader_answered < constants::kContactLost;
+  const bool near = self.leader_answered && now_ - *self.leader_answered < constants::kLeaderContactTimeout;
   if (!self.alive || (near && !leader_tried)) return false;
-  const auto term = self.holder.answers(id, report.zone, report.term, time_of(node));
+  const auto term = self.holder.answers(id, heartbeat.zone, heartbeat.term, time_of(node));
   if (!term) return false;
   ++answered_by_grant_;
-  after(kWordDelay, [this, id, term = *term, session = report.session, sent, node] {
+  after(kWordDelay, [this, id, term = *term, incarnation = heartbeat.incarnation, sent, node] {
     Rented& target = machines_.at(id);
     if (target.gone || !target.reporting || target.node != node || !target.worker->alive) return;
     if (!is_heard(node, target) || target.worker->hung) return;
-    const auto hear = [this, id, term, session, sent, node] {
+    const auto hear = [this, id, term, incarnation, sent, node] {
       Rented& waiting = machines_.at(id);
       if (is_held(waiting)) return false;
       if (gave_up(waiting, sent, node)) return true;
       waiting.reporting = false;
-      waiting.next_report = now_ + from_seconds(settings_.report_s);
-      waiting.worker->answer(term, {}, session, time_of(waiting, sent), time_of(waiting));
+      waiting.next_heartbeat = now_ + from_seconds(settings_.heartbeat_interval_s);
+      waiting.worker->answer(term, {}, incarnation, time_of(waiting, sent), time_of(waiting));
       return true;
     };
     if (!hear()) repeat(kStep, hear);
@@ -136,18 +136,18 @@
   return true;
 }
 
-void World::take_report(const MachineId& id, const wire::Report& report, Instant sent, std::size_t node,
-                        std::size_t via) {
-  if (late(node, Duty::reports)) {
-    after(kStep, [this, id, report, sent, node, via] { take_report(id, report, sent, node, via); });
+void World::take_heartbeat(const MachineId& id, const wire::Heartbeat& heartbeat, Instant sent, std::size_t node,
+                           std::size_t via) {
+  if (late(node, Duty::heartbeats)) {
+    after(kStep, [this, id, heartbeat, sent, node, via] { take_heartbeat(id, heartbeat, sent, node, via); });
     return;
   }
-  const auto commands = nodes_[node].controller->on_report(report, time_of(node));
-  copy_late([this, node, report] {
-    if (nodes_[node].alive) (void)nodes_[node].controller->on_report(report, time_of(node));
+  const auto commands = nodes_[node].controller->on_heartbeat(heartbeat, time_of(node));
+  copy_late([this, node, heartbeat] {
+    if (nodes_[node].alive) (void)nodes_[node].controller->on_heartbeat(heartbeat, time_of(node));
   });
-  if (now_ - sent > constants::kReportAnswerLimit) return;  // the worker has given it up
-  answer_report(id, report, commands, sent, now_, node, nodes_[node].life, via);
+  if (now_ - sent > constants::kHeartbeatTimeout) return;  // the worker has given it up
+  answer_report(id, heartbeat, commands, sent, now_, node, nodes_[node].life, via);
 }
 
 std::optional<std::size_t> World::node_of(const NodeName& name) const {
@@ -158,19 +158,19 @@
 }
 
 // As src/node does: the answer waits a little for what the report has caused to become durable.
-void World::answer_report(const MachineId& id, const wire::Report& report,
+void World::answer_report(const MachineId& id, const wire::Heartbeat& heartbeat,
                           std::optional<std::vector<wire::Command>> commands, Instant sent, Instant came,
                           std::size_t node, std::uint64_t life, std::size_t via) {
   if (!nodes_[node].alive || nodes_[node].life != life) return;
   control::Controller& controller = *nodes_[node].controller;
-  if (commands && !controller.settled(report) && now_ - came < constants::kReportSettle) {
-    after(Millis(20), [this, id, report, commands, sent, came, node, life, via] {
-      answer_report(id, report, commands, sent, came, node, life, via);
+  if (commands && !controller.settled(heartbeat) && now_ - came < constants::kHeartbeatSettleTimeout) {
+    after(Millis(20), [this, id, heartbeat, commands, sent, came, node, life, via] {
+      answer_report(id, heartbeat, commands, sent, came, node, life, via);
     });
     return;
   }
   if (commands && now_ > came) {
-    if (const auto later = controller.later_commands(report, time_of(node))) {
+    if (const auto later = controller.later_commands(heartbeat, time_of(node))) {
       for (const wire::Command& command : *later) {
         if (std::ranges::find(*commands, command) == commands->end()) commands->push_back(command);
       }
@@ -180,15 +180,15 @@
   }
   const Term term = controller.term();
   if (apart(node, via)) return;  // the way back to who passed the report on is cut
-  after(delay() + slow_link(), [this, id, commands, term, session = report.session, sent, node = via] {
+  after(delay() + slow_link(), [this, id, commands, term, incarnation = heartbeat.incarnation, sent, node = via] {
     Rented& target = machines_.at(id);
     if (target.gone || !target.reporting || target.node != node || !target.worker->alive) return;
     if (!is_heard(node, target) || target.worker->hung) return;  // lost, or too late when it goes on
     const double jitter = std::uniform_real_distribution<double>(0.75, 1.25)(random_);
-    const auto hear = [this, id, commands, term, session, sent, node, jitter] {
+    const auto hear = [this, id, commands, term, incarnation, sent, node, jitter] {
       Rented& waiting = machines_.at(id);
       if (is_held(waiting)) return false;
-      if (!gave_up(waiting, sent, node)) hear_answer(waiting, commands, term, session, sent, jitter);
+      if (!gave_up(waiting, sent, node)) hear_answer(waiting, commands, term, incarnation, sent, jitter);
       return true;
     };
     if (!hear()) repeat(kStep, hear);
@@ -203,26 +203,26 @@
 
 bool World::gave_up(const Rented& machine, Instant sent, std::size_t node) const {
   return machine.gone || !machine.worker->alive || !machine.reporting || machine.node != node ||
-         now_ - sent > constants::kReportAnswerLimit;
+         now_ - sent > constants::kHeartbeatTimeout;
 }
 
 void World::hear_answer(Rented& machine, const std::optional<std::vector<wire::Command>>& commands, Term term,
-                        SessionNo session, Instant sent, double jitter) {
+                        AgentIncarnation incarnation, Instant sent, double jitter) {
   const std::size_t node = machine.node;
   machine.reporting = false;
-  machine.next_report = now_ + from_seconds(settings_.report_s * jitter);
+  machine.next_heartbeat = now_ + from_seconds(settings_.heartbeat_interval_s * jitter);
   if (!commands) {
     const NodeName& leader = nodes_[node].leader_seen;
     machine.node = (node + 1) % nodes_.size();
-    machine.next_report = now_ + Millis(1000);
+    machine.next_heartbeat = now_ + Millis(1000);
     if (const auto other = node_of(leader); other && *other != node) {
       machine.node = *other;
-      machine.next_report = now_ + Millis(200);
+      machine.next_heartbeat = now_ + Millis(200);
     }
     return;
   }
-  machine.worker->answer(term, *commands, session, time_of(machine, sent), time_of(machine));
-  if (!commands->empty()) machine.next_report = now_ + Millis(500);
+  machine.worker->answer(term, *commands, incarnation, time_of(machine, sent), time_of(machine));
+  if (!commands->empty()) machine.next_heartbeat = now_ + Millis(500);
 }
 
 const wire::JobSpec* World::job(const JobId& id) {
@@ -234,7 +234,7 @@
   return std::max(Millis(0), from_seconds(submissions_.at(task.job).run_s) - progress_[task]);
 }
 
-void World::on_started(const TaskKey& task, AttemptNo attempt, const MachineId& id) {
+void World::on_started(const TaskKey& task, AttemptNumber attempt, const MachineId& id) {
   served_.on_started(task, attempt, now_);
   const Rented& machine = machines_.at(id);
   first_start_.try_emplace(task.job, now_);
@@ -243,7 +243,7 @@
   rules_.on_started(task, {.machine = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot}, now_);
 }
 
-void World::on_gone(const TaskKey& task, AttemptNo attempt, const MachineId& id, bool done) {
+void World::on_gone(const TaskKey& task, AttemptNumber attempt, const MachineId& id, bool done) {
   served_.on_gone(task, attempt, now_);
   const bool completed = done && done_.insert(task).second;
   where_[task].erase(id);
--- a/tests/unit/aging_test.cpp
+++ b/tests/unit/aging_test.cpp
@@ -31,26 +31,28 @@
   EXPECT_FALSE(sizes.largest("gang", 8));
   sizes.learn("gang", 8, kStart + 2 * constants::kJobSizesWindow);
   EXPECT_TRUE(sizes.largest("gang", 8));
-  for (std::size_t number = 0; number < constants::kClassesMost + 1; ++number) {
+  for (std::size_t number = 0; number < constants::kMaxTrackedClasses + 1; ++number) {
     sizes.learn("c" + std::to_string(number), 5, kStart);
   }
   EXPECT_TRUE(sizes.largest("c0", 5));
-  EXPECT_FALSE(sizes.largest("c" + std::to_string(constants::kClassesMost), 5));
+  EXPECT_FALSE(sizes.largest("c" + std::to_string(constants::kMaxTrackedClasses), 5));
 }
 
 TEST(Aging, LagCountsUntilAJobIsOverdue) {
-  const WaitingJob large{.submitted = kStart, .lag = 1h, .largest = true};
-  const WaitingJob other{.submitted = kStart, .lag = 1h, .largest = false};
-  EXPECT_EQ(effective_submission(large, kStart), kStart + constants::kBypassLagMost);
-  EXPECT_EQ(effective_submission(other, kStart), kStart + constants::kBypassLagMost);
-  EXPECT_EQ(effective_submission({.submitted = kStart, .lag = 20s, .largest = true}, kStart), kStart + 20s);
-  EXPECT_EQ(effective_submission(large, kStart + constants::kBypassLargest), kStart - constants::kLargestHeadStart);
-  EXPECT_EQ(effective_submission(other, kStart + constants::kBypassLargest), kStart + constants::kBypassLagMost);
-  EXPECT_EQ(effective_submission(other, kStart + constants::kBypassMost), kStart);
+  const WaitingJob large{.submitted = kStart, .aging_penalty = 1h, .largest = true};
+  const WaitingJob other{.submitted = kStart, .aging_penalty = 1h, .largest = false};
+  EXPECT_EQ(effective_submission(large, kStart), kStart + constants::kMaxAgingPenalty);
+  EXPECT_EQ(effective_submission(other, kStart), kStart + constants::kMaxAgingPenalty);
+  EXPECT_EQ(effective_submission({.submitted = kStart, .aging_penalty = 20s, .largest = true}, kStart), kStart + 20s);
+  EXPECT_EQ(effective_submission(large, kStart + constants::kMaxBypassOfLargest),
+            kStart - constants::kLargestHeadStart);
+  EXPECT_EQ(effective_submission(other, kStart + constants::kMaxBypassOfLargest), kStart + constants::kMaxAgingPenalty);
+  EXPECT_EQ(effective_submission(other, kStart + constants::kMaxBypass), kStart);
   // In a backlog in which all are overdue the largest is not behind what came shortly before it.
-  const WaitingJob before{.submitted = kStart - constants::kLargestHeadStart / 2, .lag = 1h, .largest = false};
-  EXPECT_LT(effective_submission(large, kStart + constants::kBypassMost),
-            effective_submission(before, kStart + constants::kBypassMost));
+  const WaitingJob before{
+      .submitted = kStart - constants::kLargestHeadStart / 2, .aging_penalty = 1h, .largest = false};
+  EXPECT_LT(effective_submission(large, kStart + constants::kMaxBypass),
+            effective_submission(before, kStart + constants::kMaxBypass));
 }
 
 }  // namespace
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -19,7 +19,7 @@
   Job& job = add_job(spec_of("j-000001", 6));
   job.late_tasks = 6;  // four to a machine
   size_fleet({&job});
-  const auto request = autoscaler_.next_rental(cluster_, kTerm, now_);
+  const auto request = autoscaler_.next_scale_out(cluster_, kTerm, now_);
   ASSERT_TRUE(request);
   EXPECT_EQ(request->type, "plain");
   EXPECT_EQ(request->count, 2U);
@@ -29,7 +29,7 @@
   Job& job = add_job(spec_of("j-000001", 100));
   job.late_tasks = 100;  // eight fit the quota of 32 CPUs
   size_fleet({&job});
-  const auto request = autoscaler_.next_rental(cluster_, kTerm, now_);
+  const auto request = autoscaler_.next_scale_out(cluster_, kTerm, now_);
   ASSERT_TRUE(request);
   EXPECT_EQ(request->count, 2U);
 }
@@ -37,25 +37,25 @@
 TEST_F(Autoscaling, AsksForNothingWhereNothingIsLate) {
   Job& job = add_job(spec_of("j-000001", 6));
   size_fleet({&job});
-  EXPECT_FALSE(autoscaler_.next_rental(cluster_, kTerm, now_));
+  EXPECT_FALSE(autoscaler_.next_scale_out(cluster_, kTerm, now_));
   EXPECT_FALSE(autoscaler_.cloud_wanted(cluster_));
 }
 
 TEST_F(Autoscaling, AsksForNothingWhereTheSettingsForbidIt) {
-  cluster_.settings.operators.may_rent = false;
+  cluster_.settings.operators.can_scale_out = false;
   Job& job = add_job(spec_of("j-000001", 6));
   job.late_tasks = 6;
   size_fleet({&job});
-  EXPECT_FALSE(autoscaler_.next_rental(cluster_, kTerm, now_));
+  EXPECT_FALSE(autoscaler_.next_scale_out(cluster_, kTerm, now_));
 }
 
 TEST_F(Autoscaling, MachinesThatWereGivenAreKnownToBoot) {
   Job& job = add_job(spec_of("j-000001", 4));
   job.late_tasks = 4;
   size_fleet({&job});
-  const auto request = autoscaler_.next_rental(cluster_, kTerm, now_);
+  const auto request = autoscaler_.next_scale_out(cluster_, kTerm, now_);
   ASSERT_TRUE(request);
-  autoscaler_.on_rented(cluster_, *request, {MachineId("m-000009")}, now_);
+  autoscaler_.on_scaled_out(cluster_, *request, {MachineId("m-000009")}, now_);
   const Machine& machine = cluster_.machines.at(MachineId("m-000009"));
   EXPECT_EQ(machine.type, "plain");
   EXPECT_EQ(machine.ready, now_ + Millis(10'000));
@@ -66,9 +66,9 @@
   Job& job = add_job(spec_of("j-000001", 4));
   job.late_tasks = 4;
   size_fleet({&job});
-  const auto request = autoscaler_.next_rental(cluster_, kTerm, now_);
+  const auto request = autoscaler_.next_scale_out(cluster_, kTerm, now_);
   ASSERT_TRUE(request);
-  autoscaler_.on_rent_refused(cluster_, *request, now_);
+  autoscaler_.on_scale_out_refused(cluster_, *request, now_);
   const Autoscaler successor = autoscaler_.successor();
   EXPECT_EQ(successor.capacity().refused().size(), 1U);
   EXPECT_FALSE(successor.capacity().wanted());
--- a/tests/unit/calendar_test.cpp
+++ b/tests/unit/calendar_test.cpp
@@ -251,17 +251,17 @@
   one.due_ms = one.opens_ms = one.tell_ms = one.opened_ms = one.told_ms = one.stepped_ms = 9'806'195'600'000;
   one.state = State::at_risk;
   one.version = catalog::Version(123456);
-  for (std::size_t at = 0; at < constants::kCalendarJobsMost; ++at) {
+  for (std::size_t at = 0; at < constants::kMaxCalendarJobs; ++at) {
     one.jobs.push_back({.job = JobId("j-" + std::string(18, '9')),
                         .submitted_ms = one.due_ms,
                         .deadline_ms = one.due_ms,
                         .tasks = 100'000,
-                        .end = End::withdrawn,
+                        .end = End::cancelled,
                         .seen_ms = one.due_ms,
                         .step = 24});
   }
-  one.reasons.assign(constants::kCalendarReasonsMost, std::string(constants::kCalendarReasonBytes, 'r'));
-  one.of_plan = constants::kCalendarReasonsMost;
+  one.reasons.assign(constants::kMaxCalendarReasons, std::string(constants::kCalendarReasonBytes, 'r'));
+  one.of_plan = constants::kMaxCalendarReasons;
   one.noted = one.waived = Word{.by = std::string(200, 'b'), .why = std::string(200, 'w'), .at_ms = one.due_ms};
   EXPECT_EQ(occurrence_from(to_value(one)), one);
   EXPECT_LE(wire::json_length(to_value(one)), 8U * 1024);
@@ -276,7 +276,7 @@
   EXPECT_EQ(step_of(width + hold - 1, 1), 1);
   EXPECT_EQ(step_of(width + hold, 1), 2);
   EXPECT_EQ(step_of(width - 1, 2), 1);
-  EXPECT_EQ(step_of(100 * kDay, {}), constants::kCalendarStepsMost);
+  EXPECT_EQ(step_of(100 * kDay, {}), constants::kMaxCalendarSteps);
   std::mt19937 dice(7);
   std::uniform_int_distribution<std::int64_t> any(-width, 30 * width);
   for (int round = 0; round < 2000; ++round) {
@@ -303,9 +303,9 @@
   static constexpr std::int64_t kSkew = 250;
 
   struct Instance {
-    std::unique_ptr<ledger::Ledger> ledger;
-    std::unique_ptr<ledger::Jobs> jobs;
-    std::unique_ptr<Keeper> keeper;
+    std::unique_ptr<record_cache::RecordCache> record_cache;
+    std::unique_ptr<record_cache::Jobs> jobs;
+    std::unique_ptr<DeadlineController> keeper;
     std::int64_t off_ms = 0;       // of its clock
     std::int64_t still_until = 0;  // crashed or frozen
     std::int64_t cut_until = 0;
@@ -318,29 +318,30 @@
     set_->revision = Revision(1);
     set_->wall_ms = begin - kDay;
     for (Instance& one : instances_) make(one);
-    take_lead(0);
+    acquire_leadership(0);
   }
 
   void make(Instance& one) {
-    one.ledger =
-        std::make_unique<ledger::Ledger>(std::vector<std::string>{"live/", "linger/", "part/", "lead/", kPrefix});
-    one.jobs = std::make_unique<ledger::Jobs>();
-    one.keeper = std::make_unique<Keeper>([this] { return set_; }, Limits{.value_bytes = 8192, .skew_ms = kSkew});
-    one.ledger->add_reader(*one.jobs);
-    one.ledger->add_reader(*one.keeper);
+    one.record_cache = std::make_unique<record_cache::RecordCache>(
+        std::vector<std::string>{"live/", "linger/", "part/", "lead/", kPrefix});
+    one.jobs = std::make_unique<record_cache::Jobs>();
+    one.keeper =
+        std::make_unique<DeadlineController>([this] { return set_; }, Limits{.value_bytes = 8192, .skew_ms = kSkew});
+    one.record_cache->add_reader(*one.jobs);
+    one.record_cache->add_reader(*one.keeper);
     one.cold = true;
     one.in_hand.reset();
   }
 
-  void take_lead(std::size_t index) {
+  void acquire_leadership(std::size_t index) {
     leader_ = index;
     ++term_;
     const kv::TxnResult result = store_.txn(
-        {.conditions = {},
+        {.preconditions = {},
          .changes = {{.key = state::kTermKey,
                       .data = state::to_value(state::TermRecord{.term = Term(term_), .leader = NodeName("n")}),
                       .lease = {}}}});
-    term_mark_ = result.revision;
+    term_revision_ = result.revision;
   }
 
   [[nodiscard]] bool works(const Instance& one) const { return now_ >= one.still_until; }
@@ -357,15 +358,15 @@
 
   void read(Instance& one) {
     std::vector<kv::Entry> entries;
-    for (const std::string& prefix : one.ledger->kept()) {
+    for (const std::string& prefix : one.record_cache->kept()) {
       for (const kv::Entry& entry : store_.list(prefix).entries) entries.push_back(entry);
     }
-    one.ledger->read(entries, store_.revision());
+    one.record_cache->read(entries, store_.revision());
     one.keeper->cold_read();
     one.cold = false;
   }
 
-  [[nodiscard]] ledger::Moment moment(const Instance& one) const {
+  [[nodiscard]] record_cache::Moment moment(const Instance& one) const {
     return {.wall_ms = now_ + one.off_ms,
             .steady = std::chrono::steady_clock::time_point(std::chrono::milliseconds(now_))};
   }
@@ -402,12 +403,12 @@
     for (const Counted& job : before.jobs) {
       const auto now = std::ranges::find(next.jobs, job.job, &Counted::job);
       const bool there = now != next.jobs.end();
-      EXPECT_TRUE(there || before.jobs.size() >= constants::kCalendarJobsMost) << job.job.text();
+      EXPECT_TRUE(there || before.jobs.size() >= constants::kMaxCalendarJobs) << job.job.text();
       EXPECT_TRUE(!there || job.end == End::open || now->end == job.end) << job.job.text();
     }
   }
 
-  void lead() {
+  void become_leader() {
     if (now_ < leaderless_until_) return;
     Instance* one = &instances_[leader_];
     if (!reaches(*one)) {
@@ -417,14 +418,14 @@
       for (std::size_t at = 0; at < instances_.size(); ++at) {
         const std::size_t next = (leader_ + 1 + at) % instances_.size();
         if (!reaches(instances_[next])) continue;
-        take_lead(next);
+        acquire_leadership(next);
         silent_since_ = 0;
         return;
       }
       return;
     }
     silent_since_ = 0;
-    if (!one->ledger->whole() || one->ledger->revision() < term_mark_) return;
+    if (!one->record_cache->whole() || one->record_cache->revision() < term_revision_) return;
     if (plan) one->keeper->planned(plan(now_));
     if (const auto key = one->keeper->next_read()) {
       ++reads;
@@ -433,7 +434,7 @@
     auto txn = one->keeper->next_write(*one->jobs, moment(*one), 24);
     if (!txn) return;
     kv::Txn guarded = *txn;
-    guarded.conditions.push_back({.key = state::kTermKey, .mark = term_mark_});
+    guarded.preconditions.push_back({.key = state::kTermKey, .revision = term_revision_});
     const Fault fault = writes++ == fault_at ? fault_kind : Fault::none;
     switch (fault) {
       case Fault::none: one->keeper->on_written(*txn, send(guarded)); break;
@@ -483,28 +484,28 @@
         // It wakes and goes on as if nothing had been.
         const kv::Txn txn = *std::exchange(one.in_hand, {});
         const kv::TxnResult result = send(txn);
-        one.keeper->on_written({.conditions = txn.conditions, .changes = txn.changes}, result);
+        one.keeper->on_written({.preconditions = txn.preconditions, .changes = txn.changes}, result);
       }
       if (!reaches(one)) continue;
       if (one.cold) {
         read(one);
         continue;
       }
-      const kv::FollowResult news = store_.follow("", one.ledger->revision());
-      one.ledger->heard(news.events, news.revision);
+      const kv::WatchResult news = store_.watch("", one.record_cache->revision());
+      one.record_cache->heard(news.events, news.revision);
       one.keeper->look(moment(one));
     }
-    lead();
+    become_leader();
     same_everywhere();
     now_ += kStep;
   }
 
   // Equal revisions: equal digests, deadlines and steps.
   void same_everywhere() const {
-    std::map<std::uint64_t, const Keeper*> at;
+    std::map<std::uint64_t, const DeadlineController*> at;
     for (const Instance& one : instances_) {
-      if (!one.ledger->whole()) continue;
-      const auto [first, fresh] = at.emplace(one.ledger->revision().number(), one.keeper.get());
+      if (!one.record_cache->whole()) continue;
+      const auto [first, fresh] = at.emplace(one.record_cache->revision().number(), one.keeper.get());
       if (fresh) continue;
       ASSERT_EQ(first->second->digest(), one.keeper->digest());
       for (const auto& [job, unused] : one.jobs->all()) {
@@ -527,17 +528,18 @@
       spec.image = "img";
       spec.estimate_s = 60;
       spec.deadline_s = deadline_s;
-      EXPECT_EQ(store_.txn(state::accept_txn(state::new_job(spec, when))).answer, Answer::ok);
+      EXPECT_EQ(store_.txn(state::create_job_txn(state::new_job(spec, when))).answer, Answer::ok);
     });
   }
   void end(const std::string& id, std::int64_t when, wire::JobState state = wire::JobState::done) {
     at(when, [=, this] {
       const JobId job(id);
-      (void)store_.txn({.conditions = {},
-                        .changes = {{.key = state::live_key(job), .data = {}, .lease = {}},
-                                    {.key = state::over_key(job),
-                                     .data = state::over_value({.id = job, .state = state, .done = 4, .running = 0}),
-                                     .lease = {}}}});
+      (void)store_.txn(
+          {.preconditions = {},
+           .changes = {{.key = state::active_job_key(job), .data = {}, .lease = {}},
+                       {.key = state::finished_job_key(job),
+                        .data = state::finished_job_value({.id = job, .state = state, .done = 4, .running = 0}),
+                        .lease = {}}}});
     });
   }
   void declare(const std::function<void(catalog::Set&)>& change) {
@@ -570,7 +572,7 @@
   std::int64_t now_;
   bool outage = false;
   bool unread = false;  // reads of single records have no answer
-  std::function<std::map<JobId, Keeper::Plan>(std::int64_t)> plan;
+  std::function<std::map<JobId, DeadlineController::Plan>(std::int64_t)> plan;
   int writes = 0;
   int reads = 0;
   int fault_at = -1;
@@ -585,7 +587,7 @@
 
  private:
   std::uint64_t term_ = 0;
-  Revision term_mark_;
+  Revision term_revision_;
   std::int64_t silent_since_ = 0;
   std::int64_t leaderless_until_ = 0;
   std::vector<std::pair<std::int64_t, std::function<void()>>> acts_;
@@ -722,7 +724,7 @@
     auto day = plain_day(3);
     for (std::size_t at = 0; at < 3; ++at) day->instances_[at].off_ms = at % 2 == 0 ? off : -off;
     day->until(kDue - 20 * kMinute);
-    day->take_lead(1);
+    day->acquire_leadership(1);
     day->until(kDue + kMinute);
     expect_plain_day(*day, "skew");
     EXPECT_LE(day->told.at(key_of("hull", kDue)), kDue - kHalfHour);
@@ -734,12 +736,12 @@
   one.jobs[0].seen_ms = kDue - Day::kSkew;
   EXPECT_EQ(tally_of(one, Day::kSkew).in_time, 1U);
   one.jobs.clear();
-  Outlook outlook{.now_ms = kDue + Day::kSkew, .skew_ms = Day::kSkew, .jobs_most = 4, .job = {}};
-  EXPECT_FALSE(closed(judge(one, {}, outlook).next.state));
+  EvaluationContext outlook{.now_ms = kDue + Day::kSkew, .skew_ms = Day::kSkew, .jobs_most = 4, .job = {}};
+  EXPECT_FALSE(closed(evaluate(one, {}, outlook).next.state));
   outlook.now_ms += constants::kCalendarCloseGrace.count() - 1;
-  EXPECT_FALSE(closed(judge(one, {}, outlook).next.state));
+  EXPECT_FALSE(closed(evaluate(one, {}, outlook).next.state));
   ++outlook.now_ms;
-  EXPECT_EQ(judge(one, {}, outlook).next.state, State::missed);
+  EXPECT_EQ(evaluate(one, {}, outlook).next.state, State::missed);
 }
 
 // Whatever the term's condition does: of two that decide from the same records one writes.
@@ -752,8 +754,8 @@
     day.now_ += Day::kStep;
     for (Day::Instance& one : day.instances_) {
       if (one.cold) day.read(one);
-      const kv::FollowResult news = day.store_.follow("", one.ledger->revision());
-      one.ledger->heard(news.events, news.revision);
+      const kv::WatchResult news = day.store_.watch("", one.record_cache->revision());
+      one.record_cache->heard(news.events, news.revision);
       one.keeper->look(day.moment(one));
     }
     for (Day::Instance& one : day.instances_) {
@@ -772,7 +774,7 @@
   wire::JobSpec spec{.id = JobId("j-000001"), .job_class = "dawn", .team = "ops", .tasks = 1, .cpus = 1};
   spec.image = "img";
   spec.estimate_s = 60;
-  ASSERT_EQ(day.store_.txn(state::accept_txn(state::new_job(spec, day.now_))).answer, Answer::ok);
+  ASSERT_EQ(day.store_.txn(state::create_job_txn(state::new_job(spec, day.now_))).answer, Answer::ok);
   EXPECT_EQ(both(), (std::vector<Answer>{Answer::ok, Answer::conflict}));  // it lists the job
   EXPECT_EQ(day.find("dawn", kDue)->jobs.size(), 1U);
   day.nothing_twice("two");
@@ -824,7 +826,7 @@
 TEST(CalendarDay, WhatIsWithdrawnDoesNotCount) {
   auto day = plain_day(3);
   day->submit("j-000004", "index", kDue - 39 * kMinute);
-  day->end("j-000003", kDue - 30 * kMinute, wire::JobState::withdrawn);
+  day->end("j-000003", kDue - 30 * kMinute, wire::JobState::cancelled);
   day->end("j-000004", kDue - 20 * kMinute);
   day->until(kDue + kMinute);
   EXPECT_EQ(day->state_of("index", kDue), State::met);
@@ -843,11 +845,11 @@
   day.until(kDue - 80 * kMinute);
   const auto full = day.find("dawn", kDue);
   ASSERT_TRUE(full);
-  EXPECT_EQ(full->jobs.size(), constants::kCalendarJobsMost);
-  EXPECT_EQ(full->beyond, 150 - constants::kCalendarJobsMost);
-  day.take_lead(1);
+  EXPECT_EQ(full->jobs.size(), constants::kMaxCalendarJobs);
+  EXPECT_EQ(full->beyond, 150 - constants::kMaxCalendarJobs);
+  day.acquire_leadership(1);
   day.until(kDue - 60 * kMinute);
-  day.take_lead(2);
+  day.acquire_leadership(2);
   day.until(kDue + kMinute);
   EXPECT_EQ(day.state_of("dawn", kDue), State::met);
   const Tally tally = tally_of(*day.find("dawn", kDue), Day::kSkew);
@@ -862,7 +864,7 @@
   day.submit("j-000001", "dawn", kDue - 100 * kMinute);
   std::int64_t planned_end = kDue - 32 * kMinute;
   day.plan = [&](std::int64_t) {
-    return std::map<JobId, Keeper::Plan>{{JobId("j-000001"), {.end_ms = planned_end, .need = {}}}};
+    return std::map<JobId, DeadlineController::Plan>{{JobId("j-000001"), {.end_ms = planned_end, .need = {}}}};
   };
   day.until(kDue - 90 * kMinute);
   EXPECT_EQ(day.leader().keeper->slack_step(JobId("j-000001")), 7);
@@ -880,7 +882,7 @@
   EXPECT_EQ(day.leader().keeper->slack_step(JobId("j-000001")), 7);
   planned_end = kDue + kMinute;
   day.plan = [&](std::int64_t) {
-    return std::map<JobId, Keeper::Plan>{{JobId("j-000001"), {.end_ms = planned_end, .need = {}}}};
+    return std::map<JobId, DeadlineController::Plan>{{JobId("j-000001"), {.end_ms = planned_end, .need = {}}}};
   };
   day.until(kDue - 59 * kMinute);
   EXPECT_EQ(day.leader().keeper->slack_step(JobId("j-000001")), 0);
@@ -893,7 +895,7 @@
   EXPECT_EQ(day.find("dawn", kDue)->state, State::at_risk);  // not forgotten with the plan that told it
   planned_end = kDue - 20 * kMinute;
   day.plan = [&](std::int64_t) {
-    return std::map<JobId, Keeper::Plan>{{JobId("j-000001"), {.end_ms = planned_end, .need = {}}}};
+    return std::map<JobId, DeadlineController::Plan>{{JobId("j-000001"), {.end_ms = planned_end, .need = {}}}};
   };
   day.until(kDue - 45 * kMinute);
   EXPECT_EQ(day.find("dawn", kDue)->state, State::gathering);
@@ -908,12 +910,12 @@
   std::uint64_t machines = 5;
   std::optional<std::int64_t> end_ms = kDue + 10 * kMinute;
   const auto plan = [&](std::int64_t) {
-    Keeper::Plan one{.end_ms = end_ms, .need = {}};
+    DeadlineController::Plan one{.end_ms = end_ms, .need = {}};
     if (!end_ms || *end_ms > kDue) {
-      one.need = foresight::Need{.lack = foresight::Lack::offer, .kind = "big", .machines = machines};
+      one.need = foresight::Need{.lack = foresight::ShortfallReason::offer, .kind = "big", .machines = machines};
       one.need->up_by_ms = kDue - 20 * kMinute;
     }
-    return std::map<JobId, Keeper::Plan>{{JobId("j-000001"), one}};
+    return std::map<JobId, DeadlineController::Plan>{{JobId("j-000001"), one}};
   };
   day.plan = plan;
   day.until(kDue - 90 * kMinute);
@@ -962,7 +964,7 @@
     for (int job = 0; job < 20; ++job) day.submit("j-" + std::to_string(100000 + job), "dawn", kDue - 100 * kMinute);
     std::mt19937 dice(3);
     day.plan = [&dice, ahead = ahead](std::int64_t now) {
-      std::map<JobId, Keeper::Plan> ends;
+      std::map<JobId, DeadlineController::Plan> ends;
       for (int job = 0; job < 20; ++job) ends[JobId("j-" + std::to_string(100000 + job))].end_ms = now + dice() % ahead;
       return ends;
     };
@@ -1041,9 +1043,9 @@
   auto day = plain_day(3);
   const std::string key = key_of("hull", kDue);
   const auto put = day->store_.txn(
-      {.conditions = {}, .changes = {{.key = key, .data = wire::Value::Map{{"form", 2}}, .lease = {}}}});
+      {.preconditions = {}, .changes = {{.key = key, .data = wire::Value::Map{{"form", 2}}, .lease = {}}}});
   day->until(kDue + kMinute);
-  EXPECT_EQ(day->store_.get(key).entry.mark, put.revision);
+  EXPECT_EQ(day->store_.get(key).entry.revision, put.revision);
   EXPECT_EQ(day->state_of("dawn", kDue), State::met);
 }
 
@@ -1069,7 +1071,7 @@
 TEST(CalendarDay, OperatorsWaiveAndTakeNote) {
   auto day = plain_day(3);
   day->until(kDue - 29 * kMinute);
-  const Keeper& keeper = *day->instances_[2].keeper;
+  const DeadlineController& keeper = *day->instances_[2].keeper;
   Request request{.waive = false, .entry = "hull", .occurrence = "2027-03-26 05:30", .by = "night desk", .why = ""};
   const Decision note = decide(keeper, request, day->now_);
   request.waive = true;
@@ -1099,7 +1101,7 @@
   day.set_->wall_ms = day.now_;
   for (int entry = 0; entry < 500; ++entry) day.declare(entry_of("entry " + std::to_string(entry)));
   day.until(kDue - 10 * kHour + 10 * kMinute);
-  const Keeper& keeper = *day.instances_[1].keeper;
+  const DeadlineController& keeper = *day.instances_[1].keeper;
   EXPECT_EQ(keeper.occurrences().size(), 500U);
   std::set<std::string> seen;
   std::int64_t from = 0;
@@ -1107,7 +1109,7 @@
   std::size_t shown_count = 0;
   do {
     const wire::Value body = shown(keeper, Revision(9), day.now_, 2, from, skip);
-    EXPECT_LE(wire::encode(body).size(), constants::kBodyLimitBytes);
+    EXPECT_LE(wire::encode(body).size(), constants::kMaxBodyBytes);
     for (const wire::Value& one : body.list("occurrences")) {
       seen.insert(one.text("entry") + one.text("due"));
       ++shown_count;
--- a/tests/unit/catalog_test.cpp
+++ b/tests/unit/catalog_test.cpp
@@ -226,7 +226,7 @@
   EXPECT_NE(told("").find("f:1: document"), std::string::npos);
   EXPECT_NE(told("<catalog>\n<class</catalog>").find("f:2: document: is not XML"), std::string::npos);
   EXPECT_NE(told("<catalog><class name=\"a\" name=\"b\"/></catalog>").find("name stands twice"), std::string::npos);
-  EXPECT_NE(told(std::string(constants::kCatalogXmlBytesMost + 1, ' ')).find("is longer than"), std::string::npos);
+  EXPECT_NE(told(std::string(constants::kMaxCatalogXmlBytes + 1, ' ')).find("is longer than"), std::string::npos);
   std::string deep;
   for (int level = 0; level < 100'000; ++level) deep += "<a>";
   for (int level = 0; level < 100'000; ++level) deep += "</a>";
@@ -245,7 +245,7 @@
   };
   EXPECT_EQ(all_of(read_xml(classes(200), {})), "");
   const Reading many = read_xml(classes(300), {});
-  EXPECT_EQ(many.faults.size(), constants::kCatalogFaultsMost);
+  EXPECT_EQ(many.faults.size(), constants::kMaxCatalogFaults);
   EXPECT_TRUE(many.more_faults);
   EXPECT_NE(all_of(many).find("f:201: class \"c201\": there may be 200 of its kind at most"), std::string::npos);
   std::string large = "<catalog><class name=\"c\" order=\"1\" standing=\"1\">";
@@ -288,12 +288,12 @@
   const Set set = full_set();
   Head head;
   head.now = {.version = Version(3), .author = "a", .digest = std::string(32, 'a'), .classes = 2};
-  head.former = {{.version = Version(2), .author = "a", .digest = std::string(32, 'b'), .mark = Revision(9)}};
+  head.former = {{.version = Version(2), .author = "a", .digest = std::string(32, 'b'), .revision = Revision(9)}};
   std::vector<std::string> records;
   for (const Item& item : items_of(set)) records.push_back(wire::encode(item.data));
   records.push_back(wire::encode(to_value(head)));
   std::mt19937_64 random(21);
-  Book book;
+  CatalogView book;
   std::size_t read = 0;
   for (int round = 0; round < 20'000; ++round) {
     std::string bytes = records[random() % records.size()];
@@ -379,20 +379,20 @@
 
 // A node's ledger with what reads from it. It does not hold the items: what a cold read missed is not told as removed.
 struct Reader {
-  ledger::Ledger ledger{{kHeadKey, kStagePrefix}};
-  Book book;
-  Sweeper sweeper;
+  record_cache::RecordCache record_cache{{kHeadKey, kStagePrefix}};
+  CatalogView book;
+  CatalogGarbageCollector sweeper;
 
   Reader() {
-    ledger.add_reader(book);
-    ledger.add_reader(sweeper);
+    record_cache.add_reader(book);
+    record_cache.add_reader(sweeper);
   }
   Reader(const Reader&) = delete;
   Reader& operator=(const Reader&) = delete;
-  void read(const standins::StateStore& store) { ledger.read(store.list("").entries, store.revision()); }
+  void read(const standins::StateStore& store) { record_cache.read(store.list("").entries, store.revision()); }
   void hear(const standins::StateStore& store) {
-    const kv::FollowResult news = store.follow("", ledger.revision());
-    ledger.heard(news.events, news.revision);
+    const kv::WatchResult news = store.watch("", record_cache.revision());
+    record_cache.heard(news.events, news.revision);
   }
 };
 
@@ -401,7 +401,7 @@
   Reader leader;
   leader.read(store);
   leader.hear(store);
-  const ledger::Jobs jobs;
+  const record_cache::Jobs jobs;
   for (int round = 0; round < 1000; ++round) {
     const auto txn = leader.sweeper.next_write(jobs, {.wall_ms = wall_ms, .steady = {}}, 16);
     if (!txn) return;
@@ -423,7 +423,7 @@
 std::size_t leftovers(const standins::StateStore& store) {
   std::optional<Head> head;
   if (const auto got = store.get(kHeadKey); got.answer == kv::Answer::ok)
-    head = head_from(got.entry.data, got.entry.mark);
+    head = head_from(got.entry.data, got.entry.revision);
   std::size_t count = store.list(kStagePrefix).entries.size();
   for (const kv::Entry& entry : store.list(kItemPrefix).entries) {
     if (!head || !head->keeps(item_key_from(entry.key)->stage)) ++count;
@@ -453,7 +453,7 @@
   const Outcome outcome = put(large, set_of("b", 24), 1);
   EXPECT_EQ(outcome.kind, Outcome::Kind::in_force);
   EXPECT_EQ(large.writes(), 4U);  // stage, two portions, head
-  EXPECT_EQ(outcome.ours.mark, state.revision());
+  EXPECT_EQ(outcome.ours.revision, state.revision());
   EXPECT_EQ(names_in_force(state), "2:24b-0");
   EXPECT_EQ(leftovers(state), 0U);
 }
@@ -530,7 +530,7 @@
   EXPECT_THROW((void)put(store, set_of("a", 40), 0), Crash);
   Reader leader;
   leader.read(state);
-  const ledger::Jobs jobs;
+  const record_cache::Jobs jobs;
   const auto record = leader.sweeper.next_write(jobs, {.wall_ms = std::int64_t{1} << 40, .steady = {}}, 16);
   ASSERT_TRUE(record);
   leader.sweeper.on_written(*record, state.txn(*record));
@@ -618,7 +618,7 @@
   Reader node;
   node.read(state);
   EXPECT_EQ(node.book.edition(Version(25))->classes[0].name, "v25-0");
-  EXPECT_EQ(node.book.edition(Version(25))->revision, look.head->former[4].mark);
+  EXPECT_EQ(node.book.edition(Version(25))->revision, look.head->former[4].revision);
   EXPECT_EQ(node.book.edition(Version(11)), nullptr);
 }
 
@@ -658,14 +658,14 @@
   ASSERT_EQ(put(state, set_of("b", 3), 1).kind, Outcome::Kind::in_force);
   EXPECT_EQ(names_in_force(state), "2:3b-0");
   const kv::Entry gone = state.list(kItemPrefix + std::string("2-")).entries[1];
-  (void)state.txn({.conditions = {}, .changes = {{.key = gone.key, .data = {}, .lease = {}}}});
+  (void)state.txn({.preconditions = {}, .changes = {{.key = gone.key, .data = {}, .lease = {}}}});
   EXPECT_EQ(names_in_force(state), "1:3a-0");
   // Not what the digest says.
   ClassDef other = class_from(gone.data);
   other.standing = 7;
-  (void)state.txn({.conditions = {}, .changes = {{.key = gone.key, .data = to_value(other), .lease = {}}}});
+  (void)state.txn({.preconditions = {}, .changes = {{.key = gone.key, .data = to_value(other), .lease = {}}}});
   EXPECT_EQ(names_in_force(state), "1:3a-0");
-  (void)state.txn({.conditions = {}, .changes = {{.key = gone.key, .data = gone.data, .lease = {}}}});
+  (void)state.txn({.preconditions = {}, .changes = {{.key = gone.key, .data = gone.data, .lease = {}}}});
   EXPECT_EQ(names_in_force(state), "2:3b-0");
 }
 
@@ -683,19 +683,19 @@
   };
   // Of an item: the set is not read, and its stage not swept.
   const kv::Entry item = state.list(kItemPrefix).entries[0];
-  (void)state.txn({.conditions = {}, .changes = {{.key = item.key, .data = newer(item.data), .lease = {}}}});
+  (void)state.txn({.preconditions = {}, .changes = {{.key = item.key, .data = newer(item.data), .lease = {}}}});
   node.hear(state);
   EXPECT_EQ(node.book.unreadable(), 1U);
   TestStore store(state);
   EXPECT_EQ(look_at_set(store, look_at_head(store).head->now).found, SetLook::Found::newer_form);
   const std::string left = item_key({.stage = "1-0", .kind = Kind::pool, .number = 0});
-  (void)state.txn({.conditions = {}, .changes = {{.key = left, .data = newer(item.data), .lease = {}}}});
+  (void)state.txn({.preconditions = {}, .changes = {{.key = left, .data = newer(item.data), .lease = {}}}});
   sweep(state, std::int64_t{1} << 40);
   EXPECT_EQ(state.get(left).answer, kv::Answer::ok);
   // Of the head: nothing is written, nothing swept, and what was in force stays so.
   const kv::Entry head = state.get(kHeadKey).entry;
   (void)state.txn(
-      {.conditions = {},
+      {.preconditions = {},
        .changes = {
            {.key = kHeadKey, .data = newer(head.data), .lease = {}},
            {.key = item_key({.stage = "1-1", .kind = Kind::pool, .number = 0}), .data = item.data, .lease = {}}}});
@@ -723,19 +723,19 @@
 struct Founded {
   explicit Founded(const Set& set) : Founded(write_xml(set)) {}
   explicit Founded(std::optional<std::string> text)
-      : founder(Founding{.file = "founding.xml", .text = std::move(text), .known = known_names()}, kLimits) {
-    ledger.add_reader(founder);
+      : founder(BootstrapCatalog{.file = "founding.xml", .text = std::move(text), .known = known_names()}, kLimits) {
+    record_cache.add_reader(founder);
   }
   Founded(const Founded&) = delete;
   Founded& operator=(const Founded&) = delete;
 
   void look(const standins::StateStore& store) {
-    if (ledger.revision() == Revision(0)) ledger.read(store.list("").entries, store.revision());
-    const kv::FollowResult news = store.follow("", ledger.revision());
-    ledger.heard(news.events, news.revision);
+    if (record_cache.revision() == Revision(0)) record_cache.read(store.list("").entries, store.revision());
+    const kv::WatchResult news = store.watch("", record_cache.revision());
+    record_cache.heard(news.events, news.revision);
   }
   std::optional<kv::Txn> next() {
-    at += constants::kCatalogSweepPause;
+    at += constants::kCatalogGarbageCollectionInterval;
     return founder.next_write({}, {.wall_ms = 1000, .steady = at}, kLimits.changes);
   }
   // As a leader does until there is nothing left to write.
@@ -749,14 +749,14 @@
     ADD_FAILURE() << "founds without end";
   }
 
-  ledger::Ledger ledger{{kHeadKey, kStagePrefix}};
-  Founder founder;
+  record_cache::RecordCache record_cache{{kHeadKey, kStagePrefix}};
+  CatalogBootstrapper founder;
   std::chrono::steady_clock::time_point at;
 };
 
 std::size_t editions(const standins::StateStore& store) {
   const auto got = store.get(kHeadKey);
-  return got.answer == kv::Answer::ok ? 1 + head_from(got.entry.data, got.entry.mark).former.size() : 0;
+  return got.answer == kv::Answer::ok ? 1 + head_from(got.entry.data, got.entry.revision).former.size() : 0;
 }
 
 // At each write of it the leader ends, before or after it was executed, or hears no answer; another one goes on. What
@@ -837,7 +837,7 @@
   for (const std::uint64_t form : {kForm + 1, kForm}) {
     standins::StateStore state;
     (void)state.txn(
-        {.conditions = {}, .changes = {{.key = kHeadKey, .data = wire::Value::Map{{"form", form}}, .lease = {}}}});
+        {.preconditions = {}, .changes = {{.key = kHeadKey, .data = wire::Value::Map{{"form", form}}, .lease = {}}}});
     Founded node(set_of("a", 2));
     node.found(state);
     EXPECT_EQ(state.revision(), Revision(1));
@@ -857,13 +857,13 @@
   node.look(state);
   sweep(state, std::int64_t{1} << 40);
   EXPECT_EQ(leftovers(state), 0U);
-  node.ledger.read(state.list("").entries, state.revision());
+  node.record_cache.read(state.list("").entries, state.revision());
   node.found(state);
   EXPECT_EQ(names_in_force(state), "1:40a-0");
 }
 
 TEST(CatalogFounder, ABadFileIsToldAndAMachineTypeIsJudgedOnceTypesAreKnown) {
-  const Founding bad{.file = "f.xml", .text = "<catalog>\n<x/></catalog>", .known = known_names()};
+  const BootstrapCatalog bad{.file = "f.xml", .text = "<catalog>\n<x/></catalog>", .known = known_names()};
   ASSERT_EQ(faults_of(bad).size(), 1U);
   EXPECT_EQ(faults_of(bad)[0].find("f.xml:2: x: "), 0U) << faults_of(bad)[0];
   EXPECT_EQ(faults_of({.file = "f.xml", .text = {}, .known = {}}), std::vector<std::string>{"f.xml: cannot be read"});
@@ -877,9 +877,9 @@
   for (const char* type : {"g8", "g9"}) {
     Set set;
     set.pools.push_back({.name = "p", .images = {{"i", 1}}, .types = {type}, .most = 1, .payer = "red"});
-    Founding founding{.file = "f.xml", .text = write_xml(set), .known = known_names()};
-    founding.known.types.reset();
-    Founder founder(founding, kLimits);
+    BootstrapCatalog bootstrap{.file = "f.xml", .text = write_xml(set), .known = known_names()};
+    bootstrap.known.types.reset();
+    CatalogBootstrapper founder(bootstrap, kLimits);
     EXPECT_TRUE(founder.wants_types());
     EXPECT_FALSE(founder.next_write({}, {}, 24));
     founder.learn_types({});
--- a/tests/unit/classes_test.cpp
+++ b/tests/unit/classes_test.cpp
@@ -318,7 +318,7 @@
     digests.insert(page.text("digest"));
     EXPECT_EQ(page.count("jobs"), 250U);
     EXPECT_EQ(page.count("revision"), 77U);
-    EXPECT_LE(wire::json_length(page), constants::kBodyLimitBytes);
+    EXPECT_LE(wire::json_length(page), constants::kMaxBodyBytes);
     EXPECT_EQ(page.list("lines").front().count("place"), *from);
     next = page["next"];
   }
--- a/tests/unit/cluster_fixture.h
+++ b/tests/unit/cluster_fixture.h
@@ -19,12 +19,12 @@
     config::Settings settings;
     settings.zones = {"a", "b"};
     settings.teams = {{.name = "red", .cpus = 8, .cpus_max = 32, .gpus = 0, .gpus_max = 0}};
-    settings.report_s = 1;
+    settings.heartbeat_interval_s = 1;
     settings.lease_s = 10;
     settings.cancel_s = 40;
     settings.gang_wait_s = 60;
-    settings.operators.may_rent = true;
-    settings.operators.may_return = true;
+    settings.operators.can_scale_out = true;
+    settings.operators.can_scale_in = true;
     return settings;
   }
 
@@ -45,26 +45,36 @@
     return cluster_.jobs.add(state::new_job(spec, 0), Revision(2), 0, cluster_.machines, now_);
   }
 
+  // Carries out all writes that the job table wants: what is placed becomes durable.
+  void write_records() {
+    constexpr std::size_t kMaxOperations = 24;
+    while (const auto batch = cluster_.jobs.begin_write(Revision(1), kMaxOperations, now_)) {
+      const kv::TxnResult written{.answer = kv::Answer::ok, .revision = Revision(++store_revision_), .failed = {}};
+      (void)cluster_.jobs.end_write(*batch, written, now_);
+    }
+  }
+
   // One that is up and has just been heard.
   Machine& add_machine(const std::string& id, const std::string& zone = "a") {
     Machine& machine = cluster_.know_machine(MachineId(id), now_);
     machine.type = "plain";
     machine.zone = zone;
     machine.state = MachineState::up;
-    machine.reported = true;
-    machine.last_report = now_;
+    machine.has_reported = true;
+    machine.last_heartbeat = now_;
     machine.ready = now_;
     machine.images.insert("img");
     cluster_.refresh_plan_machine(machine);
     return machine;
   }
 
-  jobs::Run& place(Job& job, std::uint32_t index, Machine& machine) {
-    return cluster_.jobs.place(job, index, AttemptNo(1), machine, now_);
+  jobs::Allocation& place(Job& job, std::uint32_t index, Machine& machine) {
+    return cluster_.jobs.place(job, index, AttemptNumber(1), machine, now_);
   }
 
   ClusterState cluster_;
   Instant now_{Millis(1'000'000)};
+  std::uint64_t store_revision_ = 2;  // of the fake store
 };
 
 }  // namespace foxshunt::control
--- a/tests/unit/concurrent_faults_test.cpp
+++ b/tests/unit/concurrent_faults_test.cpp
@@ -25,12 +25,12 @@
   config::Settings settings;
   settings.zones = {"a", "b"};
   settings.teams = {{.name = "red", .cpus = 32, .cpus_max = 32, .gpus = 0, .gpus_max = 0}};
-  settings.report_s = 1;
+  settings.heartbeat_interval_s = 1;
   settings.lease_s = 10;
   settings.cancel_s = 40;
   settings.state_value_kb = 8;
   settings.state_txn_ops = 12;
-  settings.operators.may_rent = false;
+  settings.operators.can_scale_out = false;
   return settings;
 }
 
@@ -53,52 +53,55 @@
     controller_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
-  void lead(Term term, Revision mark, std::vector<kv::Entry> live = {}, std::vector<kv::Entry> linger = {}) {
-    Takeover takeover;
-    takeover.term = term;
-    takeover.term_mark = mark;
-    takeover.others_until = now_ + Millis(20'000);
-    takeover.live = std::move(live);
-    takeover.linger = std::move(linger);
-    controller_.lead(takeover, now_);
+  void become_leader(Term term, Revision revision, std::vector<kv::Entry> live = {},
+                     std::vector<kv::Entry> linger = {}) {
+    FailoverSnapshot failover;
+    failover.term = term;
+    failover.term_revision = revision;
+    failover.older_leaders_until = now_ + Millis(20'000);
+    failover.active_jobs = std::move(live);
+    failover.terminating_jobs = std::move(linger);
+    controller_.become_leader(failover, now_);
     know_all();
   }
 
   void know_all() {
-    controller_.confirm_lease(now_);
-    controller_.confirm_reading(now_);
+    controller_.on_leader_lease_renewed(now_);
+    controller_.on_records_confirmed(now_);
   }
 
-  static wire::TaskReport task(std::uint32_t index, TaskState state, EndReason reason = EndReason::none) {
-    return {.task = {kJob, index}, .attempt = AttemptNo(1), .state = state, .reason = reason, .saved = false};
+  static wire::TaskStatus task(std::uint32_t index, TaskState state, EndReason reason = EndReason::none) {
+    return {.task = {kJob, index}, .attempt = AttemptNumber(1), .state = state, .reason = reason, .saved = false};
   }
 
-  std::optional<std::vector<wire::Command>> report(const MachineId& machine, std::uint64_t session,
-                                                   std::uint64_t sequence, Term seen,
-                                                   std::vector<wire::TaskReport> tasks) {
-    wire::Report made;
+  std::optional<std::vector<wire::Command>> heartbeat(const MachineId& machine, std::uint64_t incarnation,
+                                                      std::uint64_t sequence, Term seen,
+                                                      std::vector<wire::TaskStatus> tasks) {
+    wire::Heartbeat made;
     made.machine = machine;
     made.address = "127.0.0.1:1";
     made.type = "plain";
     made.zone = "a";
-    made.session = SessionNo(session);
+    made.incarnation = AgentIncarnation(incarnation);
     made.sequence = sequence;
     made.term = seen;
     made.tasks = std::move(tasks);
-    return controller_.on_report(made, now_);
+    return controller_.on_heartbeat(made, now_);
   }
 
   // A record that places the job's tasks, by index, with its first attempt.
   static kv::Entry placed(const std::string& key, const wire::JobSpec& spec,
                           const std::vector<std::pair<MachineId, std::uint64_t>>& machines_and_sessions) {
     state::JobRecord record = state::new_job(spec, 0);
-    record.whole->next = AttemptNo(2);
+    record.whole->next = AttemptNumber(2);
     std::uint32_t index = 0;
-    for (const auto& [machine, session] : machines_and_sessions) {
-      record.whole->runs.push_back(
-          {.index = index++, .attempt = AttemptNo(1), .machine = machine, .session = SessionNo(session)});
+    for (const auto& [machine, incarnation] : machines_and_sessions) {
+      record.whole->allocations.push_back({.index = index++,
+                                           .attempt = AttemptNumber(1),
+                                           .machine = machine,
+                                           .incarnation = AgentIncarnation(incarnation)});
     }
-    return {.key = key, .data = state::to_value(record), .mark = Revision(2)};
+    return {.key = key, .data = state::to_value(record), .revision = Revision(2)};
   }
 
   Instant now_{Millis(1'000'000)};
@@ -109,53 +112,53 @@
 // next one. What it had told before, that its start was refused, was held up until a leader with no memory has begun.
 TEST_F(ConcurrentFaults, AReportOfTheSessionBeforeTellsANewLeaderNothingOfTheSameAttempt) {
   const wire::JobSpec spec = job_of(2, wire::JobKind::gang);
-  lead(Term(7), Revision(1), {placed(state::live_key(kJob), spec, {{kFirst, 2}, {kSecond, 1}})});
-  ASSERT_TRUE(report(kFirst, 1, 40, Term(6), {task(0, TaskState::ended, EndReason::no_room)}));
-  EXPECT_EQ(controller_.jobs().at(kJob).runs_count, 2U) << "the task is taken for gone while it runs";
-  ASSERT_TRUE(report(kFirst, 2, 3, Term(7), {task(0, TaskState::running)}));
-  ASSERT_TRUE(report(kSecond, 1, 50, Term(7), {task(1, TaskState::running)}));
-  EXPECT_EQ(controller_.jobs().at(kJob).runs_count, 2U);
-  for (const auto& [unused, run] : controller_.jobs().at(kJob).parts[0].runs) EXPECT_FALSE(run.halting);
+  become_leader(Term(7), Revision(1), {placed(state::active_job_key(kJob), spec, {{kFirst, 2}, {kSecond, 1}})});
+  ASSERT_TRUE(heartbeat(kFirst, 1, 40, Term(6), {task(0, TaskState::ended, EndReason::no_room)}));
+  EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 2U) << "the task is taken for gone while it runs";
+  ASSERT_TRUE(heartbeat(kFirst, 2, 3, Term(7), {task(0, TaskState::running)}));
+  ASSERT_TRUE(heartbeat(kSecond, 1, 50, Term(7), {task(1, TaskState::running)}));
+  EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 2U);
+  for (const auto& [unused, run] : controller_.jobs().at(kJob).shards[0].allocations) EXPECT_FALSE(run.stopping);
 }
 
 // A new leader reads live/ and then linger/. A job that is called off between the two is found in both; it is one job, whose
 // tasks count once for the limit, are proved gone, and are forgotten.
 TEST_F(ConcurrentFaults, AJobCalledOffWhileTheRecordsAreReadIsOneJob) {
   const wire::JobSpec spec = job_of(2);
-  lead(Term(7), Revision(1), {placed(state::live_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})},
-       {placed(state::linger_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})});
-  EXPECT_EQ(controller_.disagreement(), std::nullopt);
+  become_leader(Term(7), Revision(1), {placed(state::active_job_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})},
+                {placed(state::terminating_job_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})});
+  EXPECT_EQ(controller_.find_inconsistency(), std::nullopt);
   ASSERT_TRUE(controller_.jobs().contains(kJob));
-  EXPECT_TRUE(controller_.jobs().at(kJob).withdrawn);
+  EXPECT_TRUE(controller_.jobs().at(kJob).cancelled);
   controller_.on_job_removed(kJob, now_);  // by the watch, which begins at what was read first
   wire::JobSpec next = job_of(4);
   next.id = JobId("j-000002");
   controller_.on_job_record(next.id, state::to_value(state::new_job(next, 0)), Revision(20), 0, now_);
-  for (const char* name : {"m-000001", "m-000002", "m-000003"}) (void)report(MachineId(name), 1, 10, Term(7), {});
-  EXPECT_FALSE(controller_.jobs().at(kJob).runs_count > 0) << "what is proved gone counts still";
+  for (const char* name : {"m-000001", "m-000002", "m-000003"}) (void)heartbeat(MachineId(name), 1, 10, Term(7), {});
+  EXPECT_FALSE(controller_.jobs().at(kJob).allocation_count > 0) << "what is proved gone counts still";
   controller_.plan_pass(now_);
-  EXPECT_EQ(controller_.jobs().at(next.id).runs_count, 4U) << "of 8 CPUs each, for a limit of 32";
+  EXPECT_EQ(controller_.jobs().at(next.id).allocation_count, 4U) << "of 8 CPUs each, for a limit of 32";
   const auto write = controller_.begin_write(now_);
   ASSERT_TRUE(write);
   controller_.end_write(*write, {.answer = kv::Answer::ok, .revision = Revision(30), .failed = {}}, now_);
   EXPECT_FALSE(controller_.jobs().contains(kJob)) << "it is never forgotten";
-  EXPECT_EQ(controller_.disagreement(), std::nullopt);
+  EXPECT_EQ(controller_.find_inconsistency(), std::nullopt);
 }
 
 // The watch was too far behind, and the whole list was asked for; its answer was held up until the node leads once more. A
 // job that was accepted meanwhile is not in it, and one that is over is.
 TEST_F(ConcurrentFaults, AListThatAnEarlierLeadReadTellsTheNextOneNothing) {
-  lead(Term(7), Revision(1));
+  become_leader(Term(7), Revision(1));
   wire::JobSpec over = job_of(1);
   over.id = JobId("j-000009");
-  const std::vector<kv::Entry> before{placed(state::live_key(over.id), over, {{kFirst, 1}})};
-  lead(Term(9), Revision(50), {placed(state::live_key(kJob), job_of(1), {{kSecond, 1}})});
+  const std::vector<kv::Entry> before{placed(state::active_job_key(over.id), over, {{kFirst, 1}})};
+  become_leader(Term(9), Revision(50), {placed(state::active_job_key(kJob), job_of(1), {{kSecond, 1}})});
   EXPECT_FALSE(controller_.on_job_list(Term(7), before, 0, now_));
-  EXPECT_FALSE(controller_.jobs().at(kJob).withdrawn) << "an accepted job would never run";
+  EXPECT_FALSE(controller_.jobs().at(kJob).cancelled) << "an accepted job would never run";
   EXPECT_FALSE(controller_.jobs().contains(over.id)) << "it is over";
   // What this lead reads counts.
   EXPECT_TRUE(controller_.on_job_list(Term(9), before, 0, now_));
-  EXPECT_TRUE(controller_.jobs().at(kJob).withdrawn);
+  EXPECT_TRUE(controller_.jobs().at(kJob).cancelled);
   EXPECT_TRUE(controller_.jobs().contains(over.id));
 }
 
@@ -164,13 +167,13 @@
 TEST_F(ConcurrentFaults, NoTaskIsSpreadBesideOneWhoseZoneIsUnknown) {
   wire::JobSpec spec = job_of(2);
   spec.spread = true;
-  lead(Term(7), Revision(1), {placed(state::live_key(kJob), spec, {{kSecond, 1}})});
-  (void)report(kFirst, 1, 10, Term(7), {});
+  become_leader(Term(7), Revision(1), {placed(state::active_job_key(kJob), spec, {{kSecond, 1}})});
+  (void)heartbeat(kFirst, 1, 10, Term(7), {});
   controller_.plan_pass(now_);
-  EXPECT_EQ(controller_.jobs().at(kJob).runs_count, 1U);
-  (void)report(kSecond, 1, 10, Term(7), {task(0, TaskState::running)});  // in zone a as well
+  EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 1U);
+  (void)heartbeat(kSecond, 1, 10, Term(7), {task(0, TaskState::running)});  // in zone a as well
   controller_.plan_pass(now_);
-  EXPECT_EQ(controller_.jobs().at(kJob).runs_count, 1U);
+  EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 1U);
 }
 
 // Leaders, users and a state service that carries a transaction out when the test says so.
@@ -178,39 +181,40 @@
  protected:
   ConcurrentFaultsAtTheStore() : next_(settings()) { next_.on_types(controller_.types()); }
 
-  void take_lead(Controller& controller, const NodeName& node) {
-    const state::LeadView view = state::lead_view(store_.get(state::kHolderKey), store_.get(state::kTermKey));
-    const kv::LeaseId lease = store_.grant(Millis(4000), now_);
-    const kv::TxnResult taken = store_.txn(state::take_lead_txn(view, node, lease, 0));
+  void acquire_leadership(Controller& controller, const NodeName& node) {
+    const state::LeadershipView view =
+        state::leadership_view(store_.get(state::kLeaderKey), store_.get(state::kTermKey));
+    const kv::LeaseId lease = store_.grant_lease(Millis(4000), now_);
+    const kv::TxnResult taken = store_.txn(state::acquire_leadership_txn(view, node, lease, 0));
     ASSERT_EQ(taken.answer, kv::Answer::ok);
-    Takeover takeover;
-    takeover.term = view.record.term.next();
-    takeover.term_mark = taken.revision;
-    takeover.others_until = now_;
-    takeover.live = store_.list(state::kLivePrefix).entries;
-    takeover.linger = store_.list(state::kLingerPrefix).entries;
-    controller.lead(takeover, now_);
-    controller.confirm_lease(now_);
-    controller.confirm_reading(now_);
+    FailoverSnapshot failover;
+    failover.term = view.record.term.next();
+    failover.term_revision = taken.revision;
+    failover.older_leaders_until = now_;
+    failover.active_jobs = store_.list(state::kActiveJobPrefix).entries;
+    failover.terminating_jobs = store_.list(state::kTerminatingJobPrefix).entries;
+    controller.become_leader(failover, now_);
+    controller.on_leader_lease_renewed(now_);
+    controller.on_records_confirmed(now_);
   }
 
-  kv::TxnResult submit(const wire::JobSpec& spec) { return store_.txn(state::accept_txn(state::new_job(spec, 0))); }
+  kv::TxnResult submit(const wire::JobSpec& spec) { return store_.txn(state::create_job_txn(state::new_job(spec, 0))); }
 
   // The job is accepted, the first controller leads, its only machine reports, and a pass places what fits.
   void accept_and_plan(const wire::JobSpec& spec) {
     ASSERT_EQ(submit(spec).answer, kv::Answer::ok);
-    take_lead(controller_, NodeName("node-0"));
+    acquire_leadership(controller_, NodeName("node-0"));
     (void)report_to(controller_);
     controller_.plan_pass(now_);
   }
 
   // What the leader's watch tells.
-  void follow(Controller& controller) {
-    const kv::FollowResult news = store_.follow(state::kLivePrefix, seen_);
+  void watch(Controller& controller) {
+    const kv::WatchResult news = store_.watch(state::kActiveJobPrefix, seen_);
     for (const kv::Event& event : news.events) {
       const JobId id = *state::job_of_key(event.key);
       if (event.data) {
-        controller.on_job_record(id, *event.data, event.mark, 0, now_);
+        controller.on_job_record(id, *event.data, event.revision, 0, now_);
       } else {
         controller.on_job_removed(id, now_);
       }
@@ -219,17 +223,17 @@
   }
 
   std::optional<std::vector<wire::Command>> report_to(Controller& controller,
-                                                      std::vector<wire::TaskReport> tasks = {}) {
-    wire::Report made;
+                                                      std::vector<wire::TaskStatus> tasks = {}) {
+    wire::Heartbeat made;
     made.machine = kFirst;
     made.address = "127.0.0.1:1";
     made.type = "plain";
     made.zone = "a";
-    made.session = SessionNo(1);
+    made.incarnation = AgentIncarnation(1);
     made.sequence = ++sequence_;
     made.term = controller.term();
     made.tasks = std::move(tasks);
-    return controller.on_report(made, now_);
+    return controller.on_heartbeat(made, now_);
   }
 
   // The write that the controller wants next; what becomes of it is the test's.
@@ -249,7 +253,7 @@
     return commands && std::ranges::any_of(
                            *commands, [](const wire::Command& command) { return command.kind == CommandKind::run; });
   }
-  [[nodiscard]] bool is_live() const { return store_.get(state::live_key(kJob)).answer == kv::Answer::ok; }
+  [[nodiscard]] bool is_live() const { return store_.get(state::active_job_key(kJob)).answer == kv::Answer::ok; }
 
   standins::StateStore store_;
   Controller next_;
@@ -265,7 +269,7 @@
   lose_answer(controller_, late);
   EXPECT_FALSE(starts(report_to(controller_))) << "it may never be written";
   store_.expire(now_ + Millis(9000));
-  take_lead(next_, NodeName("node-1"));
+  acquire_leadership(next_, NodeName("node-1"));
   EXPECT_EQ(store_.txn(late.txn).answer, kv::Answer::conflict);
   (void)report_to(next_);
   next_.plan_pass(now_);
@@ -290,22 +294,22 @@
 // A write on a part of a large job gets no answer and is carried out after a newer one on the same part, while the job's own
 // record has not changed: the outcomes that the newer one tells would be lost.
 TEST_F(ConcurrentFaultsAtTheStore, AWriteOnAPartThatLagsTakesNothingBack) {
-  wire::JobSpec spec = job_of(constants::kTasksPerPart + 2);
+  wire::JobSpec spec = job_of(constants::kTasksPerShard + 2);
   spec.cpus = 0.1;
   accept_and_plan(spec);
   carry_out(controller_);
   ASSERT_TRUE(starts(report_to(controller_)));
-  const wire::TaskReport first = task(0, TaskState::ended, EndReason::done);
-  wire::TaskReport second = task(1, TaskState::ended, EndReason::done);
-  second.attempt = AttemptNo(2);
+  const wire::TaskStatus first = task(0, TaskState::ended, EndReason::done);
+  wire::TaskStatus second = task(1, TaskState::ended, EndReason::done);
+  second.attempt = AttemptNumber(2);
   (void)report_to(controller_, {first});
   const WriteBatch late = written(controller_);
   lose_answer(controller_, late);
   (void)report_to(controller_, {first, second});
   carry_out(controller_);
   const auto done = [&] {
-    const kv::GetResult found = store_.get(state::part_key(kJob, 0));
-    return state::part_from(found.entry.data, constants::kTasksPerPart).done;
+    const kv::GetResult found = store_.get(state::job_shard_key(kJob, 0));
+    return state::job_shard_from(found.entry.data, constants::kTasksPerShard).done;
   };
   ASSERT_TRUE(done()[0] && done()[1]);
   EXPECT_EQ(store_.txn(late.txn).answer, kv::Answer::conflict);
@@ -322,7 +326,7 @@
   EXPECT_FALSE(starts(report_to(controller_))) << "what is there has not been looked at";
   const auto reload = controller_.next_reload();
   ASSERT_TRUE(reload);
-  controller_.on_reloaded(*reload, store_.get(reload->key()).entry.mark, now_);
+  controller_.on_reloaded(*reload, store_.get(reload->key()).entry.revision, now_);
   carry_out(controller_);
   EXPECT_TRUE(starts(report_to(controller_)));
 }
@@ -331,44 +335,45 @@
 // The repeated one does, and the next leader knows of it.
 TEST_F(ConcurrentFaultsAtTheStore, ACancellationThatLagsMissesNoPlacement) {
   ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
-  take_lead(controller_, NodeName("node-0"));
-  const kv::GetResult waiting = store_.get(state::live_key(kJob));
-  const kv::Txn late = state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark);
+  acquire_leadership(controller_, NodeName("node-0"));
+  const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
+  const kv::Txn late = state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision);
   (void)report_to(controller_);
   controller_.plan_pass(now_);
   carry_out(controller_);
   ASSERT_TRUE(starts(report_to(controller_)));
   EXPECT_EQ(store_.txn(late).answer, kv::Answer::conflict);
-  const kv::GetResult runs = store_.get(state::live_key(kJob));
+  const kv::GetResult runs = store_.get(state::active_job_key(kJob));
   ASSERT_EQ(runs.answer, kv::Answer::ok);
-  EXPECT_EQ(store_.txn(state::withdraw_txn(state::job_from(runs.entry.data), runs.entry.mark)).answer, kv::Answer::ok);
+  EXPECT_EQ(store_.txn(state::cancel_job_txn(state::job_from(runs.entry.data), runs.entry.revision)).answer,
+            kv::Answer::ok);
   store_.expire(now_ + Millis(9000));
-  take_lead(next_, NodeName("node-1"));
+  acquire_leadership(next_, NodeName("node-1"));
   ASSERT_TRUE(next_.jobs().contains(kJob)) << "nobody would stop its task, nor count it";
-  EXPECT_EQ(next_.jobs().at(kJob).runs_count, 1U);
+  EXPECT_EQ(next_.jobs().at(kJob).allocation_count, 1U);
   const auto answer = report_to(next_, {task(0, TaskState::running)});
   ASSERT_TRUE(answer);
-  EXPECT_EQ(std::ranges::count(*answer, CommandKind::halt, &wire::Command::kind), 1);
+  EXPECT_EQ(std::ranges::count(*answer, CommandKind::stop, &wire::Command::kind), 1);
 }
 
 // A cancellation is confirmed while a placement is on its way: the placement fails, and is never started.
 TEST_F(ConcurrentFaultsAtTheStore, APlacementMeetsAConfirmedCancellation) {
   ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
-  take_lead(controller_, NodeName("node-0"));
+  acquire_leadership(controller_, NodeName("node-0"));
   seen_ = store_.revision();
   (void)report_to(controller_);
   controller_.plan_pass(now_);
   const WriteBatch batch = written(controller_);
-  const kv::GetResult waiting = store_.get(state::live_key(kJob));
-  ASSERT_EQ(store_.txn(state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark)).answer,
+  const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
+  ASSERT_EQ(store_.txn(state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision)).answer,
             kv::Answer::ok);
   controller_.end_write(batch, store_.txn(batch.txn), now_);
   EXPECT_FALSE(starts(report_to(controller_)));
   EXPECT_FALSE(is_live()) << "called off for its user, it would run";
-  follow(controller_);
+  watch(controller_);
   if (const auto reload = controller_.next_reload()) controller_.on_reloaded(*reload, std::nullopt, now_);
   EXPECT_FALSE(starts(report_to(controller_)));
-  EXPECT_EQ(controller_.jobs().contains(kJob) ? controller_.jobs().at(kJob).runs_count : 0, 0U);
+  EXPECT_EQ(controller_.jobs().contains(kJob) ? controller_.jobs().at(kJob).allocation_count : 0, 0U);
 }
 
 // A cancellation that has read the job as running is carried out just after its last task's end was written, or just before:
@@ -379,31 +384,31 @@
     store_ = {};
     sequence_ = 0;
     ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
-    take_lead(controller_, NodeName("node-0"));
+    acquire_leadership(controller_, NodeName("node-0"));
     (void)report_to(controller_);
     controller_.plan_pass(now_);
     carry_out(controller_);
     ASSERT_TRUE(starts(report_to(controller_)));
-    const kv::GetResult runs = store_.get(state::live_key(kJob));
-    const kv::Txn cancellation = state::withdraw_txn(state::job_from(runs.entry.data), runs.entry.mark);
+    const kv::GetResult runs = store_.get(state::active_job_key(kJob));
+    const kv::Txn cancellation = state::cancel_job_txn(state::job_from(runs.entry.data), runs.entry.revision);
     (void)report_to(controller_, {task(0, TaskState::ended, EndReason::done)});
     const WriteBatch end = written(controller_);
     EXPECT_EQ(store_.txn(end_first ? end.txn : cancellation).answer, kv::Answer::ok);
     EXPECT_EQ(store_.txn(end_first ? cancellation : end.txn).answer, kv::Answer::conflict);
-    const kv::GetResult over = store_.get(state::over_key(kJob));
+    const kv::GetResult over = store_.get(state::finished_job_key(kJob));
     ASSERT_EQ(over.answer, kv::Answer::ok);
-    EXPECT_EQ(state::over_from(kJob, over.entry.data).state,
-              end_first ? wire::JobState::done : wire::JobState::withdrawn);
+    EXPECT_EQ(state::finished_job_from(kJob, over.entry.data).state,
+              end_first ? wire::JobState::done : wire::JobState::cancelled);
     EXPECT_FALSE(is_live());
   }
 }
 
 // A submission without an answer is carried out when the repeated one has been accepted and its job is over.
 TEST_F(ConcurrentFaultsAtTheStore, ASubmissionThatLagsIsRefusedOnceItsJobIsOver) {
-  const kv::Txn late = state::accept_txn(state::new_job(job_of(1), 0));
+  const kv::Txn late = state::create_job_txn(state::new_job(job_of(1), 0));
   ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
-  const kv::GetResult waiting = store_.get(state::live_key(kJob));
-  ASSERT_EQ(store_.txn(state::withdraw_txn(state::job_from(waiting.entry.data), waiting.entry.mark)).answer,
+  const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
+  ASSERT_EQ(store_.txn(state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision)).answer,
             kv::Answer::ok);
   EXPECT_EQ(store_.txn(late).answer, kv::Answer::conflict);
   EXPECT_FALSE(is_live());
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -66,20 +66,20 @@
   parse_operator_settings("<foxshunt><idle-return-s>90</idle-return-s><may-rent>false</may-rent></foxshunt>", "o.xml",
                           settings);
   EXPECT_EQ(settings.operators.idle_return_s, 90);
-  EXPECT_FALSE(settings.operators.may_rent);
+  EXPECT_FALSE(settings.operators.can_scale_out);
   parse_operator_settings(
       "<foxshunt><zone-grants>true</zone-grants><zone-out-of-service>a</zone-out-of-service></foxshunt>", "o.xml",
       settings);
-  EXPECT_TRUE(settings.operators.zone_grants);
+  EXPECT_TRUE(settings.operators.zone_lease_delegation);
   EXPECT_FALSE(settings.operators.zone_watch);
   EXPECT_FALSE(settings.in_service("a"));
   EXPECT_TRUE(settings.in_service("b"));
   // Beside the settings, unless it says where.
-  const std::string founding = "<foxshunt><founding-catalog>c.xml</founding-catalog></foxshunt>";
-  parse_operator_settings(founding, "/etc/foxshunt/o.xml", settings);
-  EXPECT_EQ(settings.operators.founding_catalog, "/etc/foxshunt/c.xml");
-  parse_operator_settings(founding, "o.xml", settings);
-  EXPECT_EQ(settings.operators.founding_catalog, "c.xml");
+  const std::string bootstrap = "<foxshunt><founding-catalog>c.xml</founding-catalog></foxshunt>";
+  parse_operator_settings(bootstrap, "/etc/foxshunt/o.xml", settings);
+  EXPECT_EQ(settings.operators.bootstrap_catalog, "/etc/foxshunt/c.xml");
+  parse_operator_settings(bootstrap, "o.xml", settings);
+  EXPECT_EQ(settings.operators.bootstrap_catalog, "c.xml");
   for (const char* shown : {"/operator.example.xml", "/operator.xml"}) {
     EXPECT_NO_THROW(load_operator_settings(std::string(FOXSHUNT_DEPLOY) + shown, settings)) << shown;
   }
--- a/tests/unit/connection_limits_test.cpp
+++ b/tests/unit/connection_limits_test.cpp
@@ -25,8 +25,9 @@
   constexpr int kWorkersOfALargeFleet = 1260;
   for (const auto& [ram_mb, sockets] : {std::pair{188.0, 2263}, {188.0, 2356}, {512.0, 10'000}}) {
     const ConnectionLimits limits = of(ram_mb, sockets);
-    const int others = constants::kOwnThreads + static_cast<int>(constants::kHaltsAtOnce) + constants::kThreadReserve;
-    EXPECT_EQ(limits.all.connections + limits.siblings.connections + others, constants::kThreadsMost);
+    const int others =
+        constants::kProcessThreads + static_cast<int>(constants::kMaxConcurrentDirectStops) + constants::kThreadReserve;
+    EXPECT_EQ(limits.all.connections + limits.siblings.connections + others, constants::kMaxThreads);
     EXPECT_GE(limits.all.connections - limits.all.unreserved, kWorkersOfALargeFleet);
     EXPECT_GE(limits.all.unreserved, 500);
   }
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -23,13 +23,13 @@
   config::Settings settings;
   settings.zones = {"a", "b"};
   settings.teams = {{.name = "red", .cpus = 32, .cpus_max = 64, .gpus = 0, .gpus_max = 0}};
-  settings.report_s = 1;
+  settings.heartbeat_interval_s = 1;
   settings.lease_s = 10;
   settings.cancel_s = 40;
   settings.state_value_kb = 8;
   settings.state_txn_ops = 12;
-  settings.operators.may_rent = false;
-  settings.operators.zone_grants = true;
+  settings.operators.can_scale_out = false;
+  settings.operators.zone_lease_delegation = true;
   settings.siblings = {{.name = NodeName("node-1"), .zone = "b", .endpoint = "127.0.0.1:1"}};
   return settings;
 }
@@ -52,41 +52,42 @@
     controller_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
-  void lead(std::vector<kv::Entry> live = {}, std::vector<kv::Entry> linger = {}) {
-    Takeover takeover;
-    takeover.term = Term(7);
-    takeover.term_mark = Revision(1);
-    takeover.others_until = now_ + Millis(20'000);
-    takeover.live = std::move(live);
-    takeover.linger = std::move(linger);
-    controller_.lead(takeover, now_);
+  void become_leader(std::vector<kv::Entry> live = {}, std::vector<kv::Entry> linger = {}) {
+    FailoverSnapshot failover;
+    failover.term = Term(7);
+    failover.term_revision = Revision(1);
+    failover.older_leaders_until = now_ + Millis(20'000);
+    failover.active_jobs = std::move(live);
+    failover.terminating_jobs = std::move(linger);
+    controller_.become_leader(failover, now_);
   }
 
   // A record that places the job's first task.
   static kv::Entry placed_on(const MachineId& machine, const wire::JobSpec& spec) {
     state::JobRecord record = state::new_job(spec, 0);
-    record.whole->next = AttemptNo(2);
-    record.whole->runs = {{.index = 0, .attempt = AttemptNo(1), .machine = machine, .session = SessionNo(1)}};
-    return {.key = state::live_key(spec.id), .data = state::to_value(record), .mark = Revision(2)};
+    record.whole->next = AttemptNumber(2);
+    record.whole->allocations = {
+        {.index = 0, .attempt = AttemptNumber(1), .machine = machine, .incarnation = AgentIncarnation(1)}};
+    return {.key = state::active_job_key(spec.id), .data = state::to_value(record), .revision = Revision(2)};
   }
 
-  std::optional<std::vector<wire::Command>> report(const MachineId& machine, std::uint64_t sequence, Term seen,
-                                                   std::vector<wire::TaskReport> tasks = {}, bool confirmed = true) {
+  std::optional<std::vector<wire::Command>> heartbeat(const MachineId& machine, std::uint64_t sequence, Term seen,
+                                                      std::vector<wire::TaskStatus> tasks = {}, bool confirmed = true) {
     if (confirmed) {
-      controller_.confirm_lease(now_);
-      controller_.confirm_reading(now_);
+      controller_.on_leader_lease_renewed(now_);
+      controller_.on_records_confirmed(now_);
     }
-    wire::Report made;
+    wire::Heartbeat made;
     made.machine = machine;
     made.address = "127.0.0.1:1";
     made.type = "plain";
     made.zone = machine == kFirst ? "a" : "b";
-    made.session = SessionNo(1);
+    made.incarnation = AgentIncarnation(1);
     made.sequence = sequence;
     made.term = seen;
     made.tasks = std::move(tasks);
     last_ = made;
-    return controller_.on_report(made, now_);
+    return controller_.on_heartbeat(made, now_);
   }
 
   void submit(const wire::JobSpec& spec) {
@@ -100,41 +101,41 @@
     return true;
   }
 
-  static wire::TaskReport task(std::uint32_t index, TaskState state, EndReason reason = EndReason::none,
+  static wire::TaskStatus task(std::uint32_t index, TaskState state, EndReason reason = EndReason::none,
                                std::uint64_t attempt = 1) {
-    return {.task = {kJob, index}, .attempt = AttemptNo(attempt), .state = state, .reason = reason, .saved = false};
+    return {.task = {kJob, index}, .attempt = AttemptNumber(attempt), .state = state, .reason = reason, .saved = false};
   }
   static bool has(const std::optional<std::vector<wire::Command>>& commands, CommandKind kind) {
     return commands &&
            std::ranges::any_of(*commands, [&](const wire::Command& command) { return command.kind == kind; });
   }
   [[nodiscard]] std::uint32_t placed() const {
-    return controller_.jobs().contains(kJob) ? controller_.jobs().at(kJob).runs_count : 0;
+    return controller_.jobs().contains(kJob) ? controller_.jobs().at(kJob).allocation_count : 0;
   }
 
   Instant now_{Millis(1'000'000)};
   std::uint64_t revision_ = 10;
-  wire::Report last_;
+  wire::Heartbeat last_;
   Controller controller_;
 };
 
 // A node that lost the lead and has it again meets the answer to a write of its earlier lead.
 TEST_F(Leading, AnEarlierLeadsWriteTellsNothing) {
-  lead();
-  report(kFirst, 1, Term(7));
+  become_leader();
+  heartbeat(kFirst, 1, Term(7));
   submit(job_of(1));
   controller_.plan_pass(now_);
   const auto late = controller_.begin_write(now_);
   ASSERT_TRUE(late);
-  Takeover again;
+  FailoverSnapshot again;
   again.term = Term(9);
-  again.term_mark = Revision(50);
-  controller_.lead(again, now_);
+  again.term_revision = Revision(50);
+  controller_.become_leader(again, now_);
   controller_.end_write(*late, {.answer = kv::Answer::conflict, .revision = {}, .failed = {state::kTermKey}}, now_);
-  EXPECT_TRUE(controller_.leading());
+  EXPECT_TRUE(controller_.is_leader());
   // It is built anew from this lead's job table, and written once.
   submit(job_of(1));
-  report(kFirst, 2, Term(9));
+  heartbeat(kFirst, 2, Term(9));
   controller_.plan_pass(now_);
   const auto write = controller_.begin_write(now_);
   ASSERT_TRUE(write);
@@ -149,18 +150,18 @@
   const std::vector<wire::MachineType> types = controller_.types();
   controller_ = Controller(one_change);
   controller_.on_types(types);
-  lead();
-  (void)report(kFirst, 1, Term(7));
-  wire::JobSpec gang = job_of(constants::kTasksPerPart + 2);
+  become_leader();
+  (void)heartbeat(kFirst, 1, Term(7));
+  wire::JobSpec gang = job_of(constants::kTasksPerShard + 2);
   gang.kind = wire::JobKind::gang;
   gang.cpus = 0.1;
   submit(gang);
   controller_.plan_pass(now_);
   ASSERT_EQ(placed(), gang.tasks);
   ASSERT_TRUE(write());
-  EXPECT_FALSE(has(report(kFirst, 2, Term(7)), CommandKind::run)) << "its second part is not written yet";
+  EXPECT_FALSE(has(heartbeat(kFirst, 2, Term(7)), CommandKind::run)) << "its second part is not written yet";
   ASSERT_TRUE(write());
-  const auto answer = report(kFirst, 3, Term(7));
+  const auto answer = heartbeat(kFirst, 3, Term(7));
   ASSERT_TRUE(answer);
   EXPECT_EQ(std::ranges::count(*answer, CommandKind::run, &wire::Command::kind), gang.tasks);
 }
@@ -168,83 +169,83 @@
 // The records of catalog, pools and calendar are written beside the controller, conditioned on the same term: an answer that comes
 // when the same process leads again is of the lead that has ended.
 TEST_F(Leading, ATermConflictEndsOnlyTheLeadThatWrote) {
-  Takeover first;
+  FailoverSnapshot first;
   first.term = Term(7);
-  first.term_mark = Revision(40);
-  controller_.lead(first, now_);
-  Takeover again;
+  first.term_revision = Revision(40);
+  controller_.become_leader(first, now_);
+  FailoverSnapshot again;
   again.term = Term(9);
-  again.term_mark = Revision(50);
-  controller_.lead(again, now_);
+  again.term_revision = Revision(50);
+  controller_.become_leader(again, now_);
   controller_.on_term_conflict(Revision(40));
-  EXPECT_TRUE(controller_.leading());
+  EXPECT_TRUE(controller_.is_leader());
   controller_.on_term_conflict(Revision(50));
-  EXPECT_FALSE(controller_.leading());
+  EXPECT_FALSE(controller_.is_leader());
 }
 
 // What an ended lead wanted stopped may be sent when the same process leads again, which may want it to run: it goes with the
 // token of the lead that wanted it, which the worker refuses by then.
 TEST_F(Leading, ADirectHaltNamesTheTermThatWantedIt) {
-  lead({placed_on(kSecond, job_of(1))});
-  (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
+  become_leader({placed_on(kSecond, job_of(1))});
+  (void)heartbeat(kSecond, 1, Term(7), {task(0, TaskState::running)});
   controller_.on_job_removed(kJob, now_);
-  (void)controller_.due_halts(now_);  // the answer to the next report tells it first
+  (void)controller_.due_direct_stops(now_);  // the answer to the next report tells it first
   now_ += Millis(2000);
-  const auto halts = controller_.due_halts(now_);
-  ASSERT_EQ(halts.size(), 1U);
-  EXPECT_EQ(halts[0].term, Term(7));
-  EXPECT_EQ(halts[0].machine, kSecond);
-  Takeover again;
+  const auto direct_stops = controller_.due_direct_stops(now_);
+  ASSERT_EQ(direct_stops.size(), 1U);
+  EXPECT_EQ(direct_stops[0].term, Term(7));
+  EXPECT_EQ(direct_stops[0].machine, kSecond);
+  FailoverSnapshot again;
   again.term = Term(9);
-  again.term_mark = Revision(50);
-  again.linger = {placed_on(kSecond, job_of(1))};
-  controller_.lead(again, now_);
-  (void)report(kSecond, 2, Term(9), {task(0, TaskState::running)});
-  (void)controller_.due_halts(now_);
+  again.term_revision = Revision(50);
+  again.terminating_jobs = {placed_on(kSecond, job_of(1))};
+  controller_.become_leader(again, now_);
+  (void)heartbeat(kSecond, 2, Term(9), {task(0, TaskState::running)});
+  (void)controller_.due_direct_stops(now_);
   now_ += Millis(2000);
-  const auto later = controller_.due_halts(now_);
+  const auto later = controller_.due_direct_stops(now_);
   ASSERT_EQ(later.size(), 1U);
   EXPECT_EQ(later[0].term, Term(9));
 }
 
 // Invariant 3: a worker that has seen a higher term proves that another leads.
 TEST_F(Leading, StepsDownOnAReportWithAHigherTerm) {
-  lead();
-  EXPECT_TRUE(report(kFirst, 1, Term(7)));
-  EXPECT_FALSE(report(kFirst, 2, Term(8)));
-  EXPECT_FALSE(controller_.leading());
-  EXPECT_FALSE(report(kSecond, 1, Term(0)));
+  become_leader();
+  EXPECT_TRUE(heartbeat(kFirst, 1, Term(7)));
+  EXPECT_FALSE(heartbeat(kFirst, 2, Term(8)));
+  EXPECT_FALSE(controller_.is_leader());
+  EXPECT_FALSE(heartbeat(kSecond, 1, Term(0)));
 }
 
 // A cancellation that the leader knows is not covered by the grant's reckoning: whoever holds a task of it is left out, and
 // so is a machine with tasks that no record places there, or one that nobody hears while the sibling is heard.
 TEST_F(Leading, GrantsNothingForMachinesThatOnlyTheLeaderMayAnswer) {
-  lead({placed_on(kSecond, job_of(1))});
-  zone::Ask ask{.node = NodeName("node-1"), .life = 1, .term = Term(7), .holds = {}, .uses = {}};
+  become_leader({placed_on(kSecond, job_of(1))});
+  zone::DelegationRequest ask{.node = NodeName("node-1"), .life = 1, .term = Term(7), .holds = {}, .uses = {}};
   const auto left_out = [&] {
     ++ask.sequence;
-    const auto grant = controller_.on_ask(ask, now_);
-    return grant ? std::ranges::find(grant->except, kSecond) != grant->except.end() : true;
+    const auto delegation = controller_.on_delegation_request(ask, now_);
+    return delegation ? std::ranges::find(delegation->except, kSecond) != delegation->except.end() : true;
   };
-  (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
+  (void)heartbeat(kSecond, 1, Term(7), {task(0, TaskState::running)});
   EXPECT_FALSE(left_out());
   controller_.on_job_removed(kJob, now_);
   EXPECT_TRUE(left_out()) << "a task of a withdrawn job";
-  (void)report(kSecond, 2, Term(7), {task(0, TaskState::ended, EndReason::stopped)});
+  (void)heartbeat(kSecond, 2, Term(7), {task(0, TaskState::ended, EndReason::stopped)});
   EXPECT_FALSE(left_out());
-  (void)report(kSecond, 3, Term(7), {task(3, TaskState::running, EndReason::none, 9)});
+  (void)heartbeat(kSecond, 3, Term(7), {task(3, TaskState::running, EndReason::none, 9)});
   EXPECT_TRUE(left_out()) << "a task that no record places there";
-  (void)report(kSecond, 4, Term(7));
+  (void)heartbeat(kSecond, 4, Term(7));
   EXPECT_FALSE(left_out());
   now_ += Millis(4000);
-  controller_.confirm_lease(now_);
-  controller_.confirm_reading(now_);
+  controller_.on_leader_lease_renewed(now_);
+  controller_.on_records_confirmed(now_);
   EXPECT_TRUE(left_out()) << "silent";
   ask.uses = {{.machine = kSecond, .ago = Millis(500)}};
   EXPECT_FALSE(left_out()) << "the sibling answers it";
   ask.uses.clear();
   ask.term = Term(6);
-  EXPECT_FALSE(controller_.on_ask(
+  EXPECT_FALSE(controller_.on_delegation_request(
       {.node = NodeName("node-1"), .life = 1, .sequence = 99, .term = Term(6), .holds = {}, .uses = {}}, now_));
 }
 
@@ -252,9 +253,9 @@
 // record read again decides. When that does not come through, the leader must not answer for longer than a fence after
 // the last moment before the removal. Seen when the explorer let an answer to a write hang.
 TEST_F(Leading, ARemovalThatWaitsForAWriteIsNotKnownYet) {
-  lead();
+  become_leader();
   submit(job_of(2));
-  (void)report(kFirst, 1, Term(7));
+  (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
   ASSERT_EQ(placed(), 2U);
   const auto batch = controller_.begin_write(now_);
@@ -264,38 +265,38 @@
     now_ = before + Millis(1000 * second);
     if (second == 1) controller_.on_job_removed(kJob, now_);
     if (second == 3) controller_.end_write(*batch, {.answer = kv::Answer::none}, now_);
-    controller_.confirm_lease(now_);
-    controller_.confirm_reading(now_);
+    controller_.on_leader_lease_renewed(now_);
+    controller_.on_records_confirmed(now_);
   }
-  EXPECT_TRUE(controller_.may_answer(before + fence_span(settings()) - Millis(1)));
-  EXPECT_FALSE(controller_.may_answer(before + fence_span(settings())));
-  EXPECT_FALSE(controller_.may_start(now_));
+  EXPECT_TRUE(controller_.can_renew_agent_leases(before + fence_span(settings()) - Millis(1)));
+  EXPECT_FALSE(controller_.can_renew_agent_leases(before + fence_span(settings())));
+  EXPECT_FALSE(controller_.can_start_tasks(now_));
   // Read again, it is known; what comes after counts.
   const auto reload = controller_.next_reload();
   ASSERT_TRUE(reload);
   controller_.on_reloaded(*reload, std::nullopt, now_);
-  controller_.confirm_reading(now_);
-  EXPECT_TRUE(controller_.may_start(now_));
-  EXPECT_TRUE(controller_.jobs().empty() || controller_.jobs().at(kJob).withdrawn);
+  controller_.on_records_confirmed(now_);
+  EXPECT_TRUE(controller_.can_start_tasks(now_));
+  EXPECT_TRUE(controller_.jobs().empty() || controller_.jobs().at(kJob).cancelled);
 }
 
 // A write that failed on the job's record may have met a cancellation: until the record was read again nobody else may
 // answer the machines of its tasks.
 TEST_F(Leading, GrantsNothingForMachinesOfAJobWhoseRecordHasToBeReadAgain) {
-  lead({placed_on(kSecond, job_of(2))});
-  (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
-  zone::Ask ask{.node = NodeName("node-1"), .life = 1, .term = Term(7), .holds = {}, .uses = {}};
+  become_leader({placed_on(kSecond, job_of(2))});
+  (void)heartbeat(kSecond, 1, Term(7), {task(0, TaskState::running)});
+  zone::DelegationRequest ask{.node = NodeName("node-1"), .life = 1, .term = Term(7), .holds = {}, .uses = {}};
   const auto left_out = [&] {
     ++ask.sequence;
-    const auto grant = controller_.on_ask(ask, now_);
-    return grant && std::ranges::find(grant->except, kSecond) != grant->except.end();
+    const auto delegation = controller_.on_delegation_request(ask, now_);
+    return delegation && std::ranges::find(delegation->except, kSecond) != delegation->except.end();
   };
   controller_.plan_pass(now_);
   const auto batch = controller_.begin_write(now_);
   ASSERT_TRUE(batch);
   EXPECT_FALSE(left_out());
-  controller_.end_write(*batch, {.answer = kv::Answer::conflict, .revision = {}, .failed = {state::live_key(kJob)}},
-                        now_);
+  controller_.end_write(
+      *batch, {.answer = kv::Answer::conflict, .revision = {}, .failed = {state::active_job_key(kJob)}}, now_);
   EXPECT_TRUE(left_out());
   const auto reload = controller_.next_reload();
   ASSERT_TRUE(reload);
@@ -308,89 +309,90 @@
 TEST_F(Leading, AnEarlierSessionsReportEndsNothing) {
   wire::JobSpec spec = job_of(1);
   state::JobRecord record = state::new_job(spec, 0);
-  record.whole->next = AttemptNo(2);
-  record.whole->runs = {{.index = 0, .attempt = AttemptNo(1), .machine = kFirst, .session = SessionNo(2)}};
-  lead({{.key = state::live_key(spec.id), .data = state::to_value(record), .mark = Revision(2)}});
-  ASSERT_TRUE(report(kFirst, 50, Term(6), {task(0, TaskState::ended, EndReason::done)}));
+  record.whole->next = AttemptNumber(2);
+  record.whole->allocations = {
+      {.index = 0, .attempt = AttemptNumber(1), .machine = kFirst, .incarnation = AgentIncarnation(2)}};
+  become_leader({{.key = state::active_job_key(spec.id), .data = state::to_value(record), .revision = Revision(2)}});
+  ASSERT_TRUE(heartbeat(kFirst, 50, Term(6), {task(0, TaskState::ended, EndReason::done)}));
   EXPECT_EQ(placed(), 1U);
 }
 
 // Invariant 6: a report that was overtaken teaches nothing, and its answer starts nothing.
 TEST_F(Leading, LearnsNothingFromAnOlderReport) {
-  lead();
+  become_leader();
   submit(job_of(1));
-  (void)report(kFirst, 1, Term(7));
+  (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
   ASSERT_TRUE(write());
-  ASSERT_TRUE(has(report(kFirst, 3, Term(7)), CommandKind::run));
-  (void)report(kFirst, 5, Term(7), {task(0, TaskState::running)});
-  const auto answer = report(kFirst, 4, Term(7));
+  ASSERT_TRUE(has(heartbeat(kFirst, 3, Term(7)), CommandKind::run));
+  (void)heartbeat(kFirst, 5, Term(7), {task(0, TaskState::running)});
+  const auto answer = heartbeat(kFirst, 4, Term(7));
   ASSERT_TRUE(answer);
   EXPECT_TRUE(answer->empty());
   EXPECT_EQ(placed(), 1U);
   // Nor does one of an earlier session, whatever its number.
-  EXPECT_FALSE(has(report(kFirst, 5, Term(7), {task(0, TaskState::ended, EndReason::done)}), CommandKind::clear));
+  EXPECT_FALSE(has(heartbeat(kFirst, 5, Term(7), {task(0, TaskState::ended, EndReason::done)}), CommandKind::clear));
   EXPECT_EQ(controller_.jobs().at(kJob).done_count, 0U);
 }
 
 // Invariant 5: until the worker has seen our term, an older leader's start command may yet reach it.
 TEST_F(Leading, AbsenceIsNoProofBeforeTheWorkerHasSeenOurTerm) {
   kv::Entry linger = placed_on(kFirst, job_of(1));
-  linger.key = state::linger_key(kJob);
-  lead({}, {linger});
-  (void)report(kFirst, 1, Term(6));
+  linger.key = state::terminating_job_key(kJob);
+  become_leader({}, {linger});
+  (void)heartbeat(kFirst, 1, Term(6));
   EXPECT_EQ(placed(), 1U);
   EXPECT_FALSE(write()) << "the record of where its tasks may be is given up too early";
-  (void)report(kFirst, 2, Term(7));
+  (void)heartbeat(kFirst, 2, Term(7));
   EXPECT_EQ(placed(), 0U);
   EXPECT_TRUE(write());
 }
 
 // Invariant 11: what the worker forgets can't be asked of it again.
 TEST_F(Leading, ClearsATaskOnlyWhenItsOutcomeIsDurable) {
-  lead();
+  become_leader();
   submit(job_of(2));
-  (void)report(kFirst, 1, Term(7));
+  (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
   ASSERT_TRUE(write());
-  (void)report(kFirst, 2, Term(7));
-  const std::vector<wire::TaskReport> tasks{task(0, TaskState::ended, EndReason::done),
+  (void)heartbeat(kFirst, 2, Term(7));
+  const std::vector<wire::TaskStatus> tasks{task(0, TaskState::ended, EndReason::done),
                                             task(1, TaskState::running, EndReason::none, 2)};
-  EXPECT_FALSE(has(report(kFirst, 3, Term(7), tasks), CommandKind::clear));
+  EXPECT_FALSE(has(heartbeat(kFirst, 3, Term(7), tasks), CommandKind::clear));
   ASSERT_TRUE(write(kv::Answer::none));  // it may have been written, or not
-  EXPECT_FALSE(has(report(kFirst, 4, Term(7), tasks), CommandKind::clear));
+  EXPECT_FALSE(has(heartbeat(kFirst, 4, Term(7), tasks), CommandKind::clear));
   ASSERT_TRUE(write());
-  EXPECT_TRUE(has(report(kFirst, 5, Term(7), tasks), CommandKind::clear));
+  EXPECT_TRUE(has(heartbeat(kFirst, 5, Term(7), tasks), CommandKind::clear));
   EXPECT_EQ(controller_.jobs().at(kJob).done_count, 1U);
 }
 
 // Invariant 6: a start command waits for a placement that is known to be written.
 TEST_F(Leading, StartsOnlyWhatIsDurable) {
-  lead();
+  become_leader();
   submit(job_of(1));
-  (void)report(kFirst, 1, Term(7));
+  (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
-  EXPECT_FALSE(has(report(kFirst, 2, Term(7)), CommandKind::run));
+  EXPECT_FALSE(has(heartbeat(kFirst, 2, Term(7)), CommandKind::run));
   EXPECT_FALSE(has(controller_.later_commands(last_, now_), CommandKind::run));
   ASSERT_TRUE(write(kv::Answer::none));
   EXPECT_FALSE(has(controller_.later_commands(last_, now_), CommandKind::run));
-  EXPECT_FALSE(has(report(kFirst, 3, Term(7)), CommandKind::run));
+  EXPECT_FALSE(has(heartbeat(kFirst, 3, Term(7)), CommandKind::run));
   ASSERT_TRUE(write());
-  EXPECT_TRUE(has(report(kFirst, 4, Term(7)), CommandKind::run));
+  EXPECT_TRUE(has(heartbeat(kFirst, 4, Term(7)), CommandKind::run));
 }
 
 // Invariant 10: a machine on which tasks fail twice in a row gets no more of them.
 TEST_F(Leading, DrainsAMachineOnWhichTasksFail) {
-  lead();
+  become_leader();
   submit(job_of(2));
-  (void)report(kFirst, 1, Term(7));
+  (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
   ASSERT_TRUE(write());
-  (void)report(kFirst, 2, Term(7));
-  (void)report(kFirst, 3, Term(7),
-               {task(0, TaskState::ended, EndReason::error), task(1, TaskState::running, EndReason::none, 2)});
+  (void)heartbeat(kFirst, 2, Term(7));
+  (void)heartbeat(kFirst, 3, Term(7),
+                  {task(0, TaskState::ended, EndReason::error), task(1, TaskState::running, EndReason::none, 2)});
   EXPECT_EQ(controller_.machines().at(kFirst).state, MachineState::up);
-  (void)report(kFirst, 4, Term(7), {task(1, TaskState::ended, EndReason::error, 2)});
+  (void)heartbeat(kFirst, 4, Term(7), {task(1, TaskState::ended, EndReason::error, 2)});
   EXPECT_EQ(controller_.machines().at(kFirst).state, MachineState::draining);
   controller_.tick(now_);
   EXPECT_EQ(controller_.machines().at(kFirst).state, MachineState::returning);
@@ -401,22 +403,22 @@
 TEST_F(Leading, PlacesNothingBesideATaskWhoseZoneIsUnknown) {
   wire::JobSpec spec = job_of(2);
   spec.one_zone = true;
-  lead({placed_on(kSecond, spec)});
-  (void)report(kFirst, 1, Term(7));
+  become_leader({placed_on(kSecond, spec)});
+  (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 1U);
-  (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
+  (void)heartbeat(kSecond, 1, Term(7), {task(0, TaskState::running)});
   controller_.plan_pass(now_);
   ASSERT_EQ(placed(), 2U);
-  EXPECT_EQ(controller_.machines().at(kSecond).runs.size(), 2U);
+  EXPECT_EQ(controller_.machines().at(kSecond).allocations.size(), 2U);
 }
 
 // Invariant 7: what is placed counts against the limit until proof, also when its machine is silent.
 TEST_F(Leading, ASilentMachinesTasksCountAgainstTheLimit) {
   wire::JobSpec spec = job_of(20);
-  lead({placed_on(kSecond, spec)});
+  become_leader({placed_on(kSecond, spec)});
   for (const char* name : {"m-000001", "m-000003", "m-000004", "m-000005", "m-000006"})
-    (void)report(MachineId(name), 1, Term(7));
+    (void)heartbeat(MachineId(name), 1, Term(7));
   controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 16U);  // of 4 CPUs each, for a limit of 64
 }
@@ -424,70 +426,70 @@
 // Duties run late on a small machine: what is answered counts from the moment up to which all was known, and not
 // from the moment of the answer.
 TEST_F(Leading, AnswersAndStartsNothingOnceItsKnowledgeIsTooOld) {
-  lead();
+  become_leader();
   submit(job_of(1));
-  ASSERT_TRUE(report(kFirst, 1, Term(7)));
+  ASSERT_TRUE(heartbeat(kFirst, 1, Term(7)));
   now_ += Millis(4'100);  // nothing confirmed: the lease may have ended
-  EXPECT_TRUE(controller_.may_answer(now_));
-  EXPECT_FALSE(controller_.may_start(now_));
-  EXPECT_TRUE(report(kFirst, 2, Term(7), {}, false));
+  EXPECT_TRUE(controller_.can_renew_agent_leases(now_));
+  EXPECT_FALSE(controller_.can_start_tasks(now_));
+  EXPECT_TRUE(heartbeat(kFirst, 2, Term(7), {}, false));
   controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 0U);
   EXPECT_FALSE(controller_.begin_write(now_));
   now_ += Millis(24'000);  // 40 s for a cancellation, less a worker's lease of 10 s and a margin of 2 s
-  EXPECT_FALSE(controller_.may_answer(now_));
+  EXPECT_FALSE(controller_.can_renew_agent_leases(now_));
 }
 
 // An answer renews the worker's lease: one that has waited for writes to settle needs the right to answer again. The node may
 // have stood still meanwhile, or lead no longer.
 TEST_F(Leading, AnAnswerThatWaitedNeedsTheRightOnceMore) {
-  lead();
-  ASSERT_TRUE(report(kFirst, 1, Term(7)));
+  become_leader();
+  ASSERT_TRUE(heartbeat(kFirst, 1, Term(7)));
   EXPECT_TRUE(controller_.later_commands(last_, now_));
   now_ += Millis(28'100);  // as above
   EXPECT_FALSE(controller_.later_commands(last_, now_)) << "it stood still";
-  controller_.confirm_lease(now_);
+  controller_.on_leader_lease_renewed(now_);
   EXPECT_FALSE(controller_.later_commands(last_, now_)) << "the lease alone tells nothing of cancellations";
-  controller_.confirm_reading(now_);
+  controller_.on_records_confirmed(now_);
   EXPECT_TRUE(controller_.later_commands(last_, now_));
-  controller_.hear_of(Term(8));
+  controller_.observe_term(Term(8));
   EXPECT_FALSE(controller_.later_commands(last_, now_)) << "another one leads";
 }
 
 // Invariant 7: a team's limit counts what is placed, whatever the plan says. A pass in portions may outlive the booking
 // of a run that takes longer than estimated; the plan then takes what it uses for free.
 TEST_F(Leading, KeepsTheTeamsLimitWhenAPassOutlivesABooking) {
-  lead();
+  become_leader();
   submit(job_of(16));  // of 4 CPUs each: all that the team may have
   const std::vector<MachineId> machines{kFirst, kSecond, MachineId("m-000003"), MachineId("m-000004")};
-  for (const MachineId& machine : machines) (void)report(machine, 1, Term(7));
+  for (const MachineId& machine : machines) (void)heartbeat(machine, 1, Term(7));
   controller_.plan_pass(now_);
   ASSERT_EQ(placed(), 16U);
   now_ += Millis(59'000);  // of the 60 s for which they are booked
-  (void)report(MachineId("m-000005"), 1, Term(7));
+  (void)heartbeat(MachineId("m-000005"), 1, Term(7));
   wire::JobSpec next = job_of(1);
   next.id = JobId("j-000002");
   submit(next);
   wire::JobSpec last = job_of(1);
   last.id = JobId("j-000003");
   submit(last);
-  ASSERT_FALSE(controller_.plan_some(now_, 1));
+  ASSERT_FALSE(controller_.plan_portion(now_, 1));
   now_ += Millis(2'000);
-  (void)report(MachineId("m-000005"), 2, Term(7));
-  ASSERT_TRUE(controller_.plan_some(now_, 1));
-  EXPECT_EQ(controller_.jobs().at(next.id).runs_count, 0U);
-  EXPECT_EQ(controller_.jobs().at(last.id).runs_count, 0U);
+  (void)heartbeat(MachineId("m-000005"), 2, Term(7));
+  ASSERT_TRUE(controller_.plan_portion(now_, 1));
+  EXPECT_EQ(controller_.jobs().at(next.id).allocation_count, 0U);
+  EXPECT_EQ(controller_.jobs().at(last.id).allocation_count, 0U);
 }
 
 // What operators are told.
 TEST_F(Leading, ExplainsWhyAJobWaits) {
   EXPECT_FALSE(controller_.explain(kJob, now_)) << "it does not lead";
-  lead();
+  become_leader();
   EXPECT_FALSE(controller_.explain(kJob, now_)) << "it knows no such job";
   submit(job_of(20));  // of 4 CPUs each; the team may have 64
   EXPECT_EQ(controller_.explain(kJob, now_),
             "20 of 20 tasks wait; no machine that is up or boots has room for it; the settings forbid renting");
-  (void)report(kFirst, 1, Term(7));
+  (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 4U);
   EXPECT_EQ(
@@ -500,97 +502,97 @@
 }
 
 TEST_F(Leading, CountsWhatIsNotWrittenYetAndSinceWhen) {
-  lead();
-  EXPECT_EQ(controller_.census(now_).unwritten, 0U);
+  become_leader();
+  EXPECT_EQ(controller_.cluster_summary(now_).unwritten, 0U);
   submit(job_of(2));
-  (void)report(kFirst, 1, Term(7));
+  (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
   now_ += Millis(700);
-  control::Census census = controller_.census(now_);
-  EXPECT_EQ(census.tasks_placed, 2U);
-  EXPECT_EQ(census.machines_up, 1U);
-  EXPECT_EQ(census.unwritten, 1U);
-  EXPECT_EQ(census.unwritten_oldest, Millis(700));
+  control::ClusterSummary cluster_summary = controller_.cluster_summary(now_);
+  EXPECT_EQ(cluster_summary.tasks_placed, 2U);
+  EXPECT_EQ(cluster_summary.machines_up, 1U);
+  EXPECT_EQ(cluster_summary.unwritten, 1U);
+  EXPECT_EQ(cluster_summary.unwritten_oldest, Millis(700));
   ASSERT_TRUE(write(kv::Answer::none));  // it may be written, or not
   now_ += Millis(300);
-  EXPECT_EQ(controller_.census(now_).unwritten_oldest, Millis(1000));
+  EXPECT_EQ(controller_.cluster_summary(now_).unwritten_oldest, Millis(1000));
   ASSERT_TRUE(write());
-  census = controller_.census(now_);
-  EXPECT_EQ(census.unwritten, 0U);
-  EXPECT_EQ(census.unwritten_oldest, Millis(0));
-  EXPECT_GT(census.fence_left, Millis(0));
+  cluster_summary = controller_.cluster_summary(now_);
+  EXPECT_EQ(cluster_summary.unwritten, 0U);
+  EXPECT_EQ(cluster_summary.unwritten_oldest, Millis(0));
+  EXPECT_GT(cluster_summary.fence_left, Millis(0));
 }
 
 // ---- hints of a standby ----
 
-void add_fact(standby::Picture& picture, standby::Kind kind, std::string name, standby::What what) {
+void add_fact(standby::SoftStateSnapshot& snapshot, standby::Kind kind, std::string name, standby::EntryValue what) {
   standby::Key key;
   key.kind = kind;
   key.name = std::move(name);
-  picture.facts.push_back({.key = std::move(key), .what = std::move(what)});
+  snapshot.entries.push_back({.key = std::move(key), .what = std::move(what)});
 }
 
-standby::Picture hints(Instant now, bool up = true) {
-  standby::Picture picture{.term = Term(6), .taken = now, .starts_s = 1, .facts = {}};
+standby::SoftStateSnapshot hints(Instant now, bool up = true) {
+  standby::SoftStateSnapshot snapshot{.term = Term(6), .taken = now, .starts_s = 1, .entries = {}};
   standby::Machine machine{.address = "127.0.0.1:1", .type = "plain", .zone = "b", .up = up};
   machine.since = now - Millis(2000);
   machine.ready = now + Millis(8000);
   machine.images = {"img"};
-  add_fact(picture, standby::Kind::machine, kSecond.text(), standby::Shared(machine));
-  add_fact(picture, standby::Kind::task, kJob.text(),
-           standby::Task{.attempt = AttemptNo(1), .began = now - Millis(50'000), .saved = {}});
-  return picture;
+  add_fact(snapshot, standby::Kind::machine, kSecond.text(), standby::Shared(machine));
+  add_fact(snapshot, standby::Kind::task, kJob.text(),
+           standby::Task{.attempt = AttemptNumber(1), .began = now - Millis(50'000), .saved = {}});
+  return snapshot;
 }
 
 // Work is planned on it, so that nothing is rented in its place; but it starts nothing before it has reported.
 TEST_F(Leading, AHintedMachineIsCountedOnButNotUsed) {
-  lead();
+  become_leader();
   submit(job_of(1));
   controller_.plan_pass(now_);
   ASSERT_EQ(controller_.jobs().at(kJob).late_tasks, 1U);
-  controller_.hint(hints(now_), now_);
-  controller_.confirm_lease(now_);
-  controller_.confirm_reading(now_);
+  controller_.apply_soft_state(hints(now_), now_);
+  controller_.on_leader_lease_renewed(now_);
+  controller_.on_records_confirmed(now_);
   controller_.plan_pass(now_);
   EXPECT_EQ(controller_.jobs().at(kJob).late_tasks, 0U);
   EXPECT_TRUE(controller_.jobs().at(kJob).planned_start);
   EXPECT_EQ(placed(), 0U);
   now_ += Millis(3000);  // it was to report by now
-  controller_.confirm_lease(now_);
-  controller_.confirm_reading(now_);
+  controller_.on_leader_lease_renewed(now_);
+  controller_.on_records_confirmed(now_);
   controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 0U);
-  (void)report(kSecond, 1, Term(7));
+  (void)heartbeat(kSecond, 1, Term(7));
   controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 1U);
 }
 
 TEST_F(Leading, HintsOfItsOwnTermOrOldOnesAreNotTaken) {
-  lead();
-  standby::Picture own = hints(now_);
+  become_leader();
+  standby::SoftStateSnapshot own = hints(now_);
   own.term = Term(7);
-  controller_.hint(own, now_);
+  controller_.apply_soft_state(own, now_);
   EXPECT_TRUE(controller_.machines().empty());
-  standby::Picture old = hints(now_);
-  old.taken -= constants::kStandbyOldest + Millis(1);
-  controller_.hint(old, now_);
+  standby::SoftStateSnapshot old = hints(now_);
+  old.taken -= constants::kMaxSoftStateAge + Millis(1);
+  controller_.apply_soft_state(old, now_);
   EXPECT_TRUE(controller_.machines().empty());
-  controller_.resign("it ends");
-  controller_.hint(hints(now_), now_);
+  controller_.step_down("it ends");
+  controller_.apply_soft_state(hints(now_), now_);
   EXPECT_TRUE(controller_.machines().empty());
 }
 
 // A machine that was returned since is forgotten; the list would have told it.
 TEST_F(Leading, AHintedMachineThatIsNeverSeenIsForgotten) {
-  lead();
-  controller_.hint(hints(now_), now_);
+  become_leader();
+  controller_.apply_soft_state(hints(now_), now_);
   ASSERT_EQ(controller_.machines().size(), 1U);
   for (int step = 0; step < 60; ++step) {
     now_ += Millis(1000);
-    controller_.confirm_lease(now_);
-    controller_.confirm_reading(now_);
+    controller_.on_leader_lease_renewed(now_);
+    controller_.on_records_confirmed(now_);
     controller_.tick(now_);
-    EXPECT_TRUE(controller_.next_returns(now_).empty());
+    EXPECT_TRUE(controller_.next_scale_in(now_).empty());
   }
   EXPECT_TRUE(controller_.machines().empty());
 }
@@ -599,26 +601,26 @@
 // until nobody can have renewed its machine's lease, and no longer. The machine stands in zone b, whose controller answers it.
 class LeadingByHints : public Leading, public testing::WithParamInterface<const char*> {};
 TEST_P(LeadingByHints, ShortenNoLease) {
-  lead({placed_on(kSecond, job_of(1))});
+  become_leader({placed_on(kSecond, job_of(1))});
   if (const std::string zone = GetParam(); !zone.empty()) {
     standby::Machine machine{.address = "127.0.0.1:1", .type = "plain", .zone = zone, .up = true};
-    standby::Picture told = hints(now_);
-    told.facts[0].what = standby::Shared(machine);
-    controller_.hint(told, now_);
+    standby::SoftStateSnapshot told = hints(now_);
+    told.entries[0].what = standby::Shared(machine);
+    controller_.apply_soft_state(told, now_);
     ASSERT_EQ(controller_.machines().at(kSecond).zone, zone);
   }
-  controller_.confirm_lease(now_);
-  controller_.confirm_reading(now_);
+  controller_.on_leader_lease_renewed(now_);
+  controller_.on_records_confirmed(now_);
   // Asked for before the machine counts as silent, as it would be left out of the grant otherwise.
-  const auto grant = controller_.on_ask(
+  const auto delegation = controller_.on_delegation_request(
       {.node = NodeName("node-1"), .life = 1, .sequence = 1, .term = Term(7), .holds = {}, .uses = {}}, now_);
-  ASSERT_TRUE(grant);
-  ASSERT_TRUE(grant->except.empty());
-  const Instant end = now_ + grant_spans(settings()).bound + lease_span(settings());
+  ASSERT_TRUE(delegation);
+  ASSERT_TRUE(delegation->except.empty());
+  const Instant end = now_ + delegation_spans(settings()).bound + lease_span(settings());
   ASSERT_GT(end, now_ + Millis(20'000) + lease_span(settings())) << "older leaders' reckoning ends before, by lead()";
   for (const Instant last = end + Millis(2000); now_ < last; now_ += Millis(1000)) {
-    controller_.confirm_lease(now_);
-    controller_.confirm_reading(now_);
+    controller_.on_leader_lease_renewed(now_);
+    controller_.on_records_confirmed(now_);
     controller_.tick(now_);
     ASSERT_EQ(placed(), now_ <= end ? 1U : 0U) << (end - now_).count() << " ms before the lease's end";
   }
@@ -630,25 +632,27 @@
 TEST_F(Leading, AHintedZoneAllowsNoTaskOfAJobInOneZone) {
   wire::JobSpec spec = job_of(2);
   spec.one_zone = true;
-  lead({placed_on(kSecond, spec)});
-  controller_.hint(hints(now_), now_);  // in zone b, they say
-  wire::Report made;
-  (void)report(MachineId("m-000003"), 1, Term(7));  // in zone b
+  become_leader({placed_on(kSecond, spec)});
+  controller_.apply_soft_state(hints(now_), now_);  // in zone b, they say
+  wire::Heartbeat made;
+  (void)heartbeat(MachineId("m-000003"), 1, Term(7));  // in zone b
   controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 1U);
-  (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
+  (void)heartbeat(kSecond, 1, Term(7), {task(0, TaskState::running)});
   controller_.plan_pass(now_);
   EXPECT_EQ(placed(), 2U);
 }
 
 // What has run for 50 of 60 s leaves its place in 10; and it counts as running once a report says so.
 TEST_F(Leading, AHintedStartTellsWhenTheTaskEnds) {
-  lead({placed_on(kSecond, job_of(1))});
-  controller_.hint(hints(now_), now_);
-  const auto run = [&]() -> const control::Run& { return controller_.jobs().at(kJob).parts[0].runs.at(0); };
+  become_leader({placed_on(kSecond, job_of(1))});
+  controller_.apply_soft_state(hints(now_), now_);
+  const auto run = [&]() -> const control::Allocation& {
+    return controller_.jobs().at(kJob).shards[0].allocations.at(0);
+  };
   EXPECT_FALSE(run().running_since);
   EXPECT_EQ(controller_.planned_ends().at(kJob), now_ + Millis(10'000));
-  (void)report(kSecond, 1, Term(7), {task(0, TaskState::running)});
+  (void)heartbeat(kSecond, 1, Term(7), {task(0, TaskState::running)});
   ASSERT_TRUE(run().running_since);
   EXPECT_EQ(*run().running_since, now_ - Millis(50'000));
   EXPECT_EQ(controller_.planned_ends().at(kJob), now_ + Millis(10'000));
@@ -656,20 +660,20 @@
 
 // A hint of an attempt that is not the record's says nothing.
 TEST_F(Leading, AHintedStartOfAnotherAttemptIsPassedOver) {
-  lead({placed_on(kSecond, job_of(1))});
-  standby::Picture other = hints(now_);
-  std::get<standby::Task>(other.facts[1].what).attempt = AttemptNo(9);
-  controller_.hint(other, now_);
+  become_leader({placed_on(kSecond, job_of(1))});
+  standby::SoftStateSnapshot other = hints(now_);
+  std::get<standby::Task>(other.entries[1].what).attempt = AttemptNumber(9);
+  controller_.apply_soft_state(other, now_);
   EXPECT_EQ(controller_.planned_ends().at(kJob), now_ + Millis(60'000));
 }
 
 // A takeover within a takeover: what was hinted is told on as it was.
 TEST_F(Leading, HintsAreToldOnUntilTheyAreSeen) {
-  lead({placed_on(kFirst, job_of(1))});
-  controller_.hint(hints(now_), now_);
-  const standby::Picture told = controller_.soft_state(now_);
+  become_leader({placed_on(kFirst, job_of(1))});
+  controller_.apply_soft_state(hints(now_), now_);
+  const standby::SoftStateSnapshot told = controller_.soft_state(now_);
   ASSERT_EQ(told.count(standby::Kind::machine), 1U);
-  const auto& machine = *std::get<standby::Shared<standby::Machine>>(told.facts[0].what);
+  const auto& machine = *std::get<standby::Shared<standby::Machine>>(told.entries[0].what);
   EXPECT_TRUE(machine.up);
   EXPECT_EQ(machine.zone, "b");
   EXPECT_EQ(told.count(standby::Kind::task), 1U);
@@ -678,19 +682,19 @@
 
 // Refusals, arrivals of a class that can't wait, and sizes come through.
 TEST_F(Leading, LearntDemandAndRefusalsAreHinted) {
-  lead();
-  standby::Picture told = hints(now_);
-  told.facts.clear();
+  become_leader();
+  standby::SoftStateSnapshot told = hints(now_);
+  told.entries.clear();
   add_fact(told, standby::Kind::refusal, "plain",
            standby::Shared(standby::Refusal{
                .zone = "a", .spot = false, .not_before = now_ + Millis(30'000), .pause = Millis(40'000), .most = 3}));
   add_fact(told, standby::Kind::sample, "work",
            standby::Shared(standby::Sample{.cpus = 4, .estimate_s = 60, .largest = 40}));
-  controller_.hint(told, now_);
-  const standby::Picture again = controller_.soft_state(now_);
+  controller_.apply_soft_state(told, now_);
+  const standby::SoftStateSnapshot again = controller_.soft_state(now_);
   ASSERT_EQ(again.count(standby::Kind::refusal), 1U);
   ASSERT_EQ(again.count(standby::Kind::sample), 1U);
-  for (const standby::Fact& fact : again.facts) {
+  for (const standby::SoftStateEntry& fact : again.entries) {
     if (fact.key.kind == standby::Kind::refusal) {
       EXPECT_EQ(std::get<standby::Shared<standby::Refusal>>(fact.what)->most, 3U);
     } else {
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -24,34 +24,34 @@
 
 TEST_F(DeadlinePlanning, OnlyOtherJobsOrOtherSlackChangeTheOrder) {
   const JobId job("j-000001");
-  EXPECT_TRUE(deadlines_.on_dues({{job, {.by = now_, .step = 1}}}));
-  EXPECT_FALSE(deadlines_.on_dues({{job, {.by = now_ + Millis(5), .step = 1}}}));
-  EXPECT_TRUE(deadlines_.on_dues({{job, {.by = now_, .step = 2}}}));
+  EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.by = now_, .step = 1}}}));
+  EXPECT_FALSE(deadlines_.on_due_jobs({{job, {.by = now_ + Millis(5), .step = 1}}}));
+  EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.by = now_, .step = 2}}}));
   EXPECT_EQ(deadlines_.slack().at(job), 2);
 }
 
 TEST_F(DeadlinePlanning, AJobBookedInTimeLacksNothing) {
   Job& job = add_job(spec_of("j-000001", 2));
   book(job, add_machine("m-000001"), 2, now_ + Millis(60'000));
-  deadlines_.on_dues({{job.spec.id, {.by = now_ + Millis(100'000), .step = 1}}});
-  const auto forecasts = deadlines_.prospects(view(), now_ + Millis(1), now_);
+  deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(100'000), .step = 1}}});
+  const auto forecasts = deadlines_.deadline_forecasts(view(), now_ + Millis(1), now_);
   ASSERT_TRUE(forecasts.contains(job.spec.id));
-  EXPECT_EQ(forecasts.at(job.spec.id).lack, foresight::Lack::nothing);
+  EXPECT_EQ(forecasts.at(job.spec.id).lack, foresight::ShortfallReason::nothing);
   EXPECT_EQ(forecasts.at(job.spec.id).end, now_ + Millis(60'000));
 }
 
 TEST_F(DeadlinePlanning, AJobThatRunsLongerThanItsDeadlineLacksTime) {
   Job& job = add_job(spec_of("j-000001", 2));
-  deadlines_.on_dues({{job.spec.id, {.by = now_ + Millis(30'000), .step = 1}}});
-  const auto forecasts = deadlines_.prospects(view(), now_ + Millis(1), now_);
+  deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(30'000), .step = 1}}});
+  const auto forecasts = deadlines_.deadline_forecasts(view(), now_ + Millis(1), now_);
   ASSERT_TRUE(forecasts.contains(job.spec.id));
-  EXPECT_EQ(forecasts.at(job.spec.id).lack, foresight::Lack::time);
+  EXPECT_EQ(forecasts.at(job.spec.id).lack, foresight::ShortfallReason::time);
 }
 
 TEST_F(DeadlinePlanning, NothingIsForecastOfAJobThatCameAfterThePassBegan) {
   const Job& job = add_job(spec_of("j-000001", 2));
-  deadlines_.on_dues({{job.spec.id, {.by = now_ + Millis(30'000), .step = 1}}});
-  EXPECT_TRUE(deadlines_.prospects(view(), now_ - Millis(1), now_).empty());
+  deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(30'000), .step = 1}}});
+  EXPECT_TRUE(deadlines_.deadline_forecasts(view(), now_ - Millis(1), now_).empty());
 }
 
 TEST_F(DeadlinePlanning, TasksBookedTooLateAreOverdueWhereAMachineRentedNowWouldBeInTime) {
@@ -60,7 +60,7 @@
   const std::vector<plan::Placing> placings{
       {.machine = machine.id, .start = now_ + Millis(200'000), .stop = now_ + Millis(260'000), .count = 2}};
   EXPECT_EQ(deadlines_.overdue(view(), job, placings, {}, now_), 0U);  // it is not due
-  deadlines_.on_dues({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
+  deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
   EXPECT_EQ(deadlines_.overdue(view(), job, placings, {}, now_), 2U);
   // A machine has room for them in time: it is something else that lacks.
   EXPECT_EQ(deadlines_.overdue(view(), job, placings, {{.node = machine.planned}}, now_), 0U);
--- a/tests/unit/demand_and_capacity_test.cpp
+++ b/tests/unit/demand_and_capacity_test.cpp
@@ -54,7 +54,7 @@
 
 TEST_F(Supplies, ARefusalHoldsUntilThereIsRoomOrItsPauseEnds) {
   const Millis pause = supply_.refused(kPlain, 4, now_);
-  EXPECT_EQ(pause, constants::kCapacityPause);
+  EXPECT_EQ(pause, constants::kCapacityRefusalBackoff);
   EXPECT_FALSE(supply_.is_available(kPlain, {{kPlain, 4}}, now_));
   EXPECT_TRUE(supply_.is_available(kPlain, {{kPlain, 3}}, now_));
   EXPECT_TRUE(supply_.is_available(kBig, {}, now_));
@@ -64,7 +64,7 @@
   for (int time = 0; time < 20; ++time) {
     const Millis next = supply_.refused(kPlain, 4, now_);
     EXPECT_GE(next, last);
-    EXPECT_LE(next, constants::kCapacityPauseMost);
+    EXPECT_LE(next, constants::kMaxCapacityRefusalBackoff);
     last = next;
   }
   supply_.given(kPlain);
--- a/tests/unit/gang_coordinator_test.cpp
+++ b/tests/unit/gang_coordinator_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_FALSE(GangCoordinator::waits_at_barrier(job_));  // none is placed
   place_two(TaskState::waiting);
   EXPECT_TRUE(GangCoordinator::waits_at_barrier(job_));
-  cluster_.jobs.find_run({job_.spec.id, 1})->seen = TaskState::running;
+  cluster_.jobs.find_allocation({job_.spec.id, 1})->seen = TaskState::running;
   EXPECT_FALSE(GangCoordinator::waits_at_barrier(job_));
 }
 
--- a/tests/unit/gang_reservation_test.cpp
+++ b/tests/unit/gang_reservation_test.cpp
@@ -42,15 +42,15 @@
   GangReservation reservation;
   reservation.choose(kBoth, kNow);
   reservation.plan("a", {kMachine});
-  const Instant ended = kNow + constants::kReservationMost;
+  const Instant ended = kNow + constants::kMaxReservation;
   reservation.choose(kBoth, ended);
   EXPECT_FALSE(reservation.held_by(kOlder));
   EXPECT_FALSE(reservation.held_by(kYounger));
   EXPECT_FALSE(reservation.keeps(kMachine));
   EXPECT_TRUE(reservation.zone().empty());
-  reservation.choose(kBoth, ended + constants::kReservationPause - Millis(1));
+  reservation.choose(kBoth, ended + constants::kReservationBackoff - Millis(1));
   EXPECT_FALSE(reservation.held_by(kOlder));
-  reservation.choose(kBoth, ended + constants::kReservationPause);
+  reservation.choose(kBoth, ended + constants::kReservationBackoff);
   EXPECT_TRUE(reservation.held_by(kOlder));
 }
 
@@ -61,7 +61,7 @@
   reservation.choose(kOnlyYounger, begun);
   EXPECT_FALSE(reservation.held_by(kOlder));
   EXPECT_FALSE(reservation.held_by(kYounger));
-  reservation.choose(kOnlyYounger, begun + constants::kReservationPause);
+  reservation.choose(kOnlyYounger, begun + constants::kReservationBackoff);
   EXPECT_TRUE(reservation.held_by(kYounger));
 }
 
--- a/tests/unit/grants_test.cpp
+++ b/tests/unit/grants_test.cpp
@@ -28,28 +28,29 @@
   return made;
 }
 
-Spans spans() { return control::grant_spans(settings()); }
-Book book() { return {settings().siblings, spans()}; }
-Holder holder(std::uint64_t life = 1) { return {kSibling, "b", life, spans()}; }
+Spans spans() { return control::delegation_spans(settings()); }
+DelegationTable book() { return {settings().siblings, spans()}; }
+DelegatedLease holder(std::uint64_t life = 1) { return {kSibling, "b", life, spans()}; }
 
 // A word and its answer, as a leader for whom what the word tells changes nothing of what it leaves out.
-std::optional<Grant> on_ask(Book& giver, const Ask& ask, Term term, std::optional<Instant> known,
-                            const std::vector<MachineId>& except, Instant now) {
+std::optional<LeaseDelegation> on_delegation_request(DelegationTable& giver, const DelegationRequest& ask, Term term,
+                                                     std::optional<Instant> known, const std::vector<MachineId>& except,
+                                                     Instant now) {
   if (!giver.hear(ask, term, now)) return std::nullopt;
   return giver.give(ask.node, term, known, except, now);
 }
 
 TEST(Grants, EndAFenceAfterWhatTheGiverKnew) {
-  Book giver = book();
-  Holder held = holder();
+  DelegationTable giver = book();
+  DelegatedLease held = holder();
   EXPECT_FALSE(held.answers(kMachine, "b", Term(0), kStart));
-  const auto grant =
-      on_ask(giver, held.next_ask(Term(3), kStart), Term(3), kStart - Millis(700), {}, kStart + Millis(20));
-  ASSERT_TRUE(grant);
+  const auto delegation = on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3),
+                                                kStart - Millis(700), {}, kStart + Millis(20));
+  ASSERT_TRUE(delegation);
   // The answer comes minutes late, and counts from when it was asked for.
-  ASSERT_TRUE(held.on_grant(*grant, kStart));
+  ASSERT_TRUE(held.on_delegation(*delegation, kStart));
   EXPECT_EQ(held.answers(kMachine, "b", Term(2), kStart + Millis(100)), Term(3));
-  const Instant end = kStart - Millis(720) + spans().grant;
+  const Instant end = kStart - Millis(720) + spans().delegation;
   EXPECT_TRUE(held.answers(kMachine, "b", Term(3), end - Millis(1)));
   EXPECT_FALSE(held.answers(kMachine, "b", Term(3), end));
   EXPECT_GE(giver.renewed_until("b", kMachine), end);
@@ -58,116 +59,125 @@
 }
 
 TEST(Grants, AreForTheZoneTheTermAndWhoIsNotLeftOut) {
-  Book giver = book();
-  Holder held = holder();
-  const auto grant = on_ask(giver, held.next_ask(Term(3), kStart), Term(3), kStart, {MachineId("m-000002")}, kStart);
-  ASSERT_TRUE(held.on_grant(*grant, kStart));
+  DelegationTable giver = book();
+  DelegatedLease held = holder();
+  const auto delegation = on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), kStart,
+                                                {MachineId("m-000002")}, kStart);
+  ASSERT_TRUE(held.on_delegation(*delegation, kStart));
   EXPECT_FALSE(held.answers(MachineId("m-000002"), "b", Term(3), kStart)) << "left out";
   EXPECT_FALSE(held.answers(kMachine, "a", Term(3), kStart)) << "another zone";
   EXPECT_FALSE(held.answers(kMachine, "b", Term(4), kStart)) << "the worker has seen a later term";
   EXPECT_EQ(giver.renewed_until("b", MachineId("m-000002")), Instant{});
-  held.hear_of(Term(4));
+  held.observe_term(Term(4));
   EXPECT_FALSE(held.answers(kMachine, "b", Term(3), kStart)) << "a later term";
 }
 
 TEST(Grants, ANewerOneReplacesOlderOnesForTheGiverOnlyWhenTheHolderSaysSo) {
-  Book giver = book();
-  Holder held = holder();
-  const auto first = on_ask(giver, held.next_ask(Term(3), kStart), Term(3), kStart, {}, kStart);
-  ASSERT_TRUE(held.on_grant(*first, kStart));
+  DelegationTable giver = book();
+  DelegatedLease held = holder();
+  const auto first = on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), kStart, {}, kStart);
+  ASSERT_TRUE(held.on_delegation(*first, kStart));
   EXPECT_TRUE(held.answers(kMachine, "b", Term(3), kStart + Millis(200)));
   const Instant later = kStart + Millis(1000);
-  const auto second = on_ask(giver, held.next_ask(Term(3), later), Term(3), later, {kMachine}, later);
-  EXPECT_GE(giver.renewed_until("b", kMachine), kStart + spans().grant) << "the first may be in use";
-  ASSERT_TRUE(held.on_grant(*second, later));
-  EXPECT_FALSE(held.on_grant(*first, later)) << "an older one is no step back";
+  const auto second =
+      on_delegation_request(giver, held.next_request(Term(3), later), Term(3), later, {kMachine}, later);
+  EXPECT_GE(giver.renewed_until("b", kMachine), kStart + spans().delegation) << "the first may be in use";
+  ASSERT_TRUE(held.on_delegation(*second, later));
+  EXPECT_FALSE(held.on_delegation(*first, later)) << "an older one is no step back";
   const Instant last = later + Millis(1000);
-  ASSERT_TRUE(on_ask(giver, held.next_ask(Term(3), last), Term(3), last, {kMachine}, last));
+  ASSERT_TRUE(on_delegation_request(giver, held.next_request(Term(3), last), Term(3), last, {kMachine}, last));
   EXPECT_EQ(giver.renewed_until("b", kMachine), kStart + Millis(200)) << "the use that was told";
   EXPECT_TRUE(giver.used_within("b", kMachine, Millis(1800), last));
   EXPECT_FALSE(giver.used_within("b", kMachine, Millis(1700), last));
 }
 
 TEST(Grants, WhatAnEndedProcessDidIsCountedUpToItsSuccessor) {
-  Book giver = book();
-  Holder held = holder(5);
-  ASSERT_TRUE(held.on_grant(*on_ask(giver, held.next_ask(Term(3), kStart), Term(3), kStart, {}, kStart), kStart));
-  const Ask stale = held.next_ask(Term(3), kStart + Millis(500));
-  Holder next = holder(6);
+  DelegationTable giver = book();
+  DelegatedLease held = holder(5);
+  ASSERT_TRUE(held.on_delegation(
+      *on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), kStart, {}, kStart), kStart));
+  const DelegationRequest stale = held.next_request(Term(3), kStart + Millis(500));
+  DelegatedLease next = holder(6);
   const Instant back = kStart + Millis(6000);
-  ASSERT_TRUE(on_ask(giver, next.next_ask(Term(3), back), Term(3), back, {kMachine}, back));
+  ASSERT_TRUE(on_delegation_request(giver, next.next_request(Term(3), back), Term(3), back, {kMachine}, back));
   EXPECT_EQ(giver.renewed_until("b", kMachine), back);
   // A word of the ended process that was held up till now says nothing of its successor.
-  ASSERT_FALSE(on_ask(giver, stale, Term(3), back, {}, back + Millis(10)));
-  const auto grant =
-      on_ask(giver, next.next_ask(Term(3), back + Millis(20)), Term(3), back, {kMachine}, back + Millis(20));
-  ASSERT_TRUE(next.on_grant(*grant, back + Millis(20)));
-  (void)on_ask(giver, next.next_ask(Term(3), back + Millis(900)), Term(3), back, {kMachine}, back + Millis(900));
+  ASSERT_FALSE(on_delegation_request(giver, stale, Term(3), back, {}, back + Millis(10)));
+  const auto delegation = on_delegation_request(giver, next.next_request(Term(3), back + Millis(20)), Term(3), back,
+                                                {kMachine}, back + Millis(20));
+  ASSERT_TRUE(next.on_delegation(*delegation, back + Millis(20)));
+  (void)on_delegation_request(giver, next.next_request(Term(3), back + Millis(900)), Term(3), back, {kMachine},
+                              back + Millis(900));
   EXPECT_EQ(giver.renewed_until("b", kMachine), back) << "not forgotten with the grants that the successor replaced";
 }
 
 TEST(Grants, WithoutTheRightThereIsAnAnswerThatGivesNothing) {
-  Book giver = book();
-  Holder held = holder();
-  const auto grant = on_ask(giver, held.next_ask(Term(3), kStart), Term(3), std::nullopt, {}, kStart);
-  ASSERT_TRUE(grant);
-  ASSERT_TRUE(held.on_grant(*grant, kStart));
+  DelegationTable giver = book();
+  DelegatedLease held = holder();
+  const auto delegation =
+      on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), std::nullopt, {}, kStart);
+  ASSERT_TRUE(delegation);
+  ASSERT_TRUE(held.on_delegation(*delegation, kStart));
   EXPECT_FALSE(held.answers(kMachine, "b", Term(3), kStart));
   EXPECT_EQ(giver.renewed_until("b", kMachine), Instant{});
-  EXPECT_FALSE(on_ask(giver, held.next_ask(Term(4), kStart), Term(3), kStart, {}, kStart)) << "another term";
-  Holder stranger(NodeName("node-9"), "b", 1, spans());
-  EXPECT_FALSE(on_ask(giver, stranger.next_ask(Term(3), kStart), Term(3), kStart, {}, kStart)) << "no sibling";
+  EXPECT_FALSE(on_delegation_request(giver, held.next_request(Term(4), kStart), Term(3), kStart, {}, kStart))
+      << "another term";
+  DelegatedLease stranger(NodeName("node-9"), "b", 1, spans());
+  EXPECT_FALSE(on_delegation_request(giver, stranger.next_request(Term(3), kStart), Term(3), kStart, {}, kStart))
+      << "no sibling";
 }
 
 TEST(Grants, OlderTermsAreOverWhenAllHaveAskedAndAskedAgain) {
-  Book giver = book();
-  Holder one = holder();
-  Holder two(NodeName("node-2"), "c", 1, spans());
-  const auto round = [&](Holder& each, Instant when) {
-    const auto grant = on_ask(giver, each.next_ask(Term(3), when), Term(3), when, {}, when);
-    ASSERT_TRUE(grant);
-    ASSERT_TRUE(each.on_grant(*grant, when));
+  DelegationTable giver = book();
+  DelegatedLease one = holder();
+  DelegatedLease two(NodeName("node-2"), "c", 1, spans());
+  const auto round = [&](DelegatedLease& each, Instant when) {
+    const auto delegation = on_delegation_request(giver, each.next_request(Term(3), when), Term(3), when, {}, when);
+    ASSERT_TRUE(delegation);
+    ASSERT_TRUE(each.on_delegation(*delegation, when));
   };
   round(one, kStart);
   round(one, kStart + Millis(1));
   round(two, kStart + Millis(2));
   // The second might have given the first an older term's grant until it asked itself.
-  EXPECT_FALSE(giver.older_terms_over());
+  EXPECT_FALSE(giver.have_older_terms_ended());
   round(two, kStart + Millis(3));
-  EXPECT_FALSE(giver.older_terms_over());
+  EXPECT_FALSE(giver.have_older_terms_ended());
   round(one, kStart + Millis(4));
-  EXPECT_FALSE(giver.older_terms_over()) << "what it holds was given before the second had asked";
+  EXPECT_FALSE(giver.have_older_terms_ended()) << "what it holds was given before the second had asked";
   round(one, kStart + Millis(5));
-  EXPECT_TRUE(giver.older_terms_over());
+  EXPECT_TRUE(giver.have_older_terms_ended());
 }
 
 TEST(Grants, UsesHaveToFitAWord) {
-  Book giver = book();
-  Holder held = holder();
-  ASSERT_TRUE(held.on_grant(*on_ask(giver, held.next_ask(Term(3), kStart), Term(3), kStart, {}, kStart), kStart));
-  for (std::size_t machine = 0; machine < constants::kGrantMachinesMost; ++machine) {
+  DelegationTable giver = book();
+  DelegatedLease held = holder();
+  ASSERT_TRUE(held.on_delegation(
+      *on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), kStart, {}, kStart), kStart));
+  for (std::size_t machine = 0; machine < constants::kMaxDelegationMachines; ++machine) {
     ASSERT_TRUE(held.answers(MachineId("m-" + std::to_string(100'000 + machine)), "b", Term(3), kStart));
   }
   EXPECT_FALSE(held.answers(kMachine, "b", Term(3), kStart));
-  EXPECT_LT(wire::encode(to_value(held.next_ask(Term(3), kStart))).size(), constants::kBodyLimitBytes);
+  EXPECT_LT(wire::encode(to_value(held.next_request(Term(3), kStart))).size(), constants::kMaxBodyBytes);
 }
 
 TEST(Grants, WordsComeBackAsTheyWere) {
-  const Ask ask{.node = kSibling,
-                .life = 1'800'000'000'123,
-                .sequence = 9,
-                .term = Term(4),
-                .holds = GrantNo(17),
-                .uses = {{.machine = kMachine, .ago = Millis(1200)}}};
-  EXPECT_EQ(ask_from(wire::decode(wire::encode(to_value(ask)))), ask);
-  const Grant grant{.number = GrantNo(18), .term = Term(4), .zone = "b", .age = Millis(800), .except = {kMachine}};
-  EXPECT_EQ(grant_from(wire::decode(wire::encode(to_value(grant)))), grant);
+  const DelegationRequest ask{.node = kSibling,
+                              .life = 1'800'000'000'123,
+                              .sequence = 9,
+                              .term = Term(4),
+                              .holds = DelegationNumber(17),
+                              .uses = {{.machine = kMachine, .ago = Millis(1200)}}};
+  EXPECT_EQ(delegation_request_from(wire::decode(wire::encode(to_value(ask)))), ask);
+  const LeaseDelegation delegation{
+      .number = DelegationNumber(18), .term = Term(4), .zone = "b", .age = Millis(800), .except = {kMachine}};
+  EXPECT_EQ(delegation_from(wire::decode(wire::encode(to_value(delegation)))), delegation);
 }
 
 TEST(Grants, MalformedWordsAreRefused) {
   using wire::Value;
-  const Value good =
-      to_value(Grant{.number = GrantNo(1), .term = Term(1), .zone = "b", .age = Millis(1), .except = {}});
+  const Value good = to_value(
+      LeaseDelegation{.number = DelegationNumber(1), .term = Term(1), .zone = "b", .age = Millis(1), .except = {}});
   const auto with = [&good](const std::string& field, Value value) {
     Value changed = good;
     for (auto& [name, item] : *changed.as_map()) {
@@ -175,16 +185,16 @@
     }
     return changed;
   };
-  EXPECT_NO_THROW((void)grant_from(good));
-  EXPECT_THROW((void)grant_from(with("number", 0)), wire::Malformed);
-  EXPECT_THROW((void)grant_from(with("age", -1)), wire::Malformed);
-  EXPECT_THROW((void)grant_from(with("age", std::uint64_t{1} << 60)), wire::Malformed);
-  EXPECT_THROW((void)grant_from(with("zone", 7)), wire::Malformed);
-  EXPECT_THROW((void)grant_from(with("except", Value::List{7})), wire::Malformed);
-  EXPECT_THROW((void)grant_from(with("except", Value::List(constants::kGrantMachinesMost + 1, Value("m-1")))),
+  EXPECT_NO_THROW((void)delegation_from(good));
+  EXPECT_THROW((void)delegation_from(with("number", 0)), wire::Malformed);
+  EXPECT_THROW((void)delegation_from(with("age", -1)), wire::Malformed);
+  EXPECT_THROW((void)delegation_from(with("age", std::uint64_t{1} << 60)), wire::Malformed);
+  EXPECT_THROW((void)delegation_from(with("zone", 7)), wire::Malformed);
+  EXPECT_THROW((void)delegation_from(with("except", Value::List{7})), wire::Malformed);
+  EXPECT_THROW((void)delegation_from(with("except", Value::List(constants::kMaxDelegationMachines + 1, Value("m-1")))),
                wire::Malformed);
-  EXPECT_THROW((void)grant_from(Value::List{}), wire::Malformed);
-  EXPECT_THROW((void)ask_from(Value::Map{{"node", "x"}}), wire::Malformed);
+  EXPECT_THROW((void)delegation_from(Value::List{}), wire::Malformed);
+  EXPECT_THROW((void)delegation_request_from(Value::Map{{"node", "x"}}), wire::Malformed);
 }
 
 // A leader, a sibling and its later lives, words lost or held up at will, two clocks at the ends of their drift: at every
@@ -202,12 +212,12 @@
     return Instant(Millis(77'000 + std::llround(at_ms * (1 - drift / 2))));
   };
   const Spans limits = spans();
-  Book giver = book();
+  DelegationTable giver = book();
   std::uint64_t life = 1;
-  Holder held = holder(life);
+  DelegatedLease held = holder(life);
   struct OnTheWay {
     double arrives;
-    Ask ask;
+    DelegationRequest ask;
     double asked;
     std::uint64_t life;
   };
@@ -221,7 +231,7 @@
     if (pick(0, 19) == 0) {
       const bool lost = pick(0, 2) == 0;
       const double way = pick(0, 5) == 0 ? pick(0, 90'000) : pick(1, 30);
-      const Ask ask = held.next_ask(Term(1), holder_clock(at));
+      const DelegationRequest ask = held.next_request(Term(1), holder_clock(at));
       if (!lost) words.push_back({.arrives = at + way, .ask = ask, .asked = at, .life = life});
     }
     for (std::size_t word = 0; word < words.size();) {
@@ -231,10 +241,11 @@
       }
       std::vector<MachineId> except;
       if (pick(0, 2) == 0) except.push_back(machine);
-      const auto grant = on_ask(giver, words[word].ask, Term(1), giver_clock(known), except, giver_clock(at));
+      const auto delegation =
+          on_delegation_request(giver, words[word].ask, Term(1), giver_clock(known), except, giver_clock(at));
       // The sibling may have given up waiting for it, or have been restarted.
-      if (grant && words[word].life == life && pick(0, 3) > 0) {
-        (void)held.on_grant(*grant, holder_clock(words[word].asked));
+      if (delegation && words[word].life == life && pick(0, 3) > 0) {
+        (void)held.on_delegation(*delegation, holder_clock(words[word].asked));
       }
       words.erase(words.begin() + static_cast<std::ptrdiff_t>(word));
     }
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -31,7 +31,7 @@
   // The sibling is the first to notice that it is over, or has only just started.
   node.on_contact(kFirst, StateContact{.silent = 0s, .steady = 0s}, kStart + 300s);
   EXPECT_EQ(node.assess(kStart + 300s), Verdict::shared);
-  node.on_contact(kFirst, StateContact{.silent = 0s, .steady = constants::kServedElsewhere - 1ms}, kStart + 303s);
+  node.on_contact(kFirst, StateContact{.silent = 0s, .steady = constants::kPeerServedInterval - 1ms}, kStart + 303s);
   EXPECT_EQ(node.assess(kStart + 303s), Verdict::shared);
   node.on_state(kStart + 304s);
   EXPECT_EQ(node.assess(kStart + 304s), Verdict::served);
@@ -57,12 +57,12 @@
   HealthCheck node(kStart, 2);
   node.on_contact(kFirst, std::nullopt, kStart + 6s);  // an older program
   EXPECT_EQ(node.assess(kStart + 6s), Verdict::unheard);
-  EXPECT_TRUE(healthy(node.assess(kStart + constants::kCutOff - 1ms)));
-  EXPECT_EQ(node.assess(kStart + constants::kCutOff), Verdict::cut_off);
-  EXPECT_FALSE(healthy(node.assess(kStart + constants::kCutOff)));
+  EXPECT_TRUE(healthy(node.assess(kStart + constants::kIsolationTimeout - 1ms)));
+  EXPECT_EQ(node.assess(kStart + constants::kIsolationTimeout), Verdict::cut_off);
+  EXPECT_FALSE(healthy(node.assess(kStart + constants::kIsolationTimeout)));
   node.on_contact(kFirst, StateContact{.silent = 40s, .steady = 0s}, kStart + 40s);
   EXPECT_EQ(node.assess(kStart + 40s), Verdict::shared);
-  EXPECT_EQ(node.assess(kStart + 40s + constants::kWordKept), Verdict::cut_off);
+  EXPECT_EQ(node.assess(kStart + 40s + constants::kPeerStatusTtl), Verdict::cut_off);
   // With no other node to go to, being out helps nobody.
   EXPECT_EQ(HealthCheck(kStart, 0).assess(kStart + 1h), Verdict::unheard);
 }
@@ -71,7 +71,7 @@
   HealthCheck node(kStart, 2);
   for (auto at = kStart; at <= kStart + 10s; at += 2s) node.on_state(at);
   EXPECT_EQ(node.contact(kStart + 11s), (StateContact{.silent = 1s, .steady = 10s}));
-  node.on_state(kStart + 10s + constants::kPeerSilence);
+  node.on_state(kStart + 10s + constants::kPeerSilenceTimeout);
   EXPECT_EQ(node.contact(kStart + 14s), (StateContact{.silent = 1s, .steady = 0s}));
 }
 
--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -24,9 +24,9 @@
 class Book : public testing::Test {
  protected:
   Book() {
-    (void)store_.txn(
-        {.conditions = {}, .changes = {{.key = state::kTermKey, .data = wire::Value(std::uint64_t{7}), .lease = {}}}});
-    term_mark_ = store_.get(state::kTermKey).entry.mark;
+    (void)store_.txn({.preconditions = {},
+                      .changes = {{.key = state::kTermKey, .data = wire::Value(std::uint64_t{7}), .lease = {}}}});
+    term_revision_ = store_.get(state::kTermKey).entry.revision;
   }
 
   // A user submits; the watch tells of it.
@@ -38,29 +38,30 @@
     spec.team = team;
     spec.tasks = tasks;
     spec.cpus = 2;
-    ASSERT_EQ(store_.txn(state::accept_txn(state::new_job(spec, 0))).answer, kv::Answer::ok);
-    const kv::Entry live = store_.get(state::live_key(id)).entry;
-    ASSERT_TRUE(table_.on_record(id, live.mark));
-    table_.add(state::job_from(live.data), live.mark, 0, machines_, now_);
+    ASSERT_EQ(store_.txn(state::create_job_txn(state::new_job(spec, 0))).answer, kv::Answer::ok);
+    const kv::Entry live = store_.get(state::active_job_key(id)).entry;
+    ASSERT_TRUE(table_.on_record(id, live.revision));
+    table_.add(state::job_from(live.data), live.revision, 0, machines_, now_);
   }
   // A user cancels; true when it was not over yet. The watch has not told of it yet.
   bool cancel(const JobId& id) {
-    const kv::GetResult live = store_.get(state::live_key(id));
+    const kv::GetResult live = store_.get(state::active_job_key(id));
     return live.answer == kv::Answer::ok &&
-           store_.txn(state::withdraw_txn(state::job_from(live.entry.data), live.entry.mark)).answer == kv::Answer::ok;
+           store_.txn(state::cancel_job_txn(state::job_from(live.entry.data), live.entry.revision)).answer ==
+               kv::Answer::ok;
   }
   void hear_of_cancel(const JobId& id) {
     if (Job* job = table_.on_removed(id)) stop(*job);
   }
   void stop(Job& job) {
-    for (const std::uint32_t index : table_.withdraw(job)) gone(job, index);
+    for (const std::uint32_t index : table_.cancel(job)) gone(job, index);
   }
-  void gone(Job& job, std::uint32_t index) { EXPECT_TRUE(table_.prove_gone(job, index, machines_, now_)); }
+  void gone(Job& job, std::uint32_t index) { EXPECT_TRUE(table_.confirm_terminated(job, index, machines_, now_)); }
   void place(Job& job, std::uint32_t index, const MachineId& machine = kMachine) {
-    const AttemptNo attempt = job.parts[index / constants::kTasksPerPart].next;
+    const AttemptNumber attempt = job.shards[index / constants::kTasksPerShard].next;
     table_.place(job, index, attempt, machines_.know(machine, now_).machine, now_);
   }
-  std::optional<WriteBatch> begin() { return table_.begin_write(term_mark_, kOps, now_); }
+  std::optional<WriteBatch> begin() { return table_.begin_write(term_revision_, kOps, now_); }
   bool write() {
     const auto batch = begin();
     if (batch) table_.end_write(*batch, store_.txn(batch->txn), now_);
@@ -69,35 +70,35 @@
   void reload() {
     while (const auto reload = table_.next_reload()) {
       const kv::GetResult found = store_.get(reload->key());
-      Job* gone =
-          table_.on_reloaded(*reload, found.answer == kv::Answer::ok ? std::optional(found.entry.mark) : std::nullopt);
+      Job* gone = table_.on_reloaded(
+          *reload, found.answer == kv::Answer::ok ? std::optional(found.entry.revision) : std::nullopt);
       if (gone != nullptr) stop(*gone);
     }
   }
   // Every placement that a record tells of, whatever became of its job.
-  [[nodiscard]] std::set<std::pair<TaskKey, AttemptNo>> recorded() const {
-    std::set<std::pair<TaskKey, AttemptNo>> runs;
-    const auto take = [&](const JobId& id, const state::PartRecord& part) {
-      for (const state::RunRecord& run : part.runs) runs.insert({{id, run.index}, run.attempt});
+  [[nodiscard]] std::set<std::pair<TaskKey, AttemptNumber>> recorded() const {
+    std::set<std::pair<TaskKey, AttemptNumber>> runs;
+    const auto take = [&](const JobId& id, const state::JobShardRecord& shard) {
+      for (const state::AllocationRecord& run : shard.allocations) runs.insert({{id, run.index}, run.attempt});
     };
-    for (const char* prefix : {state::kLivePrefix, state::kLingerPrefix}) {
+    for (const char* prefix : {state::kActiveJobPrefix, state::kTerminatingJobPrefix}) {
       for (const kv::Entry& entry : store_.list(prefix).entries) {
         const state::JobRecord job = state::job_from(entry.data);
         if (job.whole) take(job.spec.id, *job.whole);
       }
     }
-    for (const kv::Entry& entry : store_.list(state::kPartPrefix).entries) {
-      take(*state::job_of_key(entry.key), state::part_from(entry.data, constants::kTasksPerPart));
+    for (const kv::Entry& entry : store_.list(state::kJobShardPrefix).entries) {
+      take(*state::job_of_key(entry.key), state::job_shard_from(entry.data, constants::kTasksPerShard));
     }
     return runs;
   }
   void expect_agreement() {
-    const auto fault = table_.disagreement(machines_);
+    const auto fault = table_.find_inconsistency(machines_);
     ASSERT_FALSE(fault) << *fault;
   }
 
   standins::StateStore store_;
-  Revision term_mark_;
+  Revision term_revision_;
   Instant now_{Millis(1'000'000)};
   inventory::MachineInventory machines_{{.lease = Millis(10'000), .silence = Millis(3'000), .detour = Millis(6'000)}};
   JobTable table_;
@@ -114,8 +115,8 @@
   place(job, 1);          // what comes meanwhile waits for the next write
   EXPECT_FALSE(begin());
   table_.end_write(*first, store_.txn(first->txn), now_);
-  EXPECT_TRUE(table_.find_run({kJob, 0})->durable);
-  EXPECT_FALSE(table_.find_run({kJob, 1})->durable);
+  EXPECT_TRUE(table_.find_allocation({kJob, 0})->durable);
+  EXPECT_FALSE(table_.find_allocation({kJob, 1})->durable);
   EXPECT_FALSE(JobTable::all_durable(job));
   EXPECT_TRUE(write());
   EXPECT_TRUE(JobTable::all_durable(job));
@@ -130,18 +131,18 @@
   const auto lost = begin();
   (void)store_.txn(lost->txn);
   table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
-  EXPECT_FALSE(table_.find_run({kJob, 0})->durable);
+  EXPECT_FALSE(table_.find_allocation({kJob, 0})->durable);
   const auto again = begin();
   ASSERT_TRUE(again);
   const kv::TxnResult result = store_.txn(again->txn);
   ASSERT_EQ(result.answer, kv::Answer::conflict);
   table_.end_write(*again, result, now_);
   ASSERT_TRUE(table_.next_reload());
-  EXPECT_EQ(table_.next_reload()->key(), state::live_key(kJob));
+  EXPECT_EQ(table_.next_reload()->key(), state::active_job_key(kJob));
   EXPECT_FALSE(begin());  // the record is read first
   reload();
   EXPECT_TRUE(write());
-  EXPECT_TRUE(table_.find_run({kJob, 0})->durable);
+  EXPECT_TRUE(table_.find_allocation({kJob, 0})->durable);
 }
 
 // The same of a job in parts: the part's record is read again, else it would be tried on the old revision for ever.
@@ -156,7 +157,7 @@
     reload();
     write();
   }
-  EXPECT_TRUE(table_.find_run({kJob, 150})->durable);
+  EXPECT_TRUE(table_.find_allocation({kJob, 150})->durable);
 }
 
 // What was written without an answer is removed as well when its job is withdrawn.
@@ -171,7 +172,7 @@
   while (write()) {
   }
   EXPECT_EQ(table_.size(), 0U);
-  EXPECT_TRUE(store_.list(state::kPartPrefix).entries.empty());
+  EXPECT_TRUE(store_.list(state::kJobShardPrefix).entries.empty());
 }
 
 // An attempt that is placed again while the write of the one before is under way is not made durable by it.
@@ -183,8 +184,8 @@
   gone(job, 0);
   place(job, 0);
   table_.end_write(*first, store_.txn(first->txn), now_);
-  EXPECT_EQ(table_.find_run({kJob, 0})->attempt, AttemptNo(2));
-  EXPECT_FALSE(table_.find_run({kJob, 0})->durable);
+  EXPECT_EQ(table_.find_allocation({kJob, 0})->attempt, AttemptNumber(2));
+  EXPECT_FALSE(table_.find_allocation({kJob, 0})->durable);
 }
 
 TEST_F(Book, AWithdrawnJobStaysUntilAllItsRunsAreProvedGone) {
@@ -196,16 +197,16 @@
   place(job, 2);
   ASSERT_TRUE(cancel(kJob));
   hear_of_cancel(kJob);
-  EXPECT_EQ(job.runs_count, 2U);  // the third was never told to a machine
+  EXPECT_EQ(job.allocation_count, 2U);  // the third was never told to a machine
   EXPECT_FALSE(write());
   gone(job, 1);
   EXPECT_FALSE(write());
   EXPECT_FALSE(machines_.forget(kMachine));  // unproved is never gone
-  EXPECT_EQ(store_.get(state::linger_key(kJob)).answer, kv::Answer::ok);
+  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::ok);
   EXPECT_EQ(table_.team_use("red"), job.each);
   gone(job, 0);
   EXPECT_TRUE(write());
-  EXPECT_EQ(store_.get(state::linger_key(kJob)).answer, kv::Answer::not_found);
+  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::not_found);
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_TRUE(machines_.forget(kMachine));
 }
@@ -221,27 +222,27 @@
   table_.end_write(*batch, store_.txn(batch->txn), now_);
   ASSERT_TRUE(table_.next_reload());
   reload();
-  EXPECT_TRUE(job.withdrawn);
-  EXPECT_EQ(job.runs_count, 0U);
+  EXPECT_TRUE(job.cancelled);
+  EXPECT_EQ(job.allocation_count, 0U);
   expect_agreement();
 }
 
 TEST_F(Book, RecordsAreTakenInTheOrderOfTheirRevisions) {
   submit(kJob, 1);
   Job& job = table_.at(kJob);
-  const Revision mark = job.mark;
-  EXPECT_FALSE(table_.on_record(kJob, Revision(mark.number() + 4)));
-  EXPECT_FALSE(table_.on_record(kJob, mark));  // an older word
-  EXPECT_EQ(job.mark, Revision(mark.number() + 4));
+  const Revision revision = job.revision;
+  EXPECT_FALSE(table_.on_record(kJob, Revision(revision.number() + 4)));
+  EXPECT_FALSE(table_.on_record(kJob, revision));  // an older word
+  EXPECT_EQ(job.revision, Revision(revision.number() + 4));
   // The end of a job is this leader's own doing: words of it that are under way bring it back no more.
-  job.mark = mark;
+  job.revision = revision;
   place(job, 0);
   write();
   table_.mark_done(job, 0);
   gone(job, 0);
   EXPECT_TRUE(write());
   EXPECT_EQ(table_.size(), 0U);
-  EXPECT_FALSE(table_.on_record(kJob, mark));
+  EXPECT_FALSE(table_.on_record(kJob, revision));
   EXPECT_EQ(table_.on_removed(kJob), nullptr);
 }
 
@@ -253,19 +254,19 @@
   }
   JobTable next;
   inventory::MachineInventory machines;
-  const kv::Entry live = store_.get(state::live_key(kJob)).entry;
-  Job& job = next.add(state::job_from(live.data), live.mark, 0, machines, now_);
-  for (const kv::Entry& entry : store_.list(state::kPartPrefix).entries) {
-    const std::uint32_t number = *state::part_of_key(entry.key);
-    job.parts[number].mark = entry.mark;
-    next.adopt_part(job, number, state::part_from(entry.data, state::part_size(200, number)), machines, now_);
+  const kv::Entry live = store_.get(state::active_job_key(kJob)).entry;
+  Job& job = next.add(state::job_from(live.data), live.revision, 0, machines, now_);
+  for (const kv::Entry& entry : store_.list(state::kJobShardPrefix).entries) {
+    const std::uint32_t number = *state::shard_of_key(entry.key);
+    job.shards[number].revision = entry.revision;
+    next.adopt_shard(job, number, state::job_shard_from(entry.data, state::shard_size(200, number)), machines, now_);
   }
-  EXPECT_EQ(job.runs_count, 2U);
-  EXPECT_TRUE(next.find_run({kJob, 150})->durable);
-  EXPECT_TRUE(machines.at(kMachine).runs.contains({kJob, 5}));
+  EXPECT_EQ(job.allocation_count, 2U);
+  EXPECT_TRUE(next.find_allocation({kJob, 150})->durable);
+  EXPECT_TRUE(machines.at(kMachine).allocations.contains({kJob, 5}));
   EXPECT_EQ(next.team_use("red"), job.each.times(2));
   EXPECT_FALSE(next.writes_wanted());
-  EXPECT_FALSE(next.disagreement(machines));
+  EXPECT_FALSE(next.find_inconsistency(machines));
 }
 
 class RandomBook : public Book, public testing::WithParamInterface<unsigned> {};
@@ -278,16 +279,16 @@
   std::optional<WriteBatch> under_way;
   std::vector<kv::Txn> late;     // had no answer, and may be executed yet
   std::vector<JobId> cancelled;  // the watch has not told yet
-  std::set<std::pair<TaskKey, AttemptNo>> unproved;
+  std::set<std::pair<TaskKey, AttemptNumber>> unproved;
   const auto prove = [&](Job& job, std::uint32_t index) {
-    unproved.erase({{job.spec.id, index}, table_.find_run({job.spec.id, index})->attempt});
+    unproved.erase({{job.spec.id, index}, table_.find_allocation({job.spec.id, index})->attempt});
     gone(job, index);
   };
   const auto some_run = [&]() -> std::optional<TaskKey> {
     std::vector<TaskKey> keys;
     for (const auto& [id, job] : table_) {
-      for (const Part& part : job.parts) {
-        for (const auto& [index, unused] : part.runs) keys.push_back({id, index});
+      for (const JobShard& shard : job.shards) {
+        for (const auto& [index, unused] : shard.allocations) keys.push_back({id, index});
       }
     }
     if (keys.empty()) return std::nullopt;
@@ -309,7 +310,7 @@
       case 2:
       case 3:
         for (auto& [unused, job] : table_) {
-          if (job.withdrawn || draw(2) > 0) continue;
+          if (job.cancelled || draw(2) > 0) continue;
           for (const std::uint32_t index : JobTable::pending_tasks(job, draw(40))) {
             place(job, index, MachineId("m-" + std::to_string(draw(9))));
           }
@@ -322,7 +323,7 @@
           const auto key = some_run();
           if (!key) break;
           Job& job = table_.at(key->job);
-          if (draw(3) > 0 && !job.withdrawn && table_.find_run(*key)->durable) table_.mark_done(job, key->index);
+          if (draw(3) > 0 && !job.cancelled && table_.find_allocation(*key)->durable) table_.mark_done(job, key->index);
           prove(job, key->index);
         }
         break;
@@ -361,14 +362,14 @@
     }
     // What was durable once stays in memory until it was proved gone, whatever became of its job.
     for (const auto& [id, job] : table_) {
-      for (const Part& part : job.parts) {
-        for (const auto& [index, run] : part.runs) {
+      for (const JobShard& shard : job.shards) {
+        for (const auto& [index, run] : shard.allocations) {
           if (run.durable) unproved.insert({{id, index}, run.attempt});
         }
       }
     }
     for (const auto& [key, attempt] : unproved) {
-      const jobs::Run* run = table_.find_run(key);
+      const jobs::Allocation* run = table_.find_allocation(key);
       ASSERT_NE(run, nullptr) << key.text();
       ASSERT_EQ(run->attempt, attempt) << key.text();
     }
@@ -382,11 +383,11 @@
   if (under_way) end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
   while (const auto key = some_run()) {
     Job& job = table_.at(key->job);
-    if (!job.withdrawn) table_.mark_done(job, key->index);
+    if (!job.cancelled) table_.mark_done(job, key->index);
     prove(job, key->index);
   }
   for (auto& [unused, job] : table_) {
-    while (!job.withdrawn && job.pending() > 0) {
+    while (!job.cancelled && job.pending() > 0) {
       for (const std::uint32_t index : JobTable::pending_tasks(job, 500)) {
         place(job, index);
         table_.mark_done(job, index);
@@ -402,10 +403,10 @@
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_GT(jobs, 20U);
   EXPECT_TRUE(recorded().empty());
-  for (const char* prefix : {state::kLivePrefix, state::kLingerPrefix, state::kPartPrefix}) {
+  for (const char* prefix : {state::kActiveJobPrefix, state::kTerminatingJobPrefix, state::kJobShardPrefix}) {
     EXPECT_TRUE(store_.list(prefix).entries.empty()) << prefix;
   }
-  for (const auto& [unused, machine] : machines_) EXPECT_TRUE(machine.runs.empty());
+  for (const auto& [unused, machine] : machines_) EXPECT_TRUE(machine.allocations.empty());
   EXPECT_EQ(table_.team_use("red"), Amounts{});
   EXPECT_EQ(table_.team_use("blue"), Amounts{});
 }
--- a/tests/unit/leadership_test.cpp
+++ b/tests/unit/leadership_test.cpp
@@ -29,8 +29,8 @@
 }
 
 TEST_F(LeadershipInTermSeven, StartsNothingOnceTheLeaderLeaseMayHaveEnded) {
-  EXPECT_TRUE(leadership_.can_start(now_ + constants::kLeaderLease - Millis(1)));
-  EXPECT_FALSE(leadership_.can_start(now_ + constants::kLeaderLease));
+  EXPECT_TRUE(leadership_.can_start(now_ + constants::kLeaderLeaseTtl - Millis(1)));
+  EXPECT_FALSE(leadership_.can_start(now_ + constants::kLeaderLeaseTtl));
 }
 
 TEST_F(LeadershipInTermSeven, RenewsAgentLeasesUpToTheFence) {
@@ -69,8 +69,8 @@
   EXPECT_FALSE(leadership_.should_yield(now_));
   leadership_.yield("a test wants it", now_);
   EXPECT_FALSE(leadership_.is_leader());
-  EXPECT_TRUE(leadership_.should_yield(now_ + constants::kGiveWay - Millis(1)));
-  EXPECT_FALSE(leadership_.should_yield(now_ + constants::kGiveWay));
+  EXPECT_TRUE(leadership_.should_yield(now_ + constants::kLeadershipYieldTimeout - Millis(1)));
+  EXPECT_FALSE(leadership_.should_yield(now_ + constants::kLeadershipYieldTimeout));
 }
 
 }  // namespace
--- a/tests/unit/ledger_test.cpp
+++ b/tests/unit/ledger_test.cpp
@@ -9,32 +9,32 @@
 #include "ledger/ledger.h"
 #include "state/job_records.h"
 
-namespace foxshunt::ledger {
+namespace foxshunt::record_cache {
 namespace {
 
 // Every change that a store made, so that any moment's content can be asked for.
 class History {
  public:
   void set(const std::string& key) {
-    note({.key = key, .data = wire::Value(++revision_), .mark = Revision(revision_)});
+    note({.key = key, .data = wire::Value(++revision_), .revision = Revision(revision_)});
   }
   void remove(const std::string& key) {
-    if (content(revision_).contains(key)) note({.key = key, .data = {}, .mark = Revision(++revision_)});
+    if (content(revision_).contains(key)) note({.key = key, .data = {}, .revision = Revision(++revision_)});
   }
   [[nodiscard]] Revision revision() const { return Revision(revision_); }
   [[nodiscard]] std::vector<kv::Event> since(Revision from) const {
     std::vector<kv::Event> news;
     for (const kv::Event& event : events_) {
-      if (event.mark > from) news.push_back(event);
+      if (event.revision > from) news.push_back(event);
     }
     return news;
   }
   [[nodiscard]] std::map<std::string, Revision> content(std::uint64_t at) const {
     std::map<std::string, Revision> there;
     for (const kv::Event& event : events_) {
-      if (event.mark.number() > at) break;
+      if (event.revision.number() > at) break;
       if (event.data) {
-        there[event.key] = event.mark;
+        there[event.key] = event.revision;
       } else {
         there.erase(event.key);
       }
@@ -43,8 +43,9 @@
   }
   // Keys from `first` to `last`, a page of a cold read.
   void page(const std::string& first, const std::string& last, std::vector<kv::Entry>& into) const {
-    for (const auto& [key, mark] : content(revision_)) {
-      if (key >= first && key < last) into.push_back({.key = key, .data = wire::Value(mark.number()), .mark = mark});
+    for (const auto& [key, revision] : content(revision_)) {
+      if (key >= first && key < last)
+        into.push_back({.key = key, .data = wire::Value(revision.number()), .revision = revision});
     }
   }
 
@@ -54,19 +55,19 @@
   std::uint64_t revision_ = 0;
 };
 
-std::map<std::string, Revision> held(const Ledger& ledger) {
+std::map<std::string, Revision> held(const RecordCache& record_cache) {
   std::map<std::string, Revision> there;
-  ledger.each("", [&](const std::string& key, const Record& record) { there[key] = record.mark; });
+  record_cache.each("", [&](const std::string& key, const Record& record) { there[key] = record.revision; });
   return there;
 }
 
-class Told final : public Reader {
+class Told final : public CacheObserver {
  public:
-  void on_change(const std::string& key, const wire::Value* data, Revision mark) override {
+  void on_change(const std::string& key, const wire::Value* data, Revision revision) override {
     if (data == nullptr) {
       there.erase(key);
     } else {
-      there[key] = mark;
+      there[key] = revision;
     }
   }
   std::map<std::string, Revision> there;
@@ -85,11 +86,11 @@
       }
     };
     for (int i = 0; i < 20; ++i) change();
-    Ledger ledger({"live/"});
+    RecordCache record_cache({"live/"});
     Told told;
-    Comparison comparison;
-    ledger.add_reader(told);
-    ledger.add_reader(comparison);
+    CacheVerifier cache_verifier;
+    record_cache.add_reader(told);
+    record_cache.add_reader(cache_verifier);
     std::vector<kv::Event> earlier;
     bool read = false;
     for (int step = 0; step < 200; ++step) {
@@ -99,85 +100,90 @@
         store.page("live/", "live/f", entries);
         for (unsigned i = 0; i < random() % 4; ++i) change();
         store.page("live/f", "live0", entries);
-        ledger.read(entries, from);
+        record_cache.read(entries, from);
         read = true;
-        EXPECT_FALSE(ledger.whole());
+        EXPECT_FALSE(record_cache.whole());
       }
       for (unsigned i = 0; i < random() % 5; ++i) change();
       const Revision upto = store.revision();
-      std::vector<kv::Event> news = store.since(ledger.revision());
+      std::vector<kv::Event> news = store.since(record_cache.revision());
       earlier = news;
-      ledger.heard(news, upto);
-      if (random() % 5 == 0) ledger.heard(earlier, upto);  // an answer that came twice
-      ASSERT_TRUE(ledger.whole());
-      ASSERT_EQ(ledger.revision(), upto);
-      ASSERT_EQ(held(ledger), store.content(upto.number())) << "seed " << seed << " step " << step;
-      ASSERT_EQ(told.there, held(ledger)) << "seed " << seed << " step " << step;
+      record_cache.heard(news, upto);
+      if (random() % 5 == 0) record_cache.heard(earlier, upto);  // an answer that came twice
+      ASSERT_TRUE(record_cache.whole());
+      ASSERT_EQ(record_cache.revision(), upto);
+      ASSERT_EQ(held(record_cache), store.content(upto.number())) << "seed " << seed << " step " << step;
+      ASSERT_EQ(told.there, held(record_cache)) << "seed " << seed << " step " << step;
       std::vector<kv::Entry> all;
       store.page("live/", "live0", all);
-      ASSERT_EQ(ledger.digest("live/"), digest_of(all));
-      ASSERT_TRUE(comparison.differences(ledger, all, upto).empty());
+      ASSERT_EQ(record_cache.digest("live/"), digest_of(all));
+      ASSERT_TRUE(cache_verifier.differences(record_cache, all, upto).empty());
     }
   }
 }
 
 TEST(LedgerOfRecords, ALateWordTakesNothingBack) {
-  Ledger ledger({"live/"});
-  ledger.read({{.key = "live/a", .data = wire::Value(7), .mark = Revision(7)}}, Revision(3));
-  ledger.heard({{.key = "live/a", .data = wire::Value(5), .mark = Revision(5)}}, Revision(6));
-  EXPECT_EQ(ledger.find("live/a")->mark, Revision(7));
-  ledger.heard({}, Revision(9));
-  ledger.heard({{.key = "live/a", .data = {}, .mark = Revision(8)}}, Revision(8));  // told before, and late
-  EXPECT_NE(ledger.find("live/a"), nullptr);
-  EXPECT_EQ(ledger.revision(), Revision(9));
+  RecordCache record_cache({"live/"});
+  record_cache.read({{.key = "live/a", .data = wire::Value(7), .revision = Revision(7)}}, Revision(3));
+  record_cache.heard({{.key = "live/a", .data = wire::Value(5), .revision = Revision(5)}}, Revision(6));
+  EXPECT_EQ(record_cache.find("live/a")->revision, Revision(7));
+  record_cache.heard({}, Revision(9));
+  record_cache.heard({{.key = "live/a", .data = {}, .revision = Revision(8)}}, Revision(8));  // told before, and late
+  EXPECT_NE(record_cache.find("live/a"), nullptr);
+  EXPECT_EQ(record_cache.revision(), Revision(9));
 }
 
 TEST(LedgerOfRecords, AComparisonFindsWhatAWatchHasLost) {
-  Ledger ledger({"live/"});
-  Comparison comparison;
-  ledger.add_reader(comparison);
-  ledger.read({{.key = "live/a", .data = wire::Value(1), .mark = Revision(1)},
-               {.key = "live/b", .data = wire::Value(2), .mark = Revision(2)},
-               {.key = "live/c", .data = wire::Value(3), .mark = Revision(3)}},
-              Revision(3));
-  ledger.heard({}, Revision(9));  // the change of a, the end of b and the begin of d were never told
-  comparison.begin();
-  ledger.heard({{.key = "live/c", .data = {}, .mark = Revision(10)}}, Revision(10));  // removed after it was read
-  const std::vector<kv::Entry> cold{{.key = "live/a", .data = wire::Value(4), .mark = Revision(4)},
-                                    {.key = "live/c", .data = wire::Value(3), .mark = Revision(3)},
-                                    {.key = "live/d", .data = wire::Value(5), .mark = Revision(5)}};
-  EXPECT_EQ(comparison.differences(ledger, cold, Revision(9)),
+  RecordCache record_cache({"live/"});
+  CacheVerifier cache_verifier;
+  record_cache.add_reader(cache_verifier);
+  record_cache.read({{.key = "live/a", .data = wire::Value(1), .revision = Revision(1)},
+                     {.key = "live/b", .data = wire::Value(2), .revision = Revision(2)},
+                     {.key = "live/c", .data = wire::Value(3), .revision = Revision(3)}},
+                    Revision(3));
+  record_cache.heard({}, Revision(9));  // the change of a, the end of b and the begin of d were never told
+  cache_verifier.begin();
+  record_cache.heard({{.key = "live/c", .data = {}, .revision = Revision(10)}},
+                     Revision(10));  // removed after it was read
+  const std::vector<kv::Entry> cold{{.key = "live/a", .data = wire::Value(4), .revision = Revision(4)},
+                                    {.key = "live/c", .data = wire::Value(3), .revision = Revision(3)},
+                                    {.key = "live/d", .data = wire::Value(5), .revision = Revision(5)}};
+  EXPECT_EQ(cache_verifier.differences(record_cache, cold, Revision(9)),
             (std::vector<std::string>{"live/a", "live/d", "live/b"}));
 }
 
 TEST(LedgerOfRecords, JobsAreReadFromRecordsAndParts) {
-  Ledger ledger({"live/", "linger/", "part/"});
+  RecordCache record_cache({"live/", "linger/", "part/"});
   Jobs jobs;
-  ledger.add_reader(jobs);
+  record_cache.add_reader(jobs);
   wire::JobSpec spec{.id = JobId("j-000001"), .job_class = "c", .team = "red", .tasks = 200, .cpus = 1, .ram_gb = 1};
   spec.image = "img";
-  const state::PartRecord part{
-      .next = AttemptNo(2),
+  const state::JobShardRecord shard{
+      .next = AttemptNumber(2),
       .done = {true, true},
-      .runs = {{.index = 2, .attempt = AttemptNo(1), .machine = MachineId("m"), .session = SessionNo(1)}}};
-  ledger.read({{.key = "live/j-000001", .data = state::to_value(state::new_job(spec, 5000)), .mark = Revision(1)},
-               {.key = "part/j-000001/1", .data = state::to_value(part), .mark = Revision(2)}},
-              Revision(2));
+      .allocations = {
+          {.index = 2, .attempt = AttemptNumber(1), .machine = MachineId("m"), .incarnation = AgentIncarnation(1)}}};
+  record_cache.read(
+      {{.key = "live/j-000001", .data = state::to_value(state::new_job(spec, 5000)), .revision = Revision(1)},
+       {.key = "part/j-000001/1", .data = state::to_value(shard), .revision = Revision(2)}},
+      Revision(2));
   ASSERT_NE(jobs.find(spec.id), nullptr);
   EXPECT_EQ(jobs.find(spec.id)->done, 2U);
   EXPECT_EQ(jobs.find(spec.id)->placed, 1U);
   EXPECT_EQ(jobs.find(spec.id)->waiting(), 197U);
   // It is withdrawn: both changes of the transaction have one revision.
-  ledger.heard({{.key = "live/j-000001", .data = {}, .mark = Revision(3)},
-                {.key = "linger/j-000001", .data = state::to_value(state::new_job(spec, 5000)), .mark = Revision(3)}},
-               Revision(3));
+  record_cache.heard(
+      {{.key = "live/j-000001", .data = {}, .revision = Revision(3)},
+       {.key = "linger/j-000001", .data = state::to_value(state::new_job(spec, 5000)), .revision = Revision(3)}},
+      Revision(3));
   ASSERT_NE(jobs.find(spec.id), nullptr);
-  EXPECT_TRUE(jobs.find(spec.id)->withdrawn);
-  ledger.heard({{.key = "linger/j-000001", .data = {}, .mark = Revision(4)}}, Revision(4));
+  EXPECT_TRUE(jobs.find(spec.id)->cancelled);
+  record_cache.heard({{.key = "linger/j-000001", .data = {}, .revision = Revision(4)}}, Revision(4));
   EXPECT_EQ(jobs.find(spec.id), nullptr);
-  ledger.heard({{.key = "live/j-000002", .data = wire::Value("no record"), .mark = Revision(5)}}, Revision(5));
+  record_cache.heard({{.key = "live/j-000002", .data = wire::Value("no record"), .revision = Revision(5)}},
+                     Revision(5));
   EXPECT_EQ(jobs.unreadable(), 1U);
 }
 
 }  // namespace
-}  // namespace foxshunt::ledger
+}  // namespace foxshunt::record_cache
--- a/tests/unit/machine_housekeeper_test.cpp
+++ b/tests/unit/machine_housekeeper_test.cpp
@@ -34,10 +34,10 @@
   place(job, 0, machine_);
   pass(lease_span(cluster_.settings) - Millis(1));
   housekeeper_.review_machines(now_);
-  EXPECT_EQ(job.runs_count, 1U);
+  EXPECT_EQ(job.allocation_count, 1U);
   pass(Millis(1'000));
   housekeeper_.review_machines(now_);
-  EXPECT_EQ(job.runs_count, 0U);
+  EXPECT_EQ(job.allocation_count, 0U);
   EXPECT_TRUE(machine_.expired);
 }
 
--- a/tests/unit/machine_inventory_test.cpp
+++ b/tests/unit/machine_inventory_test.cpp
@@ -15,19 +15,19 @@
 
 class Machines : public testing::Test {
  protected:
-  static wire::Report report(const MachineId& id, std::uint64_t session, std::uint64_t sequence, Term seen) {
-    wire::Report made;
+  static wire::Heartbeat heartbeat(const MachineId& id, std::uint64_t incarnation, std::uint64_t sequence, Term seen) {
+    wire::Heartbeat made;
     made.machine = id;
     made.address = "127.0.0.1:1";
     made.type = "plain";
     made.zone = "a";
-    made.session = SessionNo(session);
+    made.incarnation = AgentIncarnation(incarnation);
     made.sequence = sequence;
     made.term = seen;
     return made;
   }
   // As the controller does: nothing is taken from a report that is no news.
-  bool hear(const wire::Report& made) {
+  bool hear(const wire::Heartbeat& made) {
     if (!machines_.news(made)) return false;
     machines_.hear(machines_.know(made.machine, now_).machine, made, kTerm, now_);
     return true;
@@ -42,21 +42,21 @@
 };
 
 TEST_F(Machines, AReportThatIsNotNewerTeachesNothing) {
-  EXPECT_TRUE(hear(report(kFirst, 1, 5, kTerm)));
-  EXPECT_FALSE(hear(report(kFirst, 1, 5, Term(8))));
-  EXPECT_FALSE(hear(report(kFirst, 1, 4, Term(8))));
+  EXPECT_TRUE(hear(heartbeat(kFirst, 1, 5, kTerm)));
+  EXPECT_FALSE(hear(heartbeat(kFirst, 1, 5, Term(8))));
+  EXPECT_FALSE(hear(heartbeat(kFirst, 1, 4, Term(8))));
   EXPECT_TRUE(machines_.at(kFirst).saw_term);
-  EXPECT_TRUE(machines_.newest(report(kFirst, 1, 5, kTerm)));
-  EXPECT_TRUE(hear(report(kFirst, 2, 1, Term(6))));  // a later session counts from the beginning
+  EXPECT_TRUE(machines_.newest(heartbeat(kFirst, 1, 5, kTerm)));
+  EXPECT_TRUE(hear(heartbeat(kFirst, 2, 1, Term(6))));  // a later session counts from the beginning
   EXPECT_FALSE(machines_.at(kFirst).saw_term);
-  EXPECT_FALSE(machines_.newest(report(kFirst, 1, 5, kTerm)));
+  EXPECT_FALSE(machines_.newest(heartbeat(kFirst, 1, 5, kTerm)));
 }
 
 TEST_F(Machines, OneThatWasReturnedIsNotKnownAgain) {
-  hear(report(kFirst, 1, 5, kTerm));
-  machines_.on_returned(kFirst);
+  hear(heartbeat(kFirst, 1, 5, kTerm));
+  machines_.on_scaled_in(kFirst);
   EXPECT_TRUE(machines_.forget(kFirst));
-  EXPECT_FALSE(hear(report(kFirst, 1, 6, kTerm)));
+  EXPECT_FALSE(hear(heartbeat(kFirst, 1, 6, kTerm)));
   EXPECT_FALSE(machines_.list(listed(kFirst), Millis(0), now_));
   EXPECT_FALSE(machines_.contains(kFirst));
   EXPECT_TRUE(machines_.gone(kFirst));
@@ -71,7 +71,7 @@
   EXPECT_EQ(known->machine.type, "other");
   EXPECT_FALSE(known->machine.listed.running);
   EXPECT_FALSE(machines_.usable(known->machine, now_));
-  EXPECT_TRUE(machines_.hear(known->machine, report(kFirst, 1, 1, kTerm), kTerm, now_));  // it is up now
+  EXPECT_TRUE(machines_.hear(known->machine, heartbeat(kFirst, 1, 1, kTerm), kTerm, now_));  // it is up now
   EXPECT_TRUE(machines_.usable(known->machine, now_));
   const auto again = machines_.list(listed(kFirst), Millis(10'000), now_ + Millis(1'000));
   EXPECT_FALSE(again->fresh);
@@ -82,11 +82,11 @@
 }
 
 TEST_F(Machines, SuspectsTakeNoWork) {
-  hear(report(kFirst, 1, 1, kTerm));
+  hear(heartbeat(kFirst, 1, 1, kTerm));
   Machine& machine = machines_.at(kFirst);
   EXPECT_TRUE(machines_.usable(machine, now_ + kSilence - Millis(1)));
   EXPECT_FALSE(machines_.usable(machine, now_ + kSilence));
-  machine.strangers = true;
+  machine.has_unknown_tasks = true;
   EXPECT_FALSE(machines_.usable(machine, now_));
   // One that has not reported yet has the time to find this leader.
   const Machine& second = machines_.know(MachineId("m-000002"), now_).machine;
@@ -96,12 +96,12 @@
 
 // Where reports are rarer than leases are long, a machine whose lease has ended is no suspect yet.
 TEST_F(Machines, OneWhoseLeaseHasEndedTakesNoWork) {
-  hear(report(kFirst, 1, 1, kTerm));
+  hear(heartbeat(kFirst, 1, 1, kTerm));
   Machine& machine = machines_.at(kFirst);
   ASSERT_TRUE(machines_.usable(machine, now_));
   machine.expired = true;
   EXPECT_FALSE(machines_.usable(machine, now_));
-  hear(report(kFirst, 2, 2, kTerm));
+  hear(heartbeat(kFirst, 2, 2, kTerm));
   EXPECT_TRUE(machines_.usable(machine, now_)) << "its next session has reported";
 }
 
@@ -111,21 +111,21 @@
   const Instant granted = now_ + Millis(15'000);
   const Machine& machine = machines_.know(kFirst, now_).machine;
   EXPECT_EQ(machines_.lease_end(machine, others, {}), others + kLease);
-  hear(report(kFirst, 1, 1, Term(6)));  // it may yet go to a leader that is older
+  hear(heartbeat(kFirst, 1, 1, Term(6)));  // it may yet go to a leader that is older
   EXPECT_EQ(machines_.lease_end(machine, others, {}), others + kLease);
   EXPECT_EQ(machines_.lease_end(machine, {}, {}), now_ + kLease);
-  hear(report(kFirst, 1, 2, kTerm));
+  hear(heartbeat(kFirst, 1, 2, kTerm));
   EXPECT_EQ(machines_.lease_end(machine, others, {}), now_ + kLease);
   EXPECT_EQ(machines_.lease_end(machine, others, granted), granted + kLease);
-  EXPECT_FALSE(machines_.lease_over(machine, others, granted, granted + kLease));
-  EXPECT_TRUE(machines_.lease_over(machine, others, granted, granted + kLease + Millis(1)));
+  EXPECT_FALSE(machines_.is_lease_expired(machine, others, granted, granted + kLease));
+  EXPECT_TRUE(machines_.is_lease_expired(machine, others, granted, granted + kLease + Millis(1)));
 }
 
 TEST_F(Machines, UnheardAreAllOrNone) {
   const MachineId second("m-000002");
-  hear(report(kFirst, 1, 1, kTerm));
+  hear(heartbeat(kFirst, 1, 1, kTerm));
   now_ += kDetour;
-  hear(report(second, 1, 1, kTerm));
+  hear(heartbeat(second, 1, 1, kTerm));
   EXPECT_EQ(machines_.unheard(now_ + Millis(1)), 0U);  // one of them is heard
   EXPECT_EQ(machines_.unheard(now_ + kDetour + Millis(1)), 2U);
   machines_.at(kFirst).expired = true;
@@ -135,7 +135,7 @@
 TEST_F(Machines, TheBooksHoldUnderRandomWords) {
   std::mt19937 random(11);
   const auto draw = [&](std::uint64_t most) { return std::uniform_int_distribution<std::uint64_t>(0, most)(random); };
-  std::map<MachineId, std::pair<SessionNo, std::uint64_t>> newest;
+  std::map<MachineId, std::pair<AgentIncarnation, std::uint64_t>> newest;
   std::set<MachineId> returned;
   for (int step = 0; step < 20'000; ++step) {
     now_ += Millis(draw(50));
@@ -147,7 +147,7 @@
         break;
       case 1:
         if (!machines_.contains(id) || draw(20) > 0) break;
-        machines_.on_returned(id);
+        machines_.on_scaled_in(id);
         returned.insert(id);
         EXPECT_TRUE(machines_.forget(id));
         break;
@@ -155,8 +155,8 @@
         if (machines_.contains(id)) machines_.at(id).listed.failed = draw(3) == 0;
         break;
       default: {
-        const auto made = report(id, draw(3), draw(200), Term(6 + draw(1)));
-        const std::pair word(made.session, made.sequence);
+        const auto made = heartbeat(id, draw(3), draw(200), Term(6 + draw(1)));
+        const std::pair word(made.incarnation, made.sequence);
         const auto known = newest.find(id);
         const bool news = !returned.contains(id) && (known == newest.end() || word > known->second);
         EXPECT_EQ(hear(made), news);
@@ -170,11 +170,11 @@
     for (const auto& [name, machine] : machines_) {
       ASSERT_EQ(name, machine.id);
       ASSERT_FALSE(returned.contains(name));
-      ASSERT_EQ(machine.reported, newest.contains(name));
-      if (machine.reported) {
-        ASSERT_EQ(std::pair(machine.session, machine.sequence), newest.at(name));
+      ASSERT_EQ(machine.has_reported, newest.contains(name));
+      if (machine.has_reported) {
+        ASSERT_EQ(std::pair(machine.incarnation, machine.sequence), newest.at(name));
         ASSERT_NE(machine.state, MachineState::booting);
-        ASSERT_LE(machine.last_report, now_);
+        ASSERT_LE(machine.last_heartbeat, now_);
       }
       if (!machine.listed.failed) ++held[{machine.type, machine.zone, machine.spot}];
     }
