--- a/tests/unit/pools_test.cpp
+++ b/tests/unit/pools_test.cpp
@@ -60,15 +60,15 @@
 
 struct Node {
   explicit Node(const catalog::Set& set, const bool& open)
-      : ledger({kPoolPrefix, accounts::kAccountPrefix}),
+      : record_cache({kPoolPrefix, accounts::kAccountPrefix}),
         keeper([&open](const catalog::PoolDef&, std::int64_t) { return open; }, 8 * 1024) {
-    ledger.add_reader(keeper);
+    record_cache.add_reader(keeper);
     keeper.declare(set);
   }
-  ledger::Ledger ledger;
-  ledger::Jobs jobs;
-  Keeper keeper;
-  Desk desk;
+  record_cache::RecordCache record_cache;
+  record_cache::Jobs jobs;
+  WarmPoolController keeper;
+  PoolAdmission desk;
   std::uint64_t steered = 0;  // the keeper's changes() that the desk knows
   Revision term;
   std::chrono::milliseconds skew{};
@@ -99,14 +99,14 @@
     set.version = catalog::Version(1);
     set.pools = std::move(pools);
     for (std::size_t at = 0; at < nodes; ++at) self.push_back(std::make_unique<Node>(set, open));
-    take_lead(0);
+    acquire_leadership(0);
   }
 
-  void take_lead(std::size_t node) {
+  void acquire_leadership(std::size_t node) {
     leader = node;
     const kv::TxnResult taken = store.txn({.changes = {{.key = kTerm, .data = wire::Value(1), .lease = {}}}});
     self[node]->term = taken.revision;
-    self[node]->desk.lead(Instant(now));
+    self[node]->desk.become_leader(Instant(now));
     led_since = now;
   }
 
@@ -117,25 +117,25 @@
     for (auto& node : self) node->keeper.declare(set);
   }
 
-  void follow(std::size_t at, bool cold = false) {
+  void watch(std::size_t at, bool cold = false) {
     Node& node = *self[at];
-    if (cold || node.ledger.revision() == Revision{}) {
+    if (cold || node.record_cache.revision() == Revision{}) {
       kv::ListResult all = store.list(kPoolPrefix);
       const auto more = store.list(accounts::kAccountPrefix).entries;
       all.entries.insert(all.entries.end(), more.begin(), more.end());
-      node.ledger.read(all.entries, all.revision);
+      node.record_cache.read(all.entries, all.revision);
     }
-    const kv::FollowResult news = store.follow("", node.ledger.revision());
-    node.ledger.heard(news.events, news.revision);
+    const kv::WatchResult news = store.watch("", node.record_cache.revision());
+    node.record_cache.heard(news.events, news.revision);
   }
 
-  [[nodiscard]] ledger::Moment moment(const Node& node) const {
+  [[nodiscard]] record_cache::Moment moment(const Node& node) const {
     return {.wall_ms = kBegin + (now + node.skew).count(), .steady = Instant(now)};
   }
 
   // The leader's cloud duty: one request, as the controller would send it.
   void cloud(Node& node, bool answer_lost) {
-    const auto ask = node.desk.next_ask();
+    const auto ask = node.desk.next_request();
     if (!ask) return;
     if (!rented.contains(ask->request)) {
       std::size_t held = 0;
@@ -156,8 +156,8 @@
     if (!answer_lost) node.desk.answered(*ask, rented.at(ask->request));
   }
 
-  [[nodiscard]] Sighting sight(Node& node) const {
-    Sighting seen;
+  [[nodiscard]] FleetObservation observation(Node& node) const {
+    FleetObservation seen;
     seen.settled = node.desk.settled(Instant(now));
     seen.answers = node.desk.answers();
     seen.types = types;
@@ -168,7 +168,7 @@
         if (node.desk.members().contains(id)) seen.gone.insert(id);
         continue;
       }
-      Sight one{.id = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot};
+      MachineObservation one{.id = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot};
       one.use = machine.use;
       one.team = machine.team;
       one.leaving = machine.leaving;
@@ -184,16 +184,16 @@
   void round(std::size_t at, Luck luck, bool answer_lost = false) {
     Node& node = *self[at];
     if (std::exchange(node.steered, node.keeper.changes()) != node.keeper.changes())
-      node.desk.take(node.keeper.steer());
+      node.desk.take(node.keeper.directives());
     cloud(node, answer_lost);
-    node.keeper.observe(sight(node), moment(node));
-    if (!node.ledger.whole() || node.ledger.revision() < node.term) return;
+    node.keeper.observe(observation(node), moment(node));
+    if (!node.record_cache.whole() || node.record_cache.revision() < node.term) return;
     const auto txn = node.keeper.next_write(node.jobs, moment(node), kChanges);
     if (!txn) return;
     ++writes;
     if (fate) luck = fate(*txn);
     kv::Txn guarded = *txn;
-    guarded.conditions.push_back({.key = kTerm, .mark = node.term});
+    guarded.preconditions.push_back({.key = kTerm, .revision = node.term});
     const auto wall = static_cast<std::uint64_t>(moment(node).wall_ms);
     if (luck == Luck::late) {
       held_up.emplace_back(guarded, wall);
@@ -281,9 +281,9 @@
   }
 
   void expect_alike() {
-    for (std::size_t at = 0; at < self.size(); ++at) follow(at, at % 2 == 1);
+    for (std::size_t at = 0; at < self.size(); ++at) watch(at, at % 2 == 1);
     for (const auto& node : self) {
-      EXPECT_EQ(node->ledger.revision(), self.front()->ledger.revision());
+      EXPECT_EQ(node->record_cache.revision(), self.front()->record_cache.revision());
       EXPECT_EQ(node->keeper.digest(), self.front()->keeper.digest());
     }
   }
@@ -293,10 +293,10 @@
   // Nothing goes wrong.
   void calm(std::chrono::milliseconds span, std::chrono::milliseconds step = std::chrono::seconds(1)) {
     for (const auto end = now + span; now < end; pass(step)) {
-      follow(leader);
+      watch(leader);
       round(leader, Luck::fine);
     }
-    follow(leader);
+    watch(leader);
   }
 
   [[nodiscard]] PoolView view(std::size_t pool = 0) { return self[leader]->keeper.pools().at(pool); }
@@ -345,7 +345,7 @@
 TEST(Accounts, AreBoundedAndReadAsWritten) {
   Account account{.payer = "red"};
   for (int team = 0; team < 200; ++team) account.add("team " + std::to_string(team), Use::own, 1000, 5);
-  EXPECT_LE(account.lines.size(), constants::kAccountLinesMost + 1);
+  EXPECT_LE(account.lines.size(), constants::kMaxAccountLines + 1);
   EXPECT_EQ(account.total().machine_ms, 200'000U);
   EXPECT_EQ(accounts::account_from(accounts::to_value(account)), account);
   EXPECT_LT(wire::json_length(accounts::to_value(account)), 7U * 1024);
@@ -360,11 +360,11 @@
   days.calm(std::chrono::minutes(10));
   EXPECT_EQ(days.writes, 0U);
   EXPECT_FALSE(days.self[0]->keeper.active());
-  Desk desk;
+  PoolAdmission desk;
   EXPECT_FALSE(desk.on());
   EXPECT_TRUE(desk.allows(spec_of("other"), Millis(1), Millis(0), MachineId("m-1")));
   EXPECT_FALSE(desk.keeps(MachineId("m-1")));
-  EXPECT_FALSE(desk.next_ask());
+  EXPECT_FALSE(desk.next_request());
   EXPECT_FALSE(desk.warms(spec_of("weights"), Millis(0)));
   EXPECT_TRUE(desk.used(MachineId("m-1"), spec_of("other")).empty());
   EXPECT_EQ(desk.cache(MachineId("m-1")), nullptr);
@@ -404,7 +404,7 @@
       Days days({pool_of("dawn", 5)});
       bool crashed = false;
       for (int second = 0; second < 300; ++second, days.pass(std::chrono::seconds(1))) {
-        days.follow(days.leader);
+        days.watch(days.leader);
         const bool now = !crashed && days.writes + 1 == at;
         const std::size_t before = days.writes;
         // The answer of the cloud is lost with the leader, too.
@@ -412,7 +412,7 @@
         if (!now || days.writes == before) continue;
         crashed = true;
         days.restart(days.leader);
-        days.take_lead((days.leader + 1) % 3);
+        days.acquire_leadership((days.leader + 1) % 3);
         for (const auto& [txn, wall] : std::exchange(days.held_up, {})) {
           EXPECT_EQ(days.execute(txn, wall).answer, Answer::conflict) << "an older leader's write counts";
         }
@@ -463,7 +463,7 @@
             EXPECT_EQ(answer, Answer::conflict);
           }
         }
-        days.follow(days.leader);
+        days.watch(days.leader);
       }
       days.round(days.leader, Luck::fine, struck && trouble != Trouble::cut);
       if (frozen < nodes) days.round(frozen, Luck::fine);
@@ -472,7 +472,7 @@
       if (trouble == Trouble::crash) days.restart(was);
       if (trouble == Trouble::freeze) frozen = was;
       if (trouble == Trouble::cut) deaf = 4;
-      if (trouble != Trouble::cut) days.take_lead((was + 1) % nodes);
+      if (trouble != Trouble::cut) days.acquire_leadership((was + 1) % nodes);
     }
     EXPECT_EQ(hit, kind.has_value()) << "nothing of this kind is written";
     const std::map<MachineId, Member> members = days.members();
@@ -506,11 +506,11 @@
 TEST_F(Pools, AFrozenLeaderWritesNothing) {
   Days days({pool_of("dawn", 3)});
   for (int at = 0; at < 3; ++at, days.pass(std::chrono::seconds(1))) {
-    days.follow(0);
+    days.watch(0);
     days.round(0, Luck::fine);
   }
   ASSERT_FALSE(days.rented.empty());
-  days.take_lead(1);
+  days.acquire_leadership(1);
   days.calm(std::chrono::seconds(90));
   const std::size_t changes = days.store.revision().number();
   for (int at = 0; at < 20; ++at, days.pass(std::chrono::milliseconds(100))) days.round(0, Luck::fine);
@@ -529,7 +529,7 @@
     days.capacity = 0;
     days.spare_machines = true;
     days.machines[MachineId("m-1")] = {.type = "big", .zone = "a"};
-    days.follow(0);
+    days.watch(0);
     days.round(0, Luck::late);
     ASSERT_EQ(days.held_up.size(), 1U);
     days.pass(std::chrono::seconds(1));
@@ -592,7 +592,7 @@
     if (freezes) {
       days.pass(std::chrono::seconds(10));
     } else {
-      days.take_lead(1);
+      days.acquire_leadership(1);
     }
     if (lost) days.fate = [](const kv::Txn&) { return Luck::lost; };
     days.calm(std::chrono::minutes(1));
@@ -626,7 +626,7 @@
     if (pauses.empty() || pauses.back() != state.refusals.at("big/a/ordinary").pause_ms) {
       pauses.push_back(state.refusals.at("big/a/ordinary").pause_ms);
     }
-    if (second == 11 * 60) days.take_lead(1);
+    if (second == 11 * 60) days.acquire_leadership(1);
   }
   EXPECT_EQ(pauses, (std::vector<std::uint64_t>{30'000, 60'000, 120'000, 240'000, 480'000, 960'000}));
   EXPECT_EQ(days.view().held, 1U);
@@ -689,7 +689,7 @@
   // Another leader sees less of the same hour.
   for (auto& [unused, machine] : days.machines) machine.use = Use::idle;
   days.machines.begin()->second.use = Use::own;
-  days.take_lead(2);
+  days.acquire_leadership(2);
   days.calm(std::chrono::minutes(1));
   EXPECT_EQ(days.view().wanted, 6U);
   for (auto& [unused, machine] : days.machines) machine.use = Use::idle;
@@ -697,7 +697,7 @@
   days.calm(std::chrono::minutes(2));
   EXPECT_EQ(days.view().wanted, 1U) << "another hour";
   days.pass(std::chrono::hours(22) - std::chrono::minutes(5));
-  days.take_lead(1);
+  days.acquire_leadership(1);
   days.calm(std::chrono::minutes(2));
   EXPECT_EQ(days.view().wanted, 6U) << "the same hour of the next day, by another leader";
   days.pass(std::chrono::hours(24 * 4));
@@ -773,7 +773,7 @@
         machine.team = machine.use == Use::own ? "red" : "";
         machine.warm = at / 7 % 2 == 0;
       }
-      days.follow(0);
+      days.watch(0);
       days.round(0, Luck::fine);
     }
     EXPECT_GT(each_second.size(), seconds_least);
@@ -786,10 +786,10 @@
 
 TEST_F(Pools, WhatWasSeenLongAgoDecidesNothing) {
   Days days({pool_of("dawn", 2)});
-  days.follow(0);
-  days.self[0]->keeper.observe(days.sight(*days.self[0]), days.moment(*days.self[0]));
+  days.watch(0);
+  days.self[0]->keeper.observe(days.observation(*days.self[0]), days.moment(*days.self[0]));
   EXPECT_TRUE(days.self[0]->keeper.next_write({}, days.moment(*days.self[0]), kChanges));
-  days.pass(constants::kPoolSightOld + std::chrono::seconds(1));
+  days.pass(constants::kPoolObservationTtl + std::chrono::seconds(1));
   EXPECT_FALSE(days.self[0]->keeper.next_write({}, days.moment(*days.self[0]), kChanges));
 }
 
@@ -803,7 +803,7 @@
   };
   for (int at = 0; at < 60; ++at, days.pass(std::chrono::seconds(1))) {
     if (at == 30) days.machines[MachineId("m-1")] = {.type = "large", .zone = "a"};
-    days.follow(0);
+    days.watch(0);
     days.round(0, Luck::fine, true);
   }
   EXPECT_EQ(days.view().asked, 2U);
@@ -820,8 +820,8 @@
   days.machines.at(unseen).use = Use::own;
   days.calm(std::chrono::seconds(20));
   days.unseen = {unseen};
-  days.take_lead(1);
-  days.calm(constants::kPoolGoneAfter - std::chrono::seconds(5));
+  days.acquire_leadership(1);
+  days.calm(constants::kPoolMachineLostTimeout - std::chrono::seconds(5));
   EXPECT_TRUE(days.members().contains(unseen));
   days.calm(std::chrono::seconds(20));
   EXPECT_FALSE(days.members().contains(unseen));
@@ -850,7 +850,7 @@
 TEST_F(Pools, OfAPoolThatIsNoMoreNobodyPays) {
   Days days({pool_of("dawn", 2)});
   while (days.store.list(kRentPrefix).entries.empty()) {
-    days.follow(0);
+    days.watch(0);
     days.round(0, Luck::fine, true);
     days.pass(std::chrono::seconds(1));
   }
@@ -877,7 +877,7 @@
   EXPECT_EQ(days.members().size(), 3U);
   catalog::PoolDef large = pool_of("dawn", 3);
   large.images = {{.image = "weights", .gb = 101}};
-  Days none({large, pool_of(std::string(constants::kPoolKeyMost + 1, 'x'), 1)});
+  Days none({large, pool_of(std::string(constants::kMaxPoolKey + 1, 'x'), 1)});
   none.calm(std::chrono::minutes(1));
   EXPECT_TRUE(none.rented.empty()) << "nothing holds it, and the other's name is too long for a key";
 }
@@ -916,7 +916,7 @@
   EXPECT_TRUE(pauses().contains(first));
   days.open = true;
   days.calm(std::chrono::seconds(200));
-  EXPECT_EQ(pauses().size(), constants::kPoolRefusalsMost);
+  EXPECT_EQ(pauses().size(), constants::kMaxPoolRefusals);
 }
 
 // Starts of the pool's users are counted once: again when the write was refused, not again when it may have been carried out.
@@ -925,7 +925,7 @@
     Days days({pool_of("dawn", 1)});
     days.calm(std::chrono::seconds(100));
     Node& node = *days.self[0];
-    Sighting seen = days.sight(node);
+    FleetObservation seen = days.observation(node);
     seen.starts["dawn"].warm = 1;
     node.keeper.observe(std::move(seen), days.moment(node));
     bool hit = false;
@@ -958,9 +958,9 @@
     told += holds_from(entry.data).machines.size();
   }
   EXPECT_EQ(told, 1260U);
-  days.follow(2);
-  days.self[2]->desk.take(days.self[2]->keeper.steer());
-  days.self[2]->desk.lead(Instant(days.now));
+  days.watch(2);
+  days.self[2]->desk.take(days.self[2]->keeper.directives());
+  days.self[2]->desk.become_leader(Instant(days.now));
   const auto images = days.self[2]->desk.first_seen(MachineId("m-200007"), 100, {});
   ASSERT_TRUE(images);
   EXPECT_TRUE(images->contains("weights"));
@@ -970,9 +970,9 @@
   // Unseen for a while, as after the loss of its zone, it is known again when it is back; not for ever.
   days.machines.erase(MachineId("m-200007"));
   days.calm(std::chrono::minutes(10), std::chrono::seconds(4));
-  EXPECT_TRUE(days.self[0]->keeper.steer().holds.contains(MachineId("m-200007")));
+  EXPECT_TRUE(days.self[0]->keeper.directives().holds.contains(MachineId("m-200007")));
   days.calm(std::chrono::minutes(25), std::chrono::seconds(4));
-  EXPECT_FALSE(days.self[0]->keeper.steer().holds.contains(MachineId("m-200007")));
+  EXPECT_FALSE(days.self[0]->keeper.directives().holds.contains(MachineId("m-200007")));
 }
 
 TEST_F(Pools, RandomDaysAreChargedExactly) {
@@ -1004,7 +1004,7 @@
         // The leader crashes or freezes; a frozen one goes on, and finds that it leads no more.
         const std::size_t was = days.leader;
         if (one_in(2)) days.restart(was);
-        days.take_lead(random() % 3);
+        days.acquire_leadership(random() % 3);
         if (was != days.leader) {
           for (int at = 0; at < 3; ++at) days.round(was, Luck::fine);
         }
@@ -1022,7 +1022,7 @@
         days.held_up.erase(days.held_up.begin());
       }
       for (std::size_t node = 0; node < 3; ++node) {
-        if (!one_in(4)) days.follow(node, one_in(50));
+        if (!one_in(4)) days.watch(node, one_in(50));
       }
       const unsigned dice = random() % 20;
       days.round(days.leader,
@@ -1044,17 +1044,17 @@
 class PoolsDesk : public Pools {
  protected:
   PoolsDesk() {
-    steer.pools.push_back({.pool = pool_of("dawn", 2)});
-    steer.pools[0].pool.warming = catalog::JobMatch{.job_classes = {"warm"}};
-    steer.members = {{held, 0}, {cold, 0}};
-    desk.take(steer);
+    directives.pools.push_back({.pool = pool_of("dawn", 2)});
+    directives.pools[0].pool.warming = catalog::JobMatch{.job_classes = {"warm"}};
+    directives.members = {{held, 0}, {cold, 0}};
+    desk.take(directives);
     (void)desk.first_seen(held, 100, {});
     (void)desk.first_seen(cold, 100, {});
     (void)desk.used(held, spec_of("weights", 60));
   }
   void change(const std::function<void(catalog::PoolDef&)>& what) {
-    what(steer.pools[0].pool);
-    desk.take(steer);
+    what(directives.pools[0].pool);
+    desk.take(directives);
   }
   [[nodiscard]] bool allows(const wire::JobSpec& spec, Millis estimate = Millis(10'000), Millis stuck = Millis(0)) {
     return desk.allows(spec, estimate, stuck, held);
@@ -1062,8 +1062,8 @@
   const MachineId held{"m-1"};
   const MachineId cold{"m-2"};
   const MachineId other{"m-3"};
-  Steer steer;
-  Desk desk;
+  PoolDirectives directives;
+  PoolAdmission desk;
 };
 
 TEST_F(PoolsDesk, OtherImagesDoNotPushThePoolsOut) {
@@ -1102,46 +1102,46 @@
   EXPECT_TRUE(desk.lacks(0, cold, "weights"));
   EXPECT_FALSE(desk.lacks(0, held, "weights"));
   EXPECT_FALSE(desk.lacks(0, other, "weights"));
-  EXPECT_FALSE(desk.warms(spec, constants::kWarmingMost)) << "it does not wait without end";
+  EXPECT_FALSE(desk.warms(spec, constants::kMaxWarming)) << "it does not wait without end";
   EXPECT_FALSE(desk.warms(spec_of("weights"), Millis(0))) << "not a warming job";
   wire::JobSpec gang = spec;
   gang.kind = wire::JobKind::gang;
   EXPECT_FALSE(desk.warms(gang, Millis(0))) << "its tasks start together";
   (void)desk.used(cold, spec_of("weights", 60));
   EXPECT_FALSE(desk.warms(spec, Millis(0))) << "nothing is cold any more";
-  steer.pools[0].filling = true;
-  desk.take(steer);
+  directives.pools[0].filling = true;
+  desk.take(directives);
   EXPECT_EQ(desk.warms(spec, Millis(0)), 0U) << "machines are on their way";
 }
 
 TEST_F(PoolsDesk, EachMomentOfAMachineCountsOnce) {
-  Sight sight{.id = held};
-  desk.look(sight, spec_of("small", 1, "blue"));
-  EXPECT_EQ(sight.use, Use::borrowed);
+  MachineObservation observation{.id = held};
+  desk.look(observation, spec_of("small", 1, "blue"));
+  EXPECT_EQ(observation.use, Use::borrowed);
   wire::JobSpec warming = spec_of("weights");
   warming.job_class = "warm";
-  desk.look(sight, spec_of("weights", 60, "green"));
-  desk.look(sight, warming);
-  desk.look(sight, spec_of("small", 1, "amber"));
-  EXPECT_EQ(sight.use, Use::own) << "the pool's users go first";
-  EXPECT_EQ(sight.team, "green");
-  EXPECT_EQ(sight.users_of, std::vector<std::size_t>{0});
+  desk.look(observation, spec_of("weights", 60, "green"));
+  desk.look(observation, warming);
+  desk.look(observation, spec_of("small", 1, "amber"));
+  EXPECT_EQ(observation.use, Use::own) << "the pool's users go first";
+  EXPECT_EQ(observation.team, "green");
+  EXPECT_EQ(observation.users_of, std::vector<std::size_t>{0});
 }
 
 TEST_F(PoolsDesk, AsksUntilItIsAnswered) {
-  steer.asks = {{.request = "warm-1", .type = "big", .zone = "a", .count = 2}};
-  desk.take(steer);
-  ASSERT_TRUE(desk.next_ask());
-  EXPECT_EQ(desk.next_ask()->request, "warm-1");
+  directives.asks = {{.request = "warm-1", .type = "big", .zone = "a", .count = 2}};
+  desk.take(directives);
+  ASSERT_TRUE(desk.next_request());
+  EXPECT_EQ(desk.next_request()->request, "warm-1");
   desk.answered({.request = "fox-1-1"}, {held});
-  EXPECT_TRUE(desk.next_ask()) << "that was another rental";
+  EXPECT_TRUE(desk.next_request()) << "that was another rental";
   EXPECT_TRUE(desk.answers().empty());
-  desk.answered(steer.asks[0], {held});
-  EXPECT_FALSE(desk.next_ask());
-  desk.take(steer);
+  desk.answered(directives.asks[0], {held});
+  EXPECT_FALSE(desk.next_request());
+  desk.take(directives);
   EXPECT_EQ(desk.answers().size(), 1U) << "until a record has it";
-  desk.lead(Instant{});
-  EXPECT_TRUE(desk.next_ask()) << "a new lead asks again, by the same name";
+  desk.become_leader(Instant{});
+  EXPECT_TRUE(desk.next_request()) << "a new lead asks again, by the same name";
   EXPECT_EQ(desk.cache(held), nullptr) << "and believes what the records say";
 }
 
@@ -1159,9 +1159,9 @@
   EXPECT_THROW((void)utc_times("Asia/Kolkata", "05:30", {}, 0, 1), wire::Malformed);
   catalog::PoolDef elsewhere = pool_of("dawn", 2);
   elsewhere.windows = {{.time_zone = "Asia/Kolkata", .from = "05:30", .to = "06:00"}};
-  Keeper keeper(open, 8 * 1024);
+  WarmPoolController keeper(open, 8 * 1024);
   keeper.declare({.pools = {elsewhere}});
-  const ledger::Moment now{.wall_ms = kBegin, .steady = Instant(std::chrono::hours(1))};
+  const record_cache::Moment now{.wall_ms = kBegin, .steady = Instant(std::chrono::hours(1))};
   keeper.observe({}, now);
   std::optional<kv::Txn> told;
   EXPECT_NO_THROW(told = keeper.next_write({}, now, kChanges));
--- a/tests/unit/preempt_test.cpp
+++ b/tests/unit/preempt_test.cpp
@@ -15,9 +15,9 @@
   return {.job = JobId(job),
           .tasks = {{JobId(job), 0}},
           .priority = priority,
-          .ran = constants::kPreemptRanLeast * 2,
+          .ran = constants::kMinRunBeforePreemption * 2,
           .lost = lost,
-          .left = constants::kPreemptLeftLeast * 4,
+          .left = constants::kMinRemainingToPreempt * 4,
           .spared = {}};
 }
 
@@ -57,13 +57,13 @@
 
 TEST(Preempt, WhatHasBegunEndsSoonOrGaveWayOfLateIsLeftAlone) {
   Victim one = victim("j-000001", wire::Priority::standard);
-  one.ran = constants::kPreemptRanLeast - Millis(1);
+  one.ran = constants::kMinRunBeforePreemption - Millis(1);
   EXPECT_FALSE(may_displace(need(1), one));
   one = victim("j-000001", wire::Priority::standard);
-  one.left = constants::kPreemptLeftLeast - Millis(1);
+  one.left = constants::kMinRemainingToPreempt - Millis(1);
   EXPECT_FALSE(may_displace(need(1), one));
   one = victim("j-000001", wire::Priority::standard);
-  one.spared = constants::kPreemptSpared - Millis(1);
+  one.spared = constants::kPreemptionCooldown - Millis(1);
   EXPECT_FALSE(may_displace(need(1), one));
   EXPECT_FALSE(may_displace(need(1), victim("j-000001", wire::Priority::standard, Millis(100'001))));
 }
--- a/tests/unit/priority_mutex_test.cpp
+++ b/tests/unit/priority_mutex_test.cpp
@@ -17,7 +17,7 @@
   {
     const std::lock_guard held(mutex.handle(LockPriority::cloud));
     for (const LockPriority priority :
-         {LockPriority::scheduling, LockPriority::records, LockPriority::lease, LockPriority::reports}) {
+         {LockPriority::scheduling, LockPriority::records, LockPriority::lease, LockPriority::heartbeats}) {
       waiting.emplace_back([&mutex, &order, priority] {
         const std::lock_guard lock(mutex.handle(priority));
         order.push_back(priority);
@@ -26,25 +26,25 @@
     }
   }
   waiting.clear();
-  EXPECT_EQ(order,
-            (std::vector{LockPriority::lease, LockPriority::reports, LockPriority::records, LockPriority::scheduling}));
+  EXPECT_EQ(order, (std::vector{LockPriority::lease, LockPriority::heartbeats, LockPriority::records,
+                                LockPriority::scheduling}));
 }
 
 // A pass gives the engine back between its portions: whoever waits gets it there, not only at the end of the pass.
 TEST(PriorityMutex, WhoGivesItBackDoesNotGetItBeforeAMoreUrgentOne) {
   PriorityMutex mutex;
-  bool reported = false;
-  std::jthread report;
+  bool has_reported = false;
+  std::jthread heartbeat;
   {
     const std::lock_guard first(mutex.handle(LockPriority::scheduling));
-    report = std::jthread([&] {
-      const std::lock_guard lock(mutex.handle(LockPriority::reports));
-      reported = true;
+    heartbeat = std::jthread([&] {
+      const std::lock_guard lock(mutex.handle(LockPriority::heartbeats));
+      has_reported = true;
     });
-    while (!mutex.is_awaited_by(LockPriority::reports)) std::this_thread::yield();
+    while (!mutex.is_awaited_by(LockPriority::heartbeats)) std::this_thread::yield();
   }
   const std::lock_guard second(mutex.handle(LockPriority::scheduling));
-  EXPECT_TRUE(reported);
+  EXPECT_TRUE(has_reported);
 }
 
 TEST(PriorityMutex, ManyThreadsShareIt) {
@@ -67,14 +67,14 @@
 TEST(PriorityMutex, TellsTheLongestWait) {
   using std::chrono::milliseconds;
   PriorityMutex mutex;
-  std::jthread report;
+  std::jthread heartbeat;
   {
     const std::lock_guard held(mutex.handle(LockPriority::scheduling));
-    report = std::jthread([&mutex] { const std::lock_guard lock(mutex.handle(LockPriority::reports)); });
-    while (!mutex.is_awaited_by(LockPriority::reports)) std::this_thread::yield();
+    heartbeat = std::jthread([&mutex] { const std::lock_guard lock(mutex.handle(LockPriority::heartbeats)); });
+    while (!mutex.is_awaited_by(LockPriority::heartbeats)) std::this_thread::yield();
   }
-  report.join();
-  EXPECT_GT(mutex.longest_waits()[static_cast<std::size_t>(LockPriority::reports)], milliseconds(0));
+  heartbeat.join();
+  EXPECT_GT(mutex.longest_waits()[static_cast<std::size_t>(LockPriority::heartbeats)], milliseconds(0));
   EXPECT_EQ(mutex.longest_waits()[static_cast<std::size_t>(LockPriority::lease)], milliseconds(0));
 }
 
--- a/tests/unit/reconciler_test.cpp
+++ b/tests/unit/reconciler_test.cpp
@@ -18,20 +18,20 @@
         machine_(add_machine("m-000001")),
         job_(add_job(spec_of("j-000001", 2))) {
     leadership_.begin(Term(7), Revision(1), now_);
-    machine_.session = SessionNo(1);
-    tasks_.place(job_, 0, AttemptNo(1), machine_, now_);
-    run().durable = true;
+    machine_.incarnation = AgentIncarnation(1);
+    tasks_.place(job_, 0, AttemptNumber(1), machine_, now_);
+    write_records();
   }
 
-  jobs::Run& run() { return *cluster_.jobs.find_run(task_); }
+  jobs::Allocation& run() { return *cluster_.jobs.find_allocation(task_); }
 
   // A heartbeat of the machine that tells of these tasks.
-  wire::Report heartbeat(std::vector<wire::TaskReport> tasks, SessionNo incarnation = SessionNo(1)) {
+  wire::Heartbeat heartbeat(std::vector<wire::TaskStatus> tasks, AgentIncarnation incarnation = AgentIncarnation(1)) {
     return {.machine = machine_.id,
             .address = "127.0.0.1:1",
             .type = "plain",
             .zone = "a",
-            .session = incarnation,
+            .incarnation = incarnation,
             .sequence = ++sequence_,
             .term = Term(7),
             .tasks = std::move(tasks)};
@@ -49,74 +49,76 @@
 TEST_F(Reconciliation, StartsADurableAllocationThatTheHeartbeatDoesNotTellOf) {
   const auto commands = reconciler_.on_heartbeat(heartbeat({}), now_);
   ASSERT_EQ(commands.size(), 1U);
-  EXPECT_EQ(commands.front(), (wire::Command{.kind = CommandKind::run, .task = task_, .attempt = AttemptNo(1)}));
+  EXPECT_EQ(commands.front(), (wire::Command{.kind = CommandKind::run, .task = task_, .attempt = AttemptNumber(1)}));
 }
 
 TEST_F(Reconciliation, AHeartbeatThatIsNoNewsTeachesNothing) {
-  const wire::Report first = heartbeat({});
+  const wire::Heartbeat first = heartbeat({});
   (void)reconciler_.on_heartbeat(first, now_);
   EXPECT_TRUE(reconciler_.on_heartbeat(first, now_).empty());
 }
 
 TEST_F(Reconciliation, ATaskThatRunsIsSeenToHaveBegun) {
   const auto commands = reconciler_.on_heartbeat(
-      heartbeat({{.task = task_, .attempt = AttemptNo(1), .state = TaskState::running}}), now_);
+      heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::running}}), now_);
   EXPECT_TRUE(commands.empty());
   EXPECT_EQ(run().seen, TaskState::running);
   EXPECT_EQ(run().running_since, now_);
 }
 
 TEST_F(Reconciliation, ATaskThatWasSeenAndIsGoneIsConfirmedTerminated) {
-  (void)reconciler_.on_heartbeat(heartbeat({{.task = task_, .attempt = AttemptNo(1), .state = TaskState::running}}),
+  (void)reconciler_.on_heartbeat(heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::running}}),
                                  now_);
   EXPECT_TRUE(reconciler_.on_heartbeat(heartbeat({}), now_).empty());
-  EXPECT_EQ(job_.runs_count, 0U);
+  EXPECT_EQ(job_.allocation_count, 0U);
   EXPECT_EQ(job_.done_count, 0U);
 }
 
 TEST_F(Reconciliation, AnAgentThatHasNotSeenTheTermConfirmsNothing) {
   run().seen = TaskState::running;
-  wire::Report of_earlier_term = heartbeat({});
+  wire::Heartbeat of_earlier_term = heartbeat({});
   of_earlier_term.term = Term(6);
   (void)reconciler_.on_heartbeat(of_earlier_term, now_);
-  EXPECT_EQ(job_.runs_count, 1U);
+  EXPECT_EQ(job_.allocation_count, 1U);
 }
 
 TEST_F(Reconciliation, ATaskThatEndedWellIsDone) {
   (void)reconciler_.on_heartbeat(
-      heartbeat({{.task = task_, .attempt = AttemptNo(1), .state = TaskState::ended, .reason = EndReason::done}}),
+      heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::ended, .reason = EndReason::done}}),
       now_);
   EXPECT_EQ(job_.done_count, 1U);
-  EXPECT_EQ(job_.runs_count, 0U);
+  EXPECT_EQ(job_.allocation_count, 0U);
 }
 
 TEST_F(Reconciliation, AnUnknownTaskIsKilled) {
   const TaskKey unknown{JobId("j-000009"), 0};
   const auto commands = reconciler_.on_heartbeat(
-      heartbeat({{.task = unknown, .attempt = AttemptNo(1), .state = TaskState::running}}), now_);
+      heartbeat({{.task = unknown, .attempt = AttemptNumber(1), .state = TaskState::running}}), now_);
   ASSERT_FALSE(commands.empty());
-  EXPECT_EQ(commands.front(), (wire::Command{.kind = CommandKind::halt, .task = unknown, .attempt = AttemptNo(1)}));
-  EXPECT_TRUE(machine_.strangers);
+  EXPECT_EQ(commands.front(), (wire::Command{.kind = CommandKind::stop, .task = unknown, .attempt = AttemptNumber(1)}));
+  EXPECT_TRUE(machine_.has_unknown_tasks);
 }
 
 TEST_F(Reconciliation, ALaterIncarnationOfTheAgentHasLostTheTasks) {
-  (void)reconciler_.on_heartbeat(heartbeat({}, SessionNo(2)), now_);
-  EXPECT_EQ(job_.runs_count, 0U);
+  (void)reconciler_.on_heartbeat(heartbeat({}, AgentIncarnation(2)), now_);
+  EXPECT_EQ(job_.allocation_count, 0U);
 }
 
 TEST_F(Reconciliation, AMachineThatTheCloudTakesIsDrainedAndStartsNothing) {
-  wire::Report notice = heartbeat({});
+  wire::Heartbeat notice = heartbeat({});
   notice.notice_s = 30;
   EXPECT_TRUE(reconciler_.on_heartbeat(notice, now_).empty());
   EXPECT_EQ(machine_.state, MachineState::draining);
-  EXPECT_TRUE(run().halting);
+  EXPECT_TRUE(run().stopping);
 }
 
 TEST_F(Reconciliation, AHeartbeatIsDurableWhenAllOfItsMachineIs) {
-  const wire::Report told = heartbeat({});
+  const wire::Heartbeat told = heartbeat({});
   EXPECT_TRUE(is_durable(cluster_, told));
-  run().durable = false;
+  tasks_.place(job_, 1, AttemptNumber(1), machine_, now_);
   EXPECT_FALSE(is_durable(cluster_, told));
+  write_records();
+  EXPECT_TRUE(is_durable(cluster_, told));
 }
 
 }  // namespace
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -17,14 +17,15 @@
 }
 
 TEST(Records, JobOfOnePart) {
-  JobRecord job{.spec = spec(5), .submitted_wall_ms = 77, .whole = PartRecord{}};
-  job.whole->next = AttemptNo(9);
+  JobRecord job{.spec = spec(5), .submitted_wall_ms = 77, .whole = JobShardRecord{}};
+  job.whole->next = AttemptNumber(9);
   job.whole->done = {true, false, false, true, true};
-  job.whole->runs = {{.index = 2, .attempt = AttemptNo(8), .machine = MachineId("m-000003"), .session = SessionNo(4)}};
+  job.whole->allocations = {
+      {.index = 2, .attempt = AttemptNumber(8), .machine = MachineId("m-000003"), .incarnation = AgentIncarnation(4)}};
   const JobRecord back = job_from(wire::decode(wire::encode(to_value(job))));
   EXPECT_EQ(back.whole->done, job.whole->done);
-  EXPECT_EQ(back.whole->runs, job.whole->runs);
-  EXPECT_EQ(back.whole->next, AttemptNo(9));
+  EXPECT_EQ(back.whole->allocations, job.whole->allocations);
+  EXPECT_EQ(back.whole->next, AttemptNumber(9));
   EXPECT_EQ(back.submitted_wall_ms, 77);
   const wire::JobStatus status = status_of(back);
   EXPECT_EQ(status.state, wire::JobState::running);
@@ -33,22 +34,27 @@
 }
 
 TEST(Records, FullestPartStaysUnderTheSmallestValueLimitOfABrief) {
-  PartRecord part{.next = AttemptNo(100'000), .done = std::vector<bool>(constants::kTasksPerPart, true), .runs = {}};
-  for (std::uint32_t index = 0; index < constants::kTasksPerPart; ++index) {
-    part.runs.push_back(
-        {.index = 99'999, .attempt = AttemptNo(100'000), .machine = MachineId("m-000231"), .session = SessionNo(12)});
+  JobShardRecord shard{
+      .next = AttemptNumber(100'000), .done = std::vector<bool>(constants::kTasksPerShard, true), .allocations = {}};
+  for (std::uint32_t index = 0; index < constants::kTasksPerShard; ++index) {
+    shard.allocations.push_back({.index = 99'999,
+                                 .attempt = AttemptNumber(100'000),
+                                 .machine = MachineId("m-000231"),
+                                 .incarnation = AgentIncarnation(12)});
   }
-  JobRecord job{.spec = spec(constants::kTasksPerPart), .submitted_wall_ms = 1'700'000'000'000, .whole = part};
+  JobRecord job{.spec = spec(constants::kTasksPerShard), .submitted_wall_ms = 1'700'000'000'000, .whole = shard};
   EXPECT_LT(wire::json_length(to_value(job)) + constants::kRecordSpareBytes, 8U * 1024);
 }
 
 TEST(Records, MalformedOnesAreRefused) {
   using wire::Value;
-  EXPECT_THROW((void)part_from(Value::Map{{"next", 1}, {"done", "z"}, {"runs", Value::List{}}}, 4), wire::Malformed);
-  EXPECT_THROW((void)part_from(Value::Map{{"next", 1}, {"done", "ff"}, {"runs", Value::List{}}}, 4), wire::Malformed);
-  EXPECT_THROW((void)part_from(Value::Map{{"next", 1}, {"done", ""}, {"runs", Value::List{Value::List{1}}}}, 4),
+  EXPECT_THROW((void)job_shard_from(Value::Map{{"next", 1}, {"done", "z"}, {"runs", Value::List{}}}, 4),
                wire::Malformed);
-  EXPECT_THROW((void)over_from(JobId("j-000001"), Value::Map{{"end", "lost"}, {"done", 1}}), wire::Malformed);
+  EXPECT_THROW((void)job_shard_from(Value::Map{{"next", 1}, {"done", "ff"}, {"runs", Value::List{}}}, 4),
+               wire::Malformed);
+  EXPECT_THROW((void)job_shard_from(Value::Map{{"next", 1}, {"done", ""}, {"runs", Value::List{Value::List{1}}}}, 4),
+               wire::Malformed);
+  EXPECT_THROW((void)finished_job_from(JobId("j-000001"), Value::Map{{"end", "lost"}, {"done", 1}}), wire::Malformed);
 }
 
 TEST(Records, KeysNameTheirJob) {
@@ -59,11 +65,11 @@
 }
 
 TEST(Records, Parts) {
-  EXPECT_EQ(parts_of(1), 1U);
-  EXPECT_EQ(parts_of(128), 1U);
-  EXPECT_EQ(parts_of(129), 2U);
-  EXPECT_EQ(part_size(129, 1), 1U);
-  EXPECT_EQ(parts_of(100'000), 782U);
+  EXPECT_EQ(shard_count(1), 1U);
+  EXPECT_EQ(shard_count(128), 1U);
+  EXPECT_EQ(shard_count(129), 2U);
+  EXPECT_EQ(shard_size(129, 1), 1U);
+  EXPECT_EQ(shard_count(100'000), 782U);
 }
 
 }  // namespace
--- a/tests/unit/scheduling_cycle_test.cpp
+++ b/tests/unit/scheduling_cycle_test.cpp
@@ -21,7 +21,7 @@
   }
 
   bool plan(std::size_t places_most = SIZE_MAX) {
-    return cycle_.plan_some({cluster_, gangs_, autoscaler_, deadlines_, tasks_, counters_}, now_, places_most);
+    return cycle_.plan_portion({cluster_, gangs_, autoscaler_, deadlines_, tasks_, counters_}, now_, places_most);
   }
 
   Leadership leadership_;
@@ -37,23 +37,23 @@
   add_machine("m-000001");  // room for four
   Job& job = add_job(spec_of("j-000001", 6));
   EXPECT_TRUE(plan());
-  EXPECT_EQ(job.runs_count, 4U);
+  EXPECT_EQ(job.allocation_count, 4U);
   EXPECT_EQ(job.pending(), 2U);
   EXPECT_GT(job.planned_start, now_);
   EXPECT_EQ(job.late_tasks, 2U);
 }
 
 TEST_F(Cycle, PlacesNothingWhileNothingMayStart) {
-  now_ += constants::kLeaderLease;
+  now_ += constants::kLeaderLeaseTtl;
   add_machine("m-000001");
   Job& job = add_job(spec_of("j-000001", 2));
   EXPECT_TRUE(plan());
-  EXPECT_EQ(job.runs_count, 0U);
+  EXPECT_EQ(job.allocation_count, 0U);
   EXPECT_TRUE(job.booked.empty());  // it has room now, so that no place is booked for later
   EXPECT_EQ(job.late_tasks, 0U);
   confirm();
   EXPECT_TRUE(plan());
-  EXPECT_EQ(job.runs_count, 2U);
+  EXPECT_EQ(job.allocation_count, 2U);
 }
 
 TEST_F(Cycle, IsUnderWayBetweenPortions) {
@@ -72,11 +72,11 @@
   add_machine("m-000001");  // room for four
   Job& gang = add_job(spec_of("j-000001", 5, wire::JobKind::gang));
   EXPECT_TRUE(plan());
-  EXPECT_EQ(gang.runs_count, 0U);
+  EXPECT_EQ(gang.allocation_count, 0U);
   EXPECT_EQ(gang.late_tasks, 5U);
   add_machine("m-000002");
   EXPECT_TRUE(plan());
-  EXPECT_EQ(gang.runs_count, 5U);
+  EXPECT_EQ(gang.allocation_count, 5U);
 }
 
 TEST_F(Cycle, APassRevokesTheBookingsOfThePassBefore) {
--- a/tests/unit/takeover_test.cpp
+++ b/tests/unit/takeover_test.cpp
@@ -17,12 +17,12 @@
 control::Readiness ready() {
   return {.self = NodeName("node-1"),
           .term = Term(4),
-          .term_mark = Revision(77),
+          .term_revision = Revision(77),
           .record = state::TermRecord{.term = Term(4), .leader = NodeName("node-1")},
-          .record_mark = Revision(77),
+          .record_revision = Revision(77),
           .records_at = Revision(80),
           .lease_asked = kNow - Millis(500),
-          .others_until = kNow + Millis(9000),
+          .older_leaders_until = kNow + Millis(9000),
           .fence_least = kNow + Millis(9000)};
 }
 
@@ -40,7 +40,7 @@
   EXPECT_EQ(control::not_ready(found, kNow), "term-read-back");
   // An earlier life of the same name took the same term by another write.
   found = ready();
-  found.record_mark = Revision(76);
+  found.record_revision = Revision(76);
   EXPECT_EQ(control::not_ready(found, kNow), "term-read-back");
 }
 
@@ -53,17 +53,17 @@
 // The time of day was set ahead during the takeover: the older fence would be taken for over too soon.
 TEST(Readiness, OlderFencesAreReckoned) {
   control::Readiness found = ready();
-  found.others_until -= Millis(1);
+  found.older_leaders_until -= Millis(1);
   EXPECT_EQ(control::not_ready(found, kNow), "fences-reckoned");
 }
 
 // The process stood still between the lease's confirmation and now.
 TEST(Readiness, TheLeaseIsConfirmedByTheClockAsItIsNow) {
-  EXPECT_EQ(control::not_ready(ready(), kNow + constants::kLeaderLease), "lease-confirmed");
+  EXPECT_EQ(control::not_ready(ready(), kNow + constants::kLeaderLeaseTtl), "lease-confirmed");
 }
 
-TEST(Phases, AreReckonedFromTheLastSignOfLife) {
-  standby::Phases phases;
+TEST(FailoverTimeline, AreReckonedFromTheLastSignOfLife) {
+  standby::FailoverTimeline phases;
   phases.noticed(kNow - Millis(90'000));  // when the process began; somebody took it
   phases.sign(kNow);
   phases.noticed(kNow + Millis(4000));
@@ -87,11 +87,11 @@
   EXPECT_FALSE(phases.line(kNow + Millis(99'000))) << "once";
 }
 
-TEST(Phases, ATakeoverThatComesToNothingIsToldAfterAWhile) {
-  standby::Phases phases;
+TEST(FailoverTimeline, ATakeoverThatComesToNothingIsToldAfterAWhile) {
+  standby::FailoverTimeline phases;
   phases.led(Term(4), kNow, kNow, std::nullopt);
-  EXPECT_FALSE(phases.line(kNow + constants::kTakeoverWatch - Millis(1)));
-  const auto line = phases.line(kNow + constants::kTakeoverWatch);
+  EXPECT_FALSE(phases.line(kNow + constants::kFailoverWatchTimeout - Millis(1)));
+  const auto line = phases.line(kNow + constants::kFailoverWatchTimeout);
   ASSERT_TRUE(line);
   EXPECT_NE(line->find("hints=none"), std::string::npos) << *line;
   EXPECT_NE(line->find("rate_ms=never former_starts_s=unknown"), std::string::npos) << *line;
--- a/tests/unit/task_lifecycle_test.cpp
+++ b/tests/unit/task_lifecycle_test.cpp
@@ -16,11 +16,13 @@
   // A job whose first `placed` tasks are allocated to the machine.
   Job& add_placed(const wire::JobSpec& spec, std::uint32_t placed) {
     Job& job = add_job(spec);
-    for (std::uint32_t index = 0; index < placed; ++index) tasks_.place(job, index, AttemptNo(1), machine_, now_);
+    for (std::uint32_t index = 0; index < placed; ++index) tasks_.place(job, index, AttemptNumber(1), machine_, now_);
     return job;
   }
 
-  jobs::Run& run_of(const Job& job, std::uint32_t index) { return *cluster_.jobs.find_run({job.spec.id, index}); }
+  jobs::Allocation& run_of(const Job& job, std::uint32_t index) {
+    return *cluster_.jobs.find_allocation({job.spec.id, index});
+  }
 
   Leadership leadership_;
   TaskLifecycle tasks_;
@@ -29,18 +31,19 @@
 
 TEST_F(TaskLife, ATaskMayStartOnceItsAllocationIsDurable) {
   const Job& job = add_placed(spec_of("j-000001", 1), 1);
-  jobs::Run& run = run_of(job, 0);
+  jobs::Allocation& run = run_of(job, 0);
   EXPECT_FALSE(tasks_.can_start(job, run, now_));
-  run.durable = true;
+  write_records();
   EXPECT_TRUE(tasks_.can_start(job, run, now_));
-  EXPECT_FALSE(tasks_.can_start(job, run, now_ + constants::kLeaderLease));
+  EXPECT_FALSE(tasks_.can_start(job, run, now_ + constants::kLeaderLeaseTtl));
 }
 
 TEST_F(TaskLife, AMemberOfAGangStartsOnlyWhenAllAreDurable) {
-  const Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 2);
-  run_of(job, 0).durable = true;
+  Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 1);
+  write_records();
+  tasks_.place(job, 1, AttemptNumber(1), machine_, now_);
   EXPECT_FALSE(tasks_.can_start(job, run_of(job, 0), now_));
-  run_of(job, 1).durable = true;
+  write_records();
   EXPECT_TRUE(tasks_.can_start(job, run_of(job, 0), now_));
 }
 
@@ -73,17 +76,18 @@
   Job& job = add_placed(spec, 1);
   run_of(job, 0).running_since = now_;
   tasks_.confirm_terminated(job, 0, "a test says so", now_ + Millis(25'000));
-  EXPECT_EQ(job.runs_count, 0U);
+  EXPECT_EQ(job.allocation_count, 0U);
   EXPECT_EQ(job.saved.at(0), Millis(20'000));
 }
 
 TEST_F(TaskLife, ACancelledJobLosesAtOnceWhatWasNeverDurable) {
-  Job& job = add_placed(spec_of("j-000001", 2), 2);
-  run_of(job, 0).durable = true;
+  Job& job = add_placed(spec_of("j-000001", 2), 1);
+  write_records();
+  tasks_.place(job, 1, AttemptNumber(1), machine_, now_);
   tasks_.cancel(job, now_);
-  EXPECT_TRUE(job.withdrawn);
-  ASSERT_EQ(job.runs_count, 1U);
-  EXPECT_TRUE(run_of(job, 0).halting);
+  EXPECT_TRUE(job.cancelled);
+  ASSERT_EQ(job.allocation_count, 1U);
+  EXPECT_TRUE(run_of(job, 0).stopping);
 }
 
 TEST_F(TaskLife, ALostMemberOfAStartedGangEndsTheAttempt) {
@@ -93,8 +97,8 @@
     run_of(job, index).running_since = now_;
   }
   tasks_.lose_task({job.spec.id, 0}, "a test says so", now_);
-  EXPECT_EQ(job.runs_count, 1U);
-  EXPECT_TRUE(run_of(job, 1).halting);
+  EXPECT_EQ(job.allocation_count, 1U);
+  EXPECT_TRUE(run_of(job, 1).stopping);
 }
 
 TEST_F(TaskLife, ADrainedMachineHasItsTasksStoppedWithTheirCheckpointsGrace) {
@@ -104,7 +108,7 @@
   const Job& job = add_placed(spec, 1);
   tasks_.drain(machine_, "a test wants it");
   EXPECT_EQ(machine_.state, MachineState::draining);
-  EXPECT_TRUE(run_of(job, 0).halting);
+  EXPECT_TRUE(run_of(job, 0).stopping);
   EXPECT_GE(run_of(job, 0).grace_s, 5);
 }
 
--- a/tests/unit/unreached_test.cpp
+++ b/tests/unit/unreached_test.cpp
@@ -25,7 +25,7 @@
 TEST(Unreached, AMachineThatComesLongAfterIsSentAgain) {
   Unreached unreached;
   EXPECT_FALSE(unreached.passes(kMachine, Term(6), Term(7), kStart));
-  EXPECT_FALSE(unreached.passes(kMachine, Term(6), Term(7), kStart + constants::kRelayBack));
+  EXPECT_FALSE(unreached.passes(kMachine, Term(6), Term(7), kStart + constants::kRelayReturnWindow));
 }
 
 TEST(Unreached, ANewLeaderIsTriedFirst) {
@@ -38,7 +38,7 @@
 TEST(Unreached, TheLeaderIsTriedNowAndThen) {
   Unreached unreached;
   EXPECT_TRUE(unreached.passes(kMachine, Term(7), Term(7), kStart));
-  const plan::Instant later = kStart + constants::kRelayFor;
+  const plan::Instant later = kStart + constants::kRelayPeriod;
   EXPECT_TRUE(unreached.passes(kMachine, Term(7), Term(7), later - plan::Millis(1)));
   EXPECT_FALSE(unreached.passes(kMachine, Term(7), Term(7), later));
   EXPECT_TRUE(unreached.passes(kMachine, Term(7), Term(7), later + plan::Millis(5000)));
--- a/tests/unit/user_api_test.cpp
+++ b/tests/unit/user_api_test.cpp
@@ -75,10 +75,10 @@
 
 void end(standins::StateStore& store, JobState state) {
   ASSERT_EQ(store
-                .txn({.conditions = {},
-                      .changes = {{.key = state::live_key(kJob), .data = {}, .lease = {}},
-                                  {.key = state::over_key(kJob),
-                                   .data = state::over_value({.id = kJob, .state = state}),
+                .txn({.preconditions = {},
+                      .changes = {{.key = state::active_job_key(kJob), .data = {}, .lease = {}},
+                                  {.key = state::finished_job_key(kJob),
+                                   .data = state::finished_job_value({.id = kJob, .state = state}),
                                    .lease = {}}}})
                 .answer,
             Answer::ok);
@@ -87,7 +87,7 @@
 TEST(UserApi, ASubmissionIsAcceptedOnceAndKnownEverAfter) {
   Node node;
   EXPECT_EQ(node.submit(job()).status, 201);
-  const auto kept = state::job_from(node.store.get(state::live_key(kJob)).entry.data);
+  const auto kept = state::job_from(node.store.get(state::active_job_key(kJob)).entry.data);
   EXPECT_EQ(kept.submitted_wall_ms, 77);
   const Reply again = node.submit(job());
   EXPECT_EQ(again.status, 200);
@@ -153,10 +153,10 @@
   EXPECT_EQ(unknown.status, 503);
   EXPECT_EQ(unknown.retry_after_s, constants::kRetryAfterSeconds);
   (void)node.store.txn(
-      {.conditions = {}, .changes = {{.key = state::kTypesKey, .data = wire::Value("no"), .lease = {}}}});
+      {.preconditions = {}, .changes = {{.key = state::kMachineTypesKey, .data = wire::Value("no"), .lease = {}}}});
   EXPECT_EQ(node.submit(job()).status, 503);
   (void)node.store.txn(
-      {.conditions = {}, .changes = {{.key = state::kTypesKey, .data = wire::to_value(types), .lease = {}}}});
+      {.preconditions = {}, .changes = {{.key = state::kMachineTypesKey, .data = wire::to_value(types), .lease = {}}}});
   EXPECT_EQ(node.submit(job()).status, 201);
 }
 
@@ -181,10 +181,10 @@
   node.reads_answered = false;
   EXPECT_EQ(node.ask().status, 503);
   node.reads_answered = true;
-  end(node.store, JobState::withdrawn);
-  EXPECT_EQ(state_of(node.ask()), JobState::withdrawn);
+  end(node.store, JobState::cancelled);
+  EXPECT_EQ(state_of(node.ask()), JobState::cancelled);
   node.reads_answered = false;
-  EXPECT_EQ(state_of(node.ask()), JobState::withdrawn) << "a final state is kept";
+  EXPECT_EQ(state_of(node.ask()), JobState::cancelled) << "a final state is kept";
 }
 
 // live/ was read before the job ended, over/ after it: it is missed in neither.
@@ -192,11 +192,11 @@
   Node node;
   (void)node.submit(job());
   Request request = Request::question(node.known(), kJob.text());
-  EXPECT_EQ(std::get<Request::Read>(request.step()).key, state::live_key(kJob));
+  EXPECT_EQ(std::get<Request::Read>(request.step()).key, state::active_job_key(kJob));
   end(node.store, JobState::done);
-  request.on_read(node.store.get(state::live_key(kJob)));
-  EXPECT_EQ(std::get<Request::Read>(request.step()).key, state::over_key(kJob));
-  request.on_read(node.store.get(state::over_key(kJob)));
+  request.on_read(node.store.get(state::active_job_key(kJob)));
+  EXPECT_EQ(std::get<Request::Read>(request.step()).key, state::finished_job_key(kJob));
+  request.on_read(node.store.get(state::finished_job_key(kJob)));
   ASSERT_NE(request.reply(), nullptr);
   EXPECT_EQ(state_of(*request.reply()), JobState::done);
 }
@@ -204,7 +204,7 @@
 TEST(UserApi, ARecordThatCannotBeReadIsNotTakenForNone) {
   Node node;
   (void)node.store.txn(
-      {.conditions = {}, .changes = {{.key = state::live_key(kJob), .data = wire::Value("no"), .lease = {}}}});
+      {.preconditions = {}, .changes = {{.key = state::active_job_key(kJob), .data = wire::Value("no"), .lease = {}}}});
   EXPECT_EQ(node.ask().status, 503);
   EXPECT_EQ(node.cancel().status, 503);
 }
@@ -214,11 +214,11 @@
   EXPECT_EQ(node.cancel().status, 404);
   EXPECT_EQ(node.cancel("nonsense").status, 404);
   (void)node.submit(job());
-  EXPECT_EQ(state_of(node.cancel()), JobState::withdrawn);
-  EXPECT_EQ(node.store.get(state::live_key(kJob)).answer, Answer::not_found);
+  EXPECT_EQ(state_of(node.cancel()), JobState::cancelled);
+  EXPECT_EQ(node.store.get(state::active_job_key(kJob)).answer, Answer::not_found);
   node.reads_answered = false;
-  EXPECT_EQ(state_of(node.cancel()), JobState::withdrawn);
-  EXPECT_EQ(state_of(node.submit(job())), JobState::withdrawn);
+  EXPECT_EQ(state_of(node.cancel()), JobState::cancelled);
+  EXPECT_EQ(state_of(node.submit(job())), JobState::cancelled);
 }
 
 TEST(UserApi, ACancellationOfWhatIsDone) {
@@ -234,20 +234,20 @@
   Node node;
   (void)node.submit(job());
   node.answers = {Answer::ok, Answer::conflict, Answer::none};
-  EXPECT_EQ(state_of(node.cancel()), JobState::withdrawn);
+  EXPECT_EQ(state_of(node.cancel()), JobState::cancelled);
   EXPECT_EQ(node.writes, 4U);
 
   Node unlucky;
   (void)unlucky.submit(job());
-  unlucky.answers.assign(1 + constants::kConflictsMost, Answer::conflict);
+  unlucky.answers.assign(1 + constants::kMaxConflictRetries, Answer::conflict);
   EXPECT_EQ(unlucky.cancel().status, 503);
-  EXPECT_EQ(unlucky.writes, 1U + constants::kConflictsMost);
+  EXPECT_EQ(unlucky.writes, 1U + constants::kMaxConflictRetries);
 
   Node unanswered;
   (void)unanswered.submit(job());
   unanswered.answers = {Answer::ok, Answer::none};
   unanswered.lost = true;
-  EXPECT_EQ(state_of(unanswered.cancel()), JobState::withdrawn);
+  EXPECT_EQ(state_of(unanswered.cancel()), JobState::cancelled);
   EXPECT_EQ(unanswered.writes, 2U);
 
   Node refused;
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -113,7 +113,7 @@
   EXPECT_TRUE(why(Value::List{}).starts_with("not a map"));
 }
 
-TEST(Report, RoundTrip) {
+TEST(Heartbeat, RoundTrip) {
   const Value body = Value::Map{
       {"den", "m-000231"},
       {"addr", "10.1.0.232:9000"},
@@ -126,14 +126,14 @@
       {"barkS", nullptr},
       {"cubs", Value::List{Value::Map{{"cub", "j-000412/3"}, {"try", 2}, {"scent", "running"}},
                            Value::Map{{"cub", "j-000398/0"}, {"try", 1}, {"scent", "ended"}, {"trail", "done"}}}}};
-  const Report report = report_from(body);
-  EXPECT_EQ(report.term, Term(41));
-  EXPECT_EQ(report.session, SessionNo(2));
-  ASSERT_EQ(report.tasks.size(), 2U);
-  EXPECT_EQ(report.tasks[0].task, (TaskKey{JobId("j-000412"), 3}));
-  EXPECT_EQ(report.tasks[1].reason, EndReason::done);
-  EXPECT_EQ(encode(to_value(report_from(to_value(report)))), encode(to_value(report)));
-  EXPECT_THROW((void)report_from(Value::Map{{"den", "m-1"}}), Malformed);
+  const Heartbeat heartbeat = heartbeat_from(body);
+  EXPECT_EQ(heartbeat.term, Term(41));
+  EXPECT_EQ(heartbeat.incarnation, AgentIncarnation(2));
+  ASSERT_EQ(heartbeat.tasks.size(), 2U);
+  EXPECT_EQ(heartbeat.tasks[0].task, (TaskKey{JobId("j-000412"), 3}));
+  EXPECT_EQ(heartbeat.tasks[1].reason, EndReason::done);
+  EXPECT_EQ(encode(to_value(heartbeat_from(to_value(heartbeat)))), encode(to_value(heartbeat)));
+  EXPECT_THROW((void)heartbeat_from(Value::Map{{"den", "m-1"}}), Malformed);
 }
 
 TEST(TaskKey, Forms) {
--- a/tests/unit/work_test.cpp
+++ b/tests/unit/work_test.cpp
@@ -32,7 +32,7 @@
 TEST_F(Work, APassOverALongQueueAllocatesLittle) {
   BusyFleet fleet(kMachines, kQueue, kQueue);
   fleet.pass();
-  fleet.report_all();
+  fleet.heartbeat_all();
   fleet.advance(plan::Millis(200));
   const std::uint64_t before = allocations();
   fleet.controller().plan_pass(fleet.now());
@@ -46,7 +46,7 @@
   std::uint64_t seen = 0;
   std::size_t portions = 0;
   for (bool ended = false; !ended; ++portions) {
-    ended = fleet.controller().plan_some(fleet.now(), kMost);
+    ended = fleet.controller().plan_portion(fleet.now(), kMost);
     EXPECT_TRUE(ended || fleet.controller().plan_wanted());
     const std::uint64_t now_seen = fleet.controller().counters().places_seen;
     EXPECT_LT(now_seen - seen, kMost + kMachines);  // the last job began before the bound
@@ -62,7 +62,7 @@
   BusyFleet apart(kMachines, kQueue, kQueue);
   for (int round = 0; round < 5; ++round) {
     whole.pass();
-    for (bool ended = false; !ended;) ended = apart.controller().plan_some(apart.now(), 1);
+    for (bool ended = false; !ended;) ended = apart.controller().plan_portion(apart.now(), 1);
     apart.pass();  // nothing has happened: the same once more, and what it placed becomes durable
     whole.pass();
     ASSERT_EQ(whole.controller().jobs().size(), apart.controller().jobs().size());
@@ -70,15 +70,18 @@
       const control::Job& other = apart.controller().jobs().at(id);
       EXPECT_EQ(job.planned_start, other.planned_start) << id.text();
       EXPECT_EQ(job.late_tasks, other.late_tasks) << id.text();
-      ASSERT_EQ(job.parts.size(), other.parts.size());
-      for (std::size_t part = 0; part < job.parts.size(); ++part) {
-        EXPECT_TRUE(std::ranges::equal(job.parts[part].runs, other.parts[part].runs, [](const auto& a, const auto& b) {
-          return a.first == b.first && a.second.machine == b.second.machine && a.second.attempt == b.second.attempt;
-        })) << id.text();
+      ASSERT_EQ(job.shards.size(), other.shards.size());
+      for (std::size_t shard = 0; shard < job.shards.size(); ++shard) {
+        EXPECT_TRUE(std::ranges::equal(job.shards[shard].allocations, other.shards[shard].allocations,
+                                       [](const auto& a, const auto& b) {
+                                         return a.first == b.first && a.second.machine == b.second.machine &&
+                                                a.second.attempt == b.second.attempt;
+                                       }))
+            << id.text();
       }
     }
     for (BusyFleet* fleet : {&whole, &apart}) {
-      fleet->report_all();
+      fleet->heartbeat_all();
       fleet->advance(plan::Millis(700));
       fleet->end_one();
       fleet->add_job(round % 2 == 0);
@@ -89,8 +92,8 @@
 // What a write made durable changes no booking: the outcome that it wrote was planned for when it was reported.
 TEST_F(Work, AWriteIsNoReasonToPlan) {
   BusyFleet fleet(kMachines, 4, 4);
-  fleet.controller().confirm_lease(fleet.now());
-  fleet.controller().confirm_reading(fleet.now());
+  fleet.controller().on_leader_lease_renewed(fleet.now());
+  fleet.controller().on_records_confirmed(fleet.now());
   fleet.controller().plan_pass(fleet.now());
   const auto batch = fleet.controller().begin_write(fleet.now());
   ASSERT_TRUE(batch);
@@ -102,16 +105,16 @@
 TEST_F(Work, AReportThatTellsNothingNewLeavesNothingToDo) {
   BusyFleet fleet(kMachines, kQueue, kQueue);
   fleet.pass();
-  fleet.report_all();
+  fleet.heartbeat_all();
   fleet.pass();
   const MachineId busy = std::ranges::max_element(fleet.controller().machines(), {}, [](const auto& entry) {
-                           return entry.second.runs.size();
+                           return entry.second.allocations.size();
                          })->first;
-  const wire::Report report = fleet.report_of(busy);
-  ASSERT_GT(report.tasks.size(), 1U);
+  const wire::Heartbeat heartbeat = fleet.heartbeat_of(busy);
+  ASSERT_GT(heartbeat.tasks.size(), 1U);
   const std::uint64_t before = allocations();
-  const auto commands = fleet.controller().on_report(report, fleet.now());
-  EXPECT_LE(allocations() - before, 2 * report.tasks.size());  // a set of the tasks that it names, and their ids
+  const auto commands = fleet.controller().on_heartbeat(heartbeat, fleet.now());
+  EXPECT_LE(allocations() - before, 2 * heartbeat.tasks.size());  // a set of the tasks that it names, and their ids
   ASSERT_TRUE(commands);
   EXPECT_TRUE(commands->empty());
   EXPECT_FALSE(fleet.controller().plan_wanted());
--- a/tests/unit/write_batch_test.cpp
+++ b/tests/unit/write_batch_test.cpp
@@ -21,11 +21,11 @@
   job.spec.id = kJob;
   job.spec.job_class = job.spec.team = job.spec.image = "x";
   job.spec.tasks = tasks;
-  job.mark = kJobRevision;
+  job.revision = kJobRevision;
   job.shown = kNow;
-  job.parts.resize(state::parts_of(tasks));
-  for (std::uint32_t part = 0; part < job.parts.size(); ++part) {
-    job.parts[part].done.resize(state::part_size(tasks, part));
+  job.shards.resize(state::shard_count(tasks));
+  for (std::uint32_t shard = 0; shard < job.shards.size(); ++shard) {
+    job.shards[shard].done.resize(state::shard_size(tasks, shard));
   }
   return job;
 }
@@ -38,8 +38,8 @@
 
 std::vector<std::string> required_keys(const WriteBatch& batch) {
   std::vector<std::string> keys;
-  for (const kv::Condition& condition : batch.txn.conditions) {
-    keys.push_back(condition.key + "@" + std::to_string(condition.mark.number()));
+  for (const kv::Precondition& condition : batch.txn.preconditions) {
+    keys.push_back(condition.key + "@" + std::to_string(condition.revision.number()));
   }
   return keys;
 }
@@ -59,11 +59,11 @@
 
 TEST(WriteBatchBuilder, TwoPartsOfAJobAreConditionedOnTheJobOnce) {
   WriteBatchBuilder builder(kTermRevision, kMaxChanges);
-  Job job = job_of(2 * constants::kTasksPerPart);
-  job.parts[1].mark = Revision(9);
+  Job job = job_of(2 * constants::kTasksPerShard);
+  job.shards[1].revision = Revision(9);
   builder.add_update(job, 0, kNow);
   builder.add_update(job, 1, kNow);
-  EXPECT_TRUE(job.parts[0].recorded && job.parts[1].recorded);
+  EXPECT_TRUE(job.shards[0].recorded && job.shards[1].recorded);
   const WriteBatch batch = builder.take();
   EXPECT_EQ(changed_keys(batch), (Keys{"set part/j-000001/0", "set part/j-000001/1"}));
   EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11", "part/j-000001/0@0", "part/j-000001/1@9"}));
@@ -71,9 +71,9 @@
 
 TEST(WriteBatchBuilder, DisplayedCountsOfAJobInPartsAreWrittenOnceTheyAreOld) {
   WriteBatchBuilder builder(kTermRevision, kMaxChanges);
-  Job job = job_of(2 * constants::kTasksPerPart);
-  builder.add_update(job, 0, kNow + constants::kShowEvery);
-  builder.add_update(job, 1, kNow + constants::kShowEvery);
+  Job job = job_of(2 * constants::kTasksPerShard);
+  builder.add_update(job, 0, kNow + constants::kDisplayedCountsInterval);
+  builder.add_update(job, 1, kNow + constants::kDisplayedCountsInterval);
   const WriteBatch batch = builder.take();
   EXPECT_EQ(changed_keys(batch), (Keys{"set part/j-000001/0", "set live/j-000001", "set part/j-000001/1"}));
   EXPECT_TRUE(batch.items[0].header);
@@ -82,21 +82,21 @@
 
 TEST(WriteBatchBuilder, AFinishedJobInPartsIsKeptInSightUntilItsPartsAreRemoved) {
   WriteBatchBuilder builder(kTermRevision, kMaxChanges);
-  builder.add_finish(job_of(2 * constants::kTasksPerPart));
+  builder.add_finish(job_of(2 * constants::kTasksPerShard));
   const WriteBatch batch = builder.take();
   EXPECT_EQ(changed_keys(batch), (Keys{"remove live/j-000001", "set over/j-000001", "set linger/j-000001"}));
   EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11", "over/j-000001@0"}));
 }
 
 TEST(WriteBatchBuilder, ARemovalTakesPartsAsFarAsThereIsRoomAndTheLastRecordWithTheLastOfThem) {
-  Job job = job_of(8 * constants::kTasksPerPart);
-  for (Part& part : job.parts) part.recorded = true;
+  Job job = job_of(8 * constants::kTasksPerShard);
+  for (JobShard& shard : job.shards) shard.recorded = true;
   WriteBatchBuilder first(kTermRevision, kMaxChanges);
   first.add_removal(job);
   const WriteBatch some = first.take();
   EXPECT_EQ(some.items[0].removed_parts, (std::vector<std::uint32_t>{0, 1, 2, 3, 4}));
   EXPECT_FALSE(some.items[0].removes_last);
-  for (const std::uint32_t part : some.items[0].removed_parts) job.parts[part].recorded = false;
+  for (const std::uint32_t shard : some.items[0].removed_parts) job.shards[shard].recorded = false;
   WriteBatchBuilder second(kTermRevision, kMaxChanges);
   second.add_removal(job);
   const WriteBatch rest = second.take();
@@ -108,7 +108,7 @@
 TEST(WriteBatchBuilder, HasRoomUpToTheStoresLimits) {
   WriteBatchBuilder builder(kTermRevision, 3);
   Job one = job_of(5);
-  const Job in_parts = job_of(2 * constants::kTasksPerPart);
+  const Job in_parts = job_of(2 * constants::kTasksPerShard);
   EXPECT_TRUE(builder.has_room_for(in_parts, WriteItem::Kind::finish));
   builder.add_update(one, 0, kNow);
   EXPECT_FALSE(builder.has_room_for(in_parts, WriteItem::Kind::finish)) << "which needs three changes";
--- a/tests/unit/zone_view_test.cpp
+++ b/tests/unit/zone_view_test.cpp
@@ -13,24 +13,24 @@
 // A zone that is looked at as often as the leader does, until it is said otherwise.
 class OneZone {
  public:
-  void look(const Sighting& seen, Millis span = kLook) {
+  void look(const ZoneObservation& seen, Millis span = kLook) {
     for (const Instant until = now_ + span; now_ < until; now_ += kLook)
       changes_ += view_.look({{"b", seen}}, now_).size();
   }
   [[nodiscard]] State state() const { return view_.of("b"); }
   [[nodiscard]] std::size_t changes() const { return changes_; }
-  [[nodiscard]] const View& view() const { return view_; }
+  [[nodiscard]] const ZoneHealthMonitor& view() const { return view_; }
   [[nodiscard]] Instant now() const { return now_; }
 
  private:
-  View view_;
+  ZoneHealthMonitor view_;
   Instant now_{Millis(1'000'000)};
   std::size_t changes_ = 0;
 };
 
-const Sighting kWhole{.heard = 20, .sibling = true, .sibling_silent = Millis(500)};
-const Sighting kGone{.silent = 20, .tasks = 40, .sibling = true, .sibling_silent = Millis(9000)};
-const Sighting kEnded{.ended = 20, .sibling = true, .sibling_silent = Millis(60'000)};
+const ZoneObservation kWhole{.heard = 20, .sibling = true, .sibling_silent = Millis(500)};
+const ZoneObservation kGone{.silent = 20, .tasks = 40, .sibling = true, .sibling_silent = Millis(9000)};
+const ZoneObservation kEnded{.ended = 20, .sibling = true, .sibling_silent = Millis(60'000)};
 
 TEST(ZoneView, TwentyMachinesAreOneEvent) {
   OneZone zone;
@@ -86,7 +86,7 @@
   EXPECT_EQ(zone.state(), State::returning);
   EXPECT_FALSE(zone.view().takes_work("b"));
   EXPECT_FALSE(zone.view().trusted("b"));
-  zone.look(kWhole, constants::kZoneSettle + kLook);
+  zone.look(kWhole, constants::kZoneSettleInterval + kLook);
   EXPECT_EQ(zone.state(), State::whole);
 }
 
@@ -97,16 +97,16 @@
   zone.look(kWhole, kLook);
   zone.look(kGone, Millis(1400));
   EXPECT_FALSE(zone.view().leaves("b")) << "again within the settling time";
-  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kZoneSettle * 2);
+  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kZoneSettleInterval * 2);
   for (int flap = 0; flap < 10; ++flap) {
     zone.look(kWhole, kLook);
     zone.look(kGone, Millis(1400));
   }
-  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kZoneSettleMost);
-  zone.look(kWhole, constants::kZoneSettleMost + kLook * 2);
+  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kMaxZoneSettleInterval);
+  zone.look(kWhole, constants::kMaxZoneSettleInterval + kLook * 2);
   ASSERT_EQ(zone.state(), State::whole);
-  zone.look(kWhole, constants::kZoneSteady * 6);
-  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kZoneSettle);
+  zone.look(kWhole, constants::kZoneSteadyInterval * 6);
+  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kZoneSettleInterval);
   zone.look(kGone, Millis(1400));
   EXPECT_TRUE(zone.view().leaves("b"));
 }
@@ -117,7 +117,7 @@
   EXPECT_TRUE(zone.view().keeps("b", zone.now()));
   zone.look(kEnded, Millis(1000));
   EXPECT_TRUE(zone.view().keeps("b", zone.now()));
-  zone.look(kEnded, constants::kZoneKeep);
+  zone.look(kEnded, constants::kZoneMachineRetention);
   EXPECT_FALSE(zone.view().keeps("b", zone.now()));
   EXPECT_EQ(zone.state(), State::lost);
   // With all machines given back only renting can show that it is there again.
