--- a/tests/standins/state_store.cpp
+++ b/tests/standins/state_store.cpp
@@ -6,8 +6,33 @@
 
 using state::Answer;
 
+namespace {
+
+std::uint64_t number_of(Answer answer) { return static_cast<std::uint64_t>(answer); }
+
+TrafficMessage message_of(const state::Txn& txn, const state::TxnResult& result) {
+  TrafficMessage message("state-txn");
+  for (const state::Condition& condition : txn.conditions) {
+    message.add("if", std::string_view(condition.key)).add("mark", condition.mark);
+  }
+  for (const state::Change& change : txn.changes) {
+    message.add(change.data ? "put" : "remove", std::string_view(change.key));
+    if (change.data) message.add("data", *change.data);
+    if (change.lease) message.add("lease", change.lease->number);
+  }
+  message.add("answer", number_of(result.answer)).add("revision", result.revision);
+  for (const std::string& key : result.failed) message.add("failed", std::string_view(key));
+  return message;
+}
+
+}  // namespace
+
 state::GetResult StateStore::get(const std::string& key) const {
   const auto found = items_.find(key);
+  if (traffic_ != nullptr) {
+    const Revision mark = found == items_.end() ? Revision{} : found->second.mark;
+    traffic_->record(TrafficMessage("state-get").add("key", std::string_view(key)).add("mark", mark));
+  }
   if (found == items_.end()) return {.answer = Answer::not_found, .entry = {.key = key}};
   return {.answer = Answer::ok, .entry = {.key = key, .data = found->second.data, .mark = found->second.mark}};
 }
@@ -17,6 +42,12 @@
   for (auto at = items_.lower_bound(prefix); at != items_.end() && at->first.starts_with(prefix); ++at) {
     result.entries.push_back({.key = at->first, .data = at->second.data, .mark = at->second.mark});
   }
+  if (traffic_ != nullptr) {
+    traffic_->record(TrafficMessage("state-list")
+                         .add("prefix", std::string_view(prefix))
+                         .add("entries", result.entries.size())
+                         .add("revision", revision_));
+  }
   return result;
 }
 
@@ -30,6 +61,12 @@
 }
 
 state::TxnResult StateStore::txn(const state::Txn& txn) {
+  state::TxnResult result = execute(txn);
+  if (traffic_ != nullptr) traffic_->record(message_of(txn, result));
+  return result;
+}
+
+state::TxnResult StateStore::execute(const state::Txn& txn) {
   state::TxnResult result{.answer = Answer::ok, .revision = revision_, .failed = {}};
   for (const state::Condition& condition : txn.conditions) {
     const auto found = items_.find(condition.key);
@@ -64,17 +101,34 @@
   for (auto event = std::ranges::upper_bound(events_, from, {}, &state::Event::mark); event != events_.end(); ++event) {
     if (event->key.starts_with(prefix)) result.events.push_back(*event);
   }
+  if (traffic_ != nullptr) {
+    traffic_->record(TrafficMessage("state-watch")
+                         .add("prefix", std::string_view(prefix))
+                         .add("from", from)
+                         .add("events", result.events.size())
+                         .add("revision", revision_));
+  }
   return result;
 }
 
 state::LeaseId StateStore::grant(Millis ttl, Instant now) {
   const state::LeaseId lease{next_lease_++};
   leases_[lease.number] = {.ttl = ttl, .until = now + ttl};
+  if (traffic_ != nullptr) {
+    traffic_->record(TrafficMessage("state-lease-grant")
+                         .add("lease", lease.number)
+                         .add("ttl", static_cast<std::uint64_t>(ttl.count())));
+  }
   return lease;
 }
 
 state::Answer StateStore::touch(state::LeaseId lease, Instant now) {
   const auto found = leases_.find(lease.number);
+  if (traffic_ != nullptr) {
+    traffic_->record(TrafficMessage("state-lease-renew")
+                         .add("lease", lease.number)
+                         .add("found", static_cast<std::uint64_t>(found != leases_.end())));
+  }
   if (found == leases_.end()) return Answer::not_found;
   found->second.until = now + found->second.ttl;
   return Answer::ok;
@@ -82,6 +136,7 @@
 
 void StateStore::revoke(state::LeaseId lease) {
   if (leases_.erase(lease.number) == 0) return;
+  if (traffic_ != nullptr) traffic_->record(TrafficMessage("state-lease-end").add("lease", lease.number));
   std::vector<std::string> attached;
   for (const auto& [key, item] : items_) {
     if (item.lease == lease.number) attached.push_back(key);
--- a/tests/standins/state_store.h
+++ b/tests/standins/state_store.h
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "plan/usage_vector.h"
+#include "standins/traffic_recorder.h"
 #include "state/txn.h"
 
 namespace foxshunt::standins {
@@ -27,6 +28,8 @@
   // After an outage all leases have their full time again.
   void renew_all(Instant now);
   [[nodiscard]] Revision revision() const { return revision_; }
+  // What is asked and answered from now on; nullptr: nowhere.
+  void record_to(TrafficRecorder* traffic) { traffic_ = traffic; }
 
  private:
   struct Item {
@@ -38,6 +41,7 @@
     Millis ttl{};
     Instant until;
   };
+  [[nodiscard]] state::TxnResult execute(const state::Txn& txn);
   void put(const std::string& key, Item item);
   void remove(const std::string& key);
 
@@ -46,6 +50,7 @@
   std::deque<state::Event> events_;
   Revision revision_;
   std::uint64_t next_lease_ = 1;
+  TrafficRecorder* traffic_ = nullptr;
 };
 
 }  // namespace foxshunt::standins
--- a/tests/standins/world.cpp
+++ b/tests/standins/world.cpp
@@ -31,6 +31,8 @@
       balancer_(nodes),
       rules_(settings_),
       served_(settings_.teams) {
+  store_.record_to(traffic_);
+  if (traffic_ != nullptr) traffic_->set_now(now_);
   rules_.on_types(types());
   nodes_.resize(nodes);
   std::size_t most = 0;
@@ -151,6 +153,7 @@
   while (!agenda_.empty() && agenda_.begin()->first <= end) {
     const auto next = agenda_.extract(agenda_.begin());
     now_ = std::max(now_, next.key());
+    if (traffic_ != nullptr) traffic_->set_now(now_);
     if (!state_out_) store_.expire(now_);
     next.mapped()();
   }
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -27,6 +27,7 @@
 #include "standins/rules.h"
 #include "standins/served.h"
 #include "standins/state_store.h"
+#include "standins/traffic_recorder.h"
 #include "standins/worker.h"
 #include "user_api/request.h"
 #include "zone/grants.h"
@@ -433,6 +434,29 @@
   }
   // Whether users' connections reach the node.
   [[nodiscard]] bool in_users_reach(std::size_t node) const;
+  // ---- what the recorder is told (world_traffic.cpp) ----
+  void record_state_call(std::size_t node, Duty duty);
+  void record_state_answer(std::size_t node, Duty duty, state::Answer answer);
+  void record_report(const wire::Report& report, std::size_t node);
+  // Without commands the worker is sent to another node.
+  void record_report_answer(const MachineId& machine, std::size_t node, Term term,
+                            const std::optional<std::vector<wire::Command>>& commands);
+  void record_direct_commands(std::size_t node, const control::DirectHalt& halt);
+  void record_rental(std::size_t node, const wire::RentRequest& request, const std::vector<MachineId>& rented);
+  void record_returns(std::size_t node, const std::vector<MachineId>& machines);
+  void record_listing(std::size_t node, const std::vector<wire::ListedMachine>& listed);
+  void record_user_request(std::size_t node, const Asked& asked);
+  void record_user_reply(std::size_t node, const Asked& asked, const user_api::Reply& reply);
+  // What a user is told who asks how the job is doing; nothing: that there is none.
+  void record_poll_answer(std::size_t node, const JobId& job, const std::optional<wire::JobStatus>& status);
+  void record_operator_reply(std::size_t node, std::string_view path, const wire::Value& body);
+  void record_forwarded_report(std::size_t node, std::size_t leader, const wire::Report& report);
+  void record_term_notice(std::size_t node, std::size_t sibling, Term term);
+  void record_grant_request(std::size_t node, std::size_t leader, const zone::Ask& ask);
+  void record_grant(std::size_t leader, const std::optional<zone::Grant>& grant);
+  void record_standby_request(std::size_t node, std::size_t sibling, const standby::Ask& ask);
+  void record_standby_answer(std::size_t node, const std::optional<std::string>& bytes);
+
   void probe_nodes();
   void poll_users();
   [[nodiscard]] std::int64_t wall_ms() const;
@@ -444,6 +468,7 @@
   std::mt19937 copies_luck_;
   std::mt19937 words_luck_;
   std::mt19937 troubles_luck_;
+  TrafficRecorder* traffic_ = TrafficRecorder::installed();
   Instant now_;
   std::multimap<Instant, std::function<void()>> agenda_;
   StateStore store_;
--- a/tests/standins/world_cloud.cpp
+++ b/tests/standins/world_cloud.cpp
@@ -130,6 +130,7 @@
     });
   };
   if (const std::vector<MachineId> names = self.engine->next_returns(time_of(node)); !names.empty()) {
+    record_returns(node, names);
     give_back(names);
     copy_late([this, names] { give_back(names); });
     return answer_after([names](control::Engine& engine, Instant at) { engine.on_returned(names, at); });
@@ -137,6 +138,7 @@
   if (self.hints_wanted_until && now_ < *self.hints_wanted_until) return;
   if (const auto request = self.engine->next_rental(time_of(node))) {
     const std::vector<MachineId> rented = rent(*request);
+    record_rental(node, *request, rented);
     copy_late([this, request] { (void)rent(*request); });
     reached(Moment::rental, node);
     if (rented.empty()) {
@@ -147,14 +149,16 @@
   }
   if (now_ >= self.next_list) {
     self.next_list = now_ + constants::kListEvery;
-    return answer_after(
-        [listed = listing()](control::Engine& engine, Instant at) { engine.on_machine_list(listed, at); });
+    const std::vector<wire::ListedMachine> listed = listing();
+    record_listing(node, listed);
+    return answer_after([listed](control::Engine& engine, Instant at) { engine.on_machine_list(listed, at); });
   }
 }
 
 void World::halt_duty(std::size_t node) {
   Node& self = nodes_[node];
   for (const control::DirectHalt& halt : self.engine->due_halts(time_of(node))) {
+    record_direct_commands(node, halt);
     const auto machine = machines_.find(halt.machine);
     if (machine == machines_.end() || !machine->second.worker || machine->second.gone) continue;
     const Millis way = late_command().value_or(delay() + slow_link());
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -70,6 +70,7 @@
         sibling.engine->term() <= self.engine->term())
       continue;
     self.leader_seen = NodeName("node-" + std::to_string(other));
+    record_term_notice(node, other, sibling.engine->term());
     self.engine->hear_of(sibling.engine->term());
   }
 }
@@ -87,6 +88,7 @@
   }
   self.asking = true;
   const zone::Ask ask = self.holder.next_ask(self.term_seen, time_of(node));
+  record_grant_request(node, *leader, ask);
   const auto reaches_leader = [this, node, leader] { return hears(*leader, node); };
   const auto given_up = [this, node, life = self.life] {
     if (nodes_[node].life != life) return;
@@ -109,6 +111,7 @@
   });
   after(kWordDelay, [this, node, leader, ask, asked = time_of(node), life = self.life, given_up] {
     const auto grant = nodes_[*leader].engine->on_ask(ask, time_of(*leader));
+    record_grant(*leader, grant);
     if (grant) reached(Moment::grant, *leader);
     if (!nodes_[*leader].alive || !grant) return after(kWordDelay, given_up);
     after(kWordDelay, [this, node, leader, grant, asked, life, given_up] {
@@ -156,6 +159,7 @@
   if (!hears(*of, node)) return;
   if (!wants && nodes_[*of].engine->leading()) self.listener->hear_of(self.term_seen);
   const standby::Ask ask = self.listener->next_ask(NodeName("node-" + std::to_string(*of)));
+  record_standby_request(node, *of, ask);
   self.asking_standby = true;
   const auto hear = [this, node, life = self.life](const std::string& bytes) {
     Node& me = nodes_[node];
@@ -170,6 +174,7 @@
   };
   after(kWordDelay, [this, node, life = self.life, of = *of, ask, hear] {
     const auto bytes = standby_word(of, ask);
+    record_standby_answer(of, bytes);
     after(kWordDelay, [this, node, life, of, bytes, hear] {
       if (nodes_[node].life != life) return;
       nodes_[node].asking_standby = false;
--- a/tests/standins/world_records.cpp
+++ b/tests/standins/world_records.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "calendar/plans.h"
+#include "calendar/view.h"
 #include "config/constants.h"
 #include "standins/world_state_calls.h"
 
@@ -168,6 +169,9 @@
       if (!fresh) ++compared_;
     }
     if (const calendar::Keeper* keeper = calendar(node); keeper != nullptr) {
+      constexpr int kShownDays = 2;
+      const Revision revision = nodes_[node].ledger->revision();
+      record_operator_reply(node, "/calendar", calendar::shown(*keeper, revision, wall_ms(), kShownDays, 0, 0));
       const std::pair now(keeper->digest(), slack(nodes_[node]));
       const auto [entry, fresh] = calendars.try_emplace(nodes_[node].ledger->revision(), now);
       if (!fresh && entry->second != now) return false;
@@ -192,7 +196,9 @@
   const auto ranks =
       classes::rank(classes::candidates_of(*self.known_jobs, slack(self)), table, settings_.teams, basis.step);
   Queue queue{.basis = {basis.revision, basis.step}, .digest = {}, .jobs = {}};
-  queue.digest = classes::queue_answer(ranks, table, basis, {}).text("digest");
+  const wire::Value answer = classes::queue_answer(ranks, table, basis, {});
+  record_operator_reply(node, "/queue", answer);
+  queue.digest = answer.text("digest");
   for (const classes::Rank& rank : ranks) {
     if (rank.place > 0) queue.jobs.push_back(rank.job);
   }
--- a/tests/standins/world_state_calls.h
+++ b/tests/standins/world_state_calls.h
@@ -14,6 +14,7 @@
 template <typename Result>
 void World::call_state(std::size_t node, Duty duty, std::function<Result(StateStore&)> what,
                        std::function<void(const Result&)> then, bool copied, Millis hold) {
+  record_state_call(node, duty);
   const std::uint64_t life = nodes_[node].life;
   const Millis slow = slow_state();
   const auto reply = [this, node, duty, life, then](const Result& result, Millis wait) {
@@ -22,6 +23,7 @@
       if (!nodes_[node].alive || nodes_[node].life != life) return true;
       if (result.answer != state::Answer::none && result.answer != state::Answer::refused)
         nodes_[node].state_heard = now_;
+      record_state_answer(node, duty, result.answer);
       then(result);
       return true;
     };
--- a/tests/standins/world_users.cpp
+++ b/tests/standins/world_users.cpp
@@ -39,8 +39,10 @@
                   Heard then) {
   const Instant until = now_ + limit;
   const History::Number number = history_.on_asked(asked.request, asked.job, node, now_);
-  const auto step = [this, node, number, request, until, then](const auto& self) -> void {
+  record_user_request(node, asked);
+  const auto step = [this, node, asked, number, request, until, then](const auto& self) -> void {
     if (const auto* reply = request->reply()) {
+      record_user_reply(node, asked, *reply);
       if (now_ > until || !in_users_reach(node)) return;
       history_.on_answered(number, told_by(*reply), now_);
       then(*reply);
@@ -266,7 +268,9 @@
     const auto node = balancer_.choose([this](std::size_t one) { return in_users_reach(one); }, users_luck_, now_);
     if (!node || state_out_ || nodes_[*node].cut_from_state || refused(*node) || late(*node, Duty::users)) continue;
     const History::Number asked = history_.on_asked(History::Request::question, id, *node, now_);
-    if (const auto status = ask(id)) {
+    const auto status = ask(id);
+    record_poll_answer(*node, id, status);
+    if (status) {
       history_.on_answered(asked, {.status = 200, .state = status->state}, now_);
       rules_.on_told(id, status->state, now_);
       if (rules_.is_over(id)) served_.on_over(id);
--- a/tests/standins/world_workers.cpp
+++ b/tests/standins/world_workers.cpp
@@ -45,6 +45,7 @@
     if (now_ < machine.mute_until) {
       ++struck_["mute"];
     } else {
+      record_report(report, node);
       after(way, [this, id, report, sent, node] { deliver_report(id, report, sent, node); });
       copy_report(report);
     }
@@ -94,6 +95,7 @@
       return;
     }
     // Passed on by this node. If that fails the worker is sent to any other node.
+    record_forwarded_report(node, *leader, report);
     after(delay(), [this, id, report, sent, leader, node] {
       if (hears(*leader, node)) {
         return take_report(id, report, sent, *leader, node);
@@ -118,6 +120,7 @@
   const auto term = self.holder.answers(id, report.zone, report.term, time_of(node));
   if (!term) return false;
   ++answered_by_grant_;
+  record_report_answer(id, node, *term, std::vector<wire::Command>{});
   after(kWordDelay, [this, id, term = *term, session = report.session, sent, node] {
     Rented& target = machines_.at(id);
     if (target.gone || !target.reporting || target.node != node || !target.worker->alive) return;
@@ -179,6 +182,7 @@
     }
   }
   const Term term = engine.term();
+  record_report_answer(id, node, term, commands);
   if (apart(node, via)) return;  // the way back to who passed the report on is cut
   after(delay() + slow_link(), [this, id, commands, term, session = report.session, sent, node = via] {
     Rented& target = machines_.at(id);
