--- a/tests/standins/state_store.cpp
+++ b/tests/standins/state_store.cpp
@@ -6,8 +6,33 @@
 
 using kv::Answer;
 
+namespace {
+
+std::uint64_t number_of(Answer answer) { return static_cast<std::uint64_t>(answer); }
+
+TrafficMessage message_of(const kv::Txn& txn, const kv::TxnResult& result) {
+  TrafficMessage message("state-txn");
+  for (const kv::Precondition& condition : txn.preconditions) {
+    message.add("if", std::string_view(condition.key)).add("mark", condition.revision);
+  }
+  for (const kv::Change& change : txn.changes) {
+    message.add(change.data ? "put" : "remove", std::string_view(change.key));
+    if (change.data) message.add("data", *change.data);
+    if (change.lease) message.add("lease", change.lease->number);
+  }
+  message.add("answer", number_of(result.answer)).add("revision", result.revision);
+  for (const std::string& key : result.failed) message.add("failed", std::string_view(key));
+  return message;
+}
+
+}  // namespace
+
 kv::GetResult StateStore::get(const std::string& key) const {
   const auto found = items_.find(key);
+  if (traffic_ != nullptr) {
+    const Revision revision = found == items_.end() ? Revision{} : found->second.revision;
+    traffic_->record(TrafficMessage("state-get").add("key", std::string_view(key)).add("mark", revision));
+  }
   if (found == items_.end()) return {.answer = Answer::not_found, .entry = {.key = key}};
   return {.answer = Answer::ok, .entry = {.key = key, .data = found->second.data, .revision = found->second.revision}};
 }
@@ -17,6 +42,12 @@
   for (auto at = items_.lower_bound(prefix); at != items_.end() && at->first.starts_with(prefix); ++at) {
     result.entries.push_back({.key = at->first, .data = at->second.data, .revision = at->second.revision});
   }
+  if (traffic_ != nullptr) {
+    traffic_->record(TrafficMessage("state-list")
+                         .add("prefix", std::string_view(prefix))
+                         .add("entries", result.entries.size())
+                         .add("revision", revision_));
+  }
   return result;
 }
 
@@ -30,6 +61,12 @@
 }
 
 kv::TxnResult StateStore::txn(const kv::Txn& txn) {
+  kv::TxnResult result = execute(txn);
+  if (traffic_ != nullptr) traffic_->record(message_of(txn, result));
+  return result;
+}
+
+kv::TxnResult StateStore::execute(const kv::Txn& txn) {
   kv::TxnResult result{.answer = Answer::ok, .revision = revision_, .failed = {}};
   for (const kv::Precondition& condition : txn.preconditions) {
     const auto found = items_.find(condition.key);
@@ -65,17 +102,34 @@
        ++event) {
     if (event->key.starts_with(prefix)) result.events.push_back(*event);
   }
+  if (traffic_ != nullptr) {
+    traffic_->record(TrafficMessage("state-watch")
+                         .add("prefix", std::string_view(prefix))
+                         .add("from", from)
+                         .add("events", result.events.size())
+                         .add("revision", revision_));
+  }
   return result;
 }
 
 kv::LeaseId StateStore::grant_lease(Millis ttl, Instant now) {
   const kv::LeaseId lease{next_lease_++};
   leases_[lease.number] = {.ttl = ttl, .until = now + ttl};
+  if (traffic_ != nullptr) {
+    traffic_->record(TrafficMessage("state-lease-grant")
+                         .add("lease", lease.number)
+                         .add("ttl", static_cast<std::uint64_t>(ttl.count())));
+  }
   return lease;
 }
 
 kv::Answer StateStore::touch(kv::LeaseId lease, Instant now) {
   const auto found = leases_.find(lease.number);
+  if (traffic_ != nullptr) {
+    traffic_->record(TrafficMessage("state-lease-renew")
+                         .add("lease", lease.number)
+                         .add("found", static_cast<std::uint64_t>(found != leases_.end())));
+  }
   if (found == leases_.end()) return Answer::not_found;
   found->second.until = now + found->second.ttl;
   return Answer::ok;
@@ -83,6 +137,7 @@
 
 void StateStore::revoke(kv::LeaseId lease) {
   if (leases_.erase(lease.number) == 0) return;
+  if (traffic_ != nullptr) traffic_->record(TrafficMessage("state-lease-end").add("lease", lease.number));
   std::vector<std::string> attached;
   for (const auto& [key, item] : items_) {
     if (item.lease == lease.number) attached.push_back(key);
--- a/tests/standins/world_cloud.cpp
+++ b/tests/standins/world_cloud.cpp
@@ -130,6 +130,7 @@
     });
   };
   if (const std::vector<MachineId> names = self.controller->next_scale_in(time_of(node)); !names.empty()) {
+    record_returns(node, names);
     give_back(names);
     copy_late([this, names] { give_back(names); });
     return answer_after([names](control::Controller& controller, Instant at) { controller.on_scaled_in(names, at); });
@@ -137,6 +138,7 @@
   if (self.hints_wanted_until && now_ < *self.hints_wanted_until) return;
   if (const auto request = self.controller->next_scale_out(time_of(node))) {
     const std::vector<MachineId> rented = rent(*request);
+    record_rental(node, *request, rented);
     copy_late([this, request] { (void)rent(*request); });
     reached(Moment::rental, node);
     if (rented.empty()) {
@@ -149,14 +151,17 @@
   }
   if (now_ >= self.next_list) {
     self.next_list = now_ + constants::kCloudListInterval;
+    const std::vector<wire::ListedMachine> listed = listing();
+    record_listing(node, listed);
     return answer_after(
-        [listed = listing()](control::Controller& controller, Instant at) { controller.on_machine_list(listed, at); });
+        [listed](control::Controller& controller, Instant at) { controller.on_machine_list(listed, at); });
   }
 }
 
 void World::halt_duty(std::size_t node) {
   Node& self = nodes_[node];
   for (const control::DirectStop& direct_stop : self.controller->due_direct_stops(time_of(node))) {
+    record_direct_commands(node, direct_stop);
     const auto machine = machines_.find(direct_stop.machine);
     if (machine == machines_.end() || !machine->second.worker || machine->second.gone) continue;
     const Millis way = late_command().value_or(delay() + slow_link());
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -72,6 +72,7 @@
         sibling.controller->term() <= self.controller->term())
       continue;
     self.leader_seen = NodeName("node-" + std::to_string(other));
+    record_term_notice(node, other, sibling.controller->term());
     self.controller->observe_term(sibling.controller->term());
   }
 }
@@ -89,6 +90,7 @@
   }
   self.asking = true;
   const zone::DelegationRequest ask = self.holder.next_request(self.term_seen, time_of(node));
+  record_grant_request(node, *leader, ask);
   const auto reaches_leader = [this, node, leader] { return hears(*leader, node); };
   const auto given_up = [this, node, life = self.life] {
     if (nodes_[node].life != life) return;
@@ -111,6 +113,7 @@
   });
   after(kWordDelay, [this, node, leader, ask, asked = time_of(node), life = self.life, given_up] {
     const auto delegation = nodes_[*leader].controller->on_delegation_request(ask, time_of(*leader));
+    record_grant(*leader, delegation);
     if (delegation) reached(Moment::delegation, *leader);
     if (!nodes_[*leader].alive || !delegation) return after(kWordDelay, given_up);
     after(kWordDelay, [this, node, leader, delegation, asked, life, given_up] {
@@ -158,6 +161,7 @@
   if (!hears(*of, node)) return;
   if (!wants && nodes_[*of].controller->is_leader()) self.subscriber->observe_term(self.term_seen);
   const standby::SnapshotRequest ask = self.subscriber->next_request(NodeName("node-" + std::to_string(*of)));
+  record_standby_request(node, *of, ask);
   self.asking_standby = true;
   const auto hear = [this, node, life = self.life](const std::string& bytes) {
     Node& me = nodes_[node];
@@ -172,6 +176,7 @@
   };
   after(kWordDelay, [this, node, life = self.life, of = *of, ask, hear] {
     const auto bytes = standby_word(of, ask);
+    record_standby_answer(of, bytes);
     after(kWordDelay, [this, node, life, of, bytes, hear] {
       if (nodes_[node].life != life) return;
       nodes_[node].asking_standby = false;
--- a/tests/standins/world_records.cpp
+++ b/tests/standins/world_records.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "calendar/plans.h"
+#include "calendar/view.h"
 #include "config/constants.h"
 #include "standins/world_state_calls.h"
 #include "state/keys.h"
@@ -170,6 +171,9 @@
       if (!fresh) ++compared_;
     }
     if (const calendar::DeadlineController* keeper = calendar(node); keeper != nullptr) {
+      constexpr int kShownDays = 2;
+      const Revision revision = nodes_[node].record_cache->revision();
+      record_operator_reply(node, "/calendar", calendar::shown(*keeper, revision, wall_ms(), kShownDays, 0, 0));
       const std::pair now(keeper->digest(), slack(nodes_[node]));
       const auto [entry, fresh] = calendars.try_emplace(nodes_[node].record_cache->revision(), now);
       if (!fresh && entry->second != now) return false;
@@ -195,7 +199,9 @@
   const auto ranks =
       classes::rank(classes::candidates_of(*self.known_jobs, slack(self)), table, settings_.teams, basis.step);
   Queue queue{.basis = {basis.revision, basis.step}, .digest = {}, .jobs = {}};
-  queue.digest = classes::queue_answer(ranks, table, basis, {}).text("digest");
+  const wire::Value answer = classes::queue_answer(ranks, table, basis, {});
+  record_operator_reply(node, "/queue", answer);
+  queue.digest = answer.text("digest");
   for (const classes::Rank& rank : ranks) {
     if (rank.place > 0) queue.jobs.push_back(rank.job);
   }
--- a/tests/standins/world_workers.cpp
+++ b/tests/standins/world_workers.cpp
@@ -45,6 +45,7 @@
     if (now_ < machine.mute_until) {
       ++struck_["mute"];
     } else {
+      record_report(heartbeat, node);
       after(way, [this, id, heartbeat, sent, node] { deliver_heartbeat(id, heartbeat, sent, node); });
       copy_report(heartbeat);
     }
@@ -94,6 +95,7 @@
       return;
     }
     // Passed on by this node. If that fails the worker is sent to any other node.
+    record_forwarded_report(node, *leader, heartbeat);
     after(delay(), [this, id, heartbeat, sent, leader, node] {
       if (hears(*leader, node)) {
         return take_heartbeat(id, heartbeat, sent, *leader, node);
@@ -118,6 +120,7 @@
   const auto term = self.holder.answers(id, heartbeat.zone, heartbeat.term, time_of(node));
   if (!term) return false;
   ++answered_by_grant_;
+  record_report_answer(id, node, *term, std::vector<wire::Command>{});
   after(kWordDelay, [this, id, term = *term, incarnation = heartbeat.incarnation, sent, node] {
     Rented& target = machines_.at(id);
     if (target.gone || !target.reporting || target.node != node || !target.worker->alive) return;
@@ -179,6 +182,7 @@
     }
   }
   const Term term = controller.term();
+  record_report_answer(id, node, term, commands);
   if (apart(node, via)) return;  // the way back to who passed the report on is cut
   after(delay() + slow_link(), [this, id, commands, term, incarnation = heartbeat.incarnation, sent, node = via] {
     Rented& target = machines_.at(id);
