--- a/tests/same-behaviour.sh
+++ b/tests/same-behaviour.sh
@@ -39,9 +39,12 @@
 
 # build SOURCE FOLDER
 build() {
-  cmake -S "$1" -B "$2" -DCMAKE_BUILD_TYPE=Release -DFOXSHUNT_TESTS=ON >"$2.log" 2>&1 &&
-    cmake --build "$2" -j "$jobs" --target behaviour_digest >>"$2.log" 2>&1 ||
-    { tail -n 30 "$2.log" >&2; fail "the build of $1 failed, see $2.log"; }
+  local log="$cache/build.log"
+  if ! { cmake -S "$1" -B "$2" -DCMAKE_BUILD_TYPE=Release -DFOXSHUNT_TESTS=ON &&
+    cmake --build "$2" -j "$jobs" --target behaviour_digest; } >"$log" 2>&1; then
+    tail -n 30 "$log" >&2
+    fail "the build of $1 failed, see $log"
+  fi
 }
 
 # play PROGRAM DIGESTS: in parallel, in shards
