--- a/src/node/auto_reset_event.h
+++ b/src/node/auto_reset_event.h
@@ -8,11 +8,11 @@
 
 namespace foxshunt::node {
 
-// A flag that one duty raises and another waits for.
+/// An event that one loop signals and another waits for; a successful wait resets it.
 class AutoResetEvent {
  public:
   void signal();
-  // Waits until it is raised, the time is over or a stop is asked for; then lowers it. Whether it was raised.
+  /// Waits until it is signalled, the time-out passes or a stop is asked for; then resets it. Whether it was signalled.
   bool wait(const std::stop_token& stop, std::chrono::milliseconds timeout);
 
  private:
@@ -21,7 +21,7 @@
   bool is_signalled_ = false;
 };
 
-// Sleeps unless a stop is asked for; false then.
+/// Sleeps for the span; returns early and false when a stop is asked for.
 bool sleep_unless_stopped(const std::stop_token& stop, std::chrono::milliseconds span);
 
 }  // namespace foxshunt::node
--- a/src/node/cache_watcher.h
+++ b/src/node/cache_watcher.h
@@ -10,16 +10,17 @@
 
 namespace foxshunt::node {
 
-// Reads the records once, then watches them: one watch over everything, so that changes come in the order of revisions.
+/// Lists all records once, then watches them: one watch over everything, so that changes come in order of revisions.
 class CacheWatcher {
  public:
   explicit CacheWatcher(Context& context);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
   [[nodiscard]] bool read();
   void watch(const std::stop_token& stop);
-  // Now and then, in the background: what a cold read finds wins over what is believed. False when it differs.
+  /// Now and then a full re-list is compared with the cache; the re-list wins. False when they differ.
   [[nodiscard]] bool compare(const std::stop_token& stop);
   struct Found {
     std::vector<kv::Entry> entries;
--- a/src/node/client_pool.h
+++ b/src/node/client_pool.h
@@ -1,4 +1,4 @@
-// A few clients that many threads share, each lent to one of them at a time.
+// A few clients that many threads share, each leased to one of them at a time.
 #pragma once
 
 #include <cstddef>
@@ -10,6 +10,7 @@
 
 namespace foxshunt::node {
 
+/// At most `max_clients` clients, made when first needed and kept. Thread-safe.
 template <typename Client>
 class ClientPool {
  public:
@@ -17,7 +18,7 @@
 
   ClientPool(std::size_t max_clients, Factory factory) : max_clients_(max_clients), factory_(std::move(factory)) {}
 
-  // Gives its client back at its end; empty when all were lent.
+  /// Holds a client for its own lifetime; `get` is null when all were leased.
   class Lease {
    public:
     explicit Lease(ClientPool& pool) : pool_(pool), client_(pool.acquire()) {}
--- a/src/node/cloud_loop.h
+++ b/src/node/cloud_loop.h
@@ -1,4 +1,4 @@
-// The cloud: lists, rentals and returns of whoever leads, within the call budget.
+/// The cloud provider: machine lists, scale-out and scale-in by the leader, within the rate limit of its calls.
 #pragma once
 
 #include "net/http.h"
@@ -7,9 +7,11 @@
 
 namespace foxshunt::node {
 
+/// Calls the cloud one request at a time. An unanswered scale-out is repeated with the same request id.
 class CloudLoop {
  public:
   explicit CloudLoop(Context& context);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/delegation_client.h
+++ b/src/node/delegation_client.h
@@ -11,9 +11,12 @@
 
 namespace foxshunt::node {
 
+/// Asks the leader at intervals for the delegation of this zone's agent leases. An ask also tells the leader that this node
+/// acts in no older term.
 class DelegationClient {
  public:
   DelegationClient(Context& context, HeldDelegation& held_delegation);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/heartbeat_relay.h
+++ b/src/node/heartbeat_relay.h
@@ -13,6 +13,7 @@
 
 namespace foxshunt::node {
 
+/// Answers heartbeats on a node that does not lead: redirects, forwards, or uses a held delegation. Thread-safe.
 class HeartbeatRelay {
  public:
   HeartbeatRelay(Context& context, HeldDelegation& held_delegation);
--- a/src/node/held_delegation.h
+++ b/src/node/held_delegation.h
@@ -1,4 +1,4 @@
-// The right to answer this node's zone's workers, as the leader has granted it.
+// The delegation that this node holds: the right to renew the leases of its own zone's agents.
 #pragma once
 
 #include <mutex>
@@ -13,14 +13,14 @@
 
 namespace foxshunt::node {
 
-// What this node was granted, and whether it is in contact with who granted it.
+/// What was delegated to this node, and whether the leader still answers it. Thread-safe.
 class HeldDelegation {
  public:
   explicit HeldDelegation(const config::Settings& settings);
-  // Begins with nothing in hand; the process's lives have rising numbers.
+  /// Begins with no delegation. `life` has to be above that of every earlier process of this node.
   void begin(std::uint64_t life);
-  // The term in which the report may be answered without the leader; nothing when it may not, or when the leader
-  // answers this node and was not tried with the report.
+  /// The term in which the heartbeat may be answered without the leader; nothing when it may not be, or when the leader
+  /// answers this node and was not tried with the heartbeat.
   [[nodiscard]] std::optional<Term> answerable_term(const wire::Heartbeat& heartbeat, bool leader_tried);
   [[nodiscard]] zone::DelegationRequest next_request(Term leaders);
   bool accept(const zone::LeaseDelegation& delegation, plan::Instant asked);
--- a/src/node/leader_elector.h
+++ b/src/node/leader_elector.h
@@ -31,7 +31,8 @@
   bool try_acquire(const state::LeadershipView& view);
   /// Loads the records and tells the controller that it leads.
   bool try_lead(const AcquiredTerm& acquired);
-  /// The records up to the term's own, from the cache or else from the store. `renewed`: when the lease was last renewed.
+  /// The records up to the term's own, from the cache or else from the store. `renewed`: when the lease was last
+  /// renewed.
   std::optional<SharedRecords::Snapshot> load_records(Revision term_revision, plan::Instant& renewed);
   bool read_records(SharedRecords::Snapshot& snapshot, plan::Instant& renewed);
   /// Whether all that a leader needs is known and in time at `at`; logs what is missing.
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -11,7 +11,7 @@
 
 namespace foxshunt::node {
 
-// Counted as it happens; reading them costs the node next to nothing.
+/// Counters and recent peaks of one node. Thread-safe; reading them costs next to nothing.
 class Metrics {
  public:
   enum class Kind : std::uint8_t { heartbeat, user };
--- a/src/node/peer_prober.h
+++ b/src/node/peer_prober.h
@@ -9,15 +9,16 @@
 
 namespace foxshunt::node {
 
-// Answers siblings with the leader and term that this node knows of, and its own contact with the state service.
+/// GET /lead of peers: the leader and term that this node knows of, and its own contact with the store.
 net::HttpResponse leader_response(Context& context, const net::HttpRequest& request);
 
-// Asks the siblings when the state service is silent. A higher term ends this node's lead at once, so that workers
-// turn to the successor instead of waiting for this node's fence. Whether siblings are served decides whether this node
-// is out alone (health check); nothing else follows from what a sibling says.
+/// Probes the other controllers while the store does not answer. A higher term ends this node's leadership at once, so
+/// that workers turn to the successor instead of waiting for the lease to expire. Whether peers are served decides
+/// whether this node is isolated (health check); nothing else follows from what a peer says.
 class PeerProber {
  public:
   explicit PeerProber(Context& context);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/priority_mutex.h
+++ b/src/node/priority_mutex.h
@@ -1,5 +1,6 @@
-// The controller's lock. When several duties wait for it, the most urgent one gets it first: std::mutex would give it
-// back to the duty that has just left it, and a pass in portions would keep reports and the lease waiting to its end.
+// The controller's lock. Of several waiting loops the most urgent one gets it first: std::mutex would give it back to
+// the loop that has just left it, and a scheduling pass in portions would keep heartbeats and the lease waiting to its
+// end.
 #pragma once
 
 #include <array>
@@ -12,13 +13,14 @@
 
 namespace foxshunt::node {
 
-// In the order in which they matter when a node is behind.
+/// What a lock is taken for; the most urgent first.
 enum class LockPriority : std::uint8_t { lease, heartbeats, records, writes, cloud, scheduling, metrics };
 inline constexpr std::size_t kLockPriorities = 7;
 
+/// A mutex with a lock handle for each priority. Not recursive; no time limits.
 class PriorityMutex {
  public:
-  // One duty's way in; a BasicLockable.
+  /// Locks the mutex with one priority; a BasicLockable, for std::lock_guard and std::unique_lock.
   class LockHandle {
    public:
     void lock();
@@ -34,11 +36,11 @@
   PriorityMutex();
   LockHandle& handle(LockPriority priority) { return handles_[static_cast<std::size_t>(priority)]; }
   [[nodiscard]] bool is_awaited_by(LockPriority priority);
-  // The longest that each duty has waited of late.
+  /// The longest recent wait of each priority.
   [[nodiscard]] std::array<std::chrono::milliseconds, kLockPriorities> longest_waits();
 
  private:
-  // Whether somebody more urgent waits.
+  /// Whether somebody more urgent waits.
   [[nodiscard]] bool is_outranked(std::size_t rank) const;
 
   std::mutex mutex_;  // held for a few instructions only
--- a/src/node/rate_limited_log.h
+++ b/src/node/rate_limited_log.h
@@ -8,7 +8,7 @@
 
 namespace foxshunt::node {
 
-// Lets a warning through once a minute.
+/// Lets a warning through once in constants::kWarnEvery.
 class RateLimitedLog {
  public:
   [[nodiscard]] bool should_log(std::chrono::steady_clock::time_point now) {
--- a/src/node/recent_peak.h
+++ b/src/node/recent_peak.h
@@ -8,6 +8,7 @@
 
 namespace foxshunt::node {
 
+/// The largest of the spans recorded in this window and the one before.
 class RecentPeak {
  public:
   using Clock = std::chrono::steady_clock;
--- a/src/node/record_controller_loop.h
+++ b/src/node/record_controller_loop.h
@@ -1,4 +1,4 @@
-// The writes of the ledger's keepers.
+// The loop of the record controllers.
 #pragma once
 
 #include "node/context.h"
@@ -6,19 +6,20 @@
 
 namespace foxshunt::node {
 
-// Lets the keepers write while this node leads.
+/// Lets each record controller write while this node leads, every write on condition of the term.
 class RecordControllerLoop {
  public:
   explicit RecordControllerLoop(Context& context);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
   bool write_one();
-  // How jobs ended that an open occurrence lists: the ledger does not keep what is over.
+  /// Reads how jobs ended that an open calendar occurrence lists: the cache does not keep finished jobs.
   void read_ends();
-  // What a founding set that names machine types waits for.
+  /// Hands over the machine types that a bootstrap catalog may wait for.
   void tell_types();
-  // When the plan says that jobs end, and what the calendar's records leave them.
+  /// Hands the planned ends of jobs to the calendar, and the calendar's due jobs to the controller.
   void tell_plan();
 
   Context& context_;
--- a/src/node/record_watcher.h
+++ b/src/node/record_watcher.h
@@ -6,10 +6,11 @@
 
 namespace foxshunt::node {
 
-// Reads the changes of records while leading.
+/// Watches the records of active jobs while this node leads, and tells the controller of each change.
 class RecordWatcher {
  public:
   explicit RecordWatcher(Context& context);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/record_writer.h
+++ b/src/node/record_writer.h
@@ -6,13 +6,15 @@
 
 namespace foxshunt::node {
 
-// Writes what the controller wants durable.
+/// Writes to the store what the controller wants durable, one compare-and-swap transaction at a time.
 class RecordWriter {
  public:
   explicit RecordWriter(Context& context);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
+  /// Reads again the records whose writes failed on their preconditions or got no answer.
   void reload_jobs();
   Context& context_;
   kv::Client client_;
--- a/src/node/request_handler.h
+++ b/src/node/request_handler.h
@@ -12,6 +12,7 @@
 
 namespace foxshunt::node {
 
+/// Serves users' requests, each with a client of the store of its own. Thread-safe.
 class RequestHandler {
  public:
   explicit RequestHandler(Context& context);
--- a/src/node/scheduler_loop.h
+++ b/src/node/scheduler_loop.h
@@ -6,10 +6,11 @@
 
 namespace foxshunt::node {
 
-// Plans, and keeps house.
+/// Runs the scheduling cycle in portions, between which more urgent loops get the controller, and its housekeeping.
 class SchedulerLoop {
  public:
   explicit SchedulerLoop(Context& context) : context_(context) {}
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/standby_state.h
+++ b/src/node/standby_state.h
@@ -1,5 +1,5 @@
-// A warm standby: every node that does not lead asks the leader each second for what no record tells, and whoever takes the
-// lead next plans by it. The leader keeps nothing of who asks. A process that has just begun asks its siblings.
+// A warm standby: every node that does not lead asks the leader each second for what no record tells, and whoever takes
+// the lead next plans by it. The leader keeps nothing of who asks. A process that has just begun asks its siblings.
 #pragma once
 
 #include <atomic>
@@ -32,8 +32,8 @@
   [[nodiscard]] std::optional<standby::SoftStateSnapshot> take_snapshot(plan::Instant at);
   void on_leadership_acquired(Term term, plan::Instant took, plan::Instant knew,
                               const std::optional<standby::SoftStateSnapshot>& hints);
-  // Whether it should let a sibling take the lead first, as it knows less than one that has listened: once for each time
-  // that the lead is free, so that it is never without a leader for it.
+  // Whether it should let a sibling take the lead first, as it knows less than one that has listened: once for each
+  // time that the lead is free, so that it is never without a leader for it.
   [[nodiscard]] bool should_yield(bool records_whole, Term term);
   // What happened on the way to the former rate of starts; costs next to nothing once that is over.
   void on_phase_reached(standby::Phase phase);
--- a/src/node/standby_subscriber.h
+++ b/src/node/standby_subscriber.h
@@ -10,13 +10,15 @@
 
 namespace foxshunt::node {
 
+/// Fetches soft state from the leader at intervals; a new leader without any asks its peers.
 class StandbySubscriber {
  public:
   explicit StandbySubscriber(Context& context);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
-  // Whether it knows all that the sibling tells.
+  /// Whether all that the peer publishes is known now.
   bool ask(const NodeName& sibling, std::optional<Term> least, const std::stop_token& stop);
   void look_for_hints(const std::stop_token& stop);
 
--- a/src/node/stop_sender.h
+++ b/src/node/stop_sender.h
@@ -5,10 +5,12 @@
 
 namespace foxshunt::node {
 
-// Tells workers directly to stop tasks, one thread a worker, so that a silent one delays no other.
+/// Sends stop orders straight to workers, on a thread for each, so that a silent worker delays no other.
+/// Owns these threads: they are joined when the loop returns. Only a heartbeat proves that a task has stopped.
 class StopSender {
  public:
   explicit StopSender(Context& context) : context_(context) {}
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
  private:
--- a/src/node/store_calls.h
+++ b/src/node/store_calls.h
@@ -7,8 +7,10 @@
 
 namespace foxshunt::node {
 
+/// The deadline of a call to the store that begins now.
 inline net::Deadline store_call_deadline() { return net::Clock::now() + constants::kStoreCallTimeout; }
 
+/// Whether the store has carried the call out or judged its preconditions: a refusal or no answer proves no contact.
 inline bool is_answered(kv::Answer answer) {
   return answer == kv::Answer::ok || answer == kv::Answer::not_found || answer == kv::Answer::conflict;
 }
--- a/src/node/warm_pool_loop.h
+++ b/src/node/warm_pool_loop.h
@@ -11,13 +11,15 @@
 
 namespace foxshunt::node {
 
+/// Hands pool directives to the controller, and its observations of machines to the warm-pool controller.
 class WarmPoolLoop {
  public:
   // The set in force; null before one is known. Called with the mutex of `SharedRecords` held.
   using InForce = std::function<std::shared_ptr<const catalog::Set>()>;
 
-  // Joins the keepers of `SharedRecords`, which it has to outlive.
+  /// Registers with `SharedRecords` as a cache observer and record controller, and has to outlive it.
   WarmPoolLoop(Context& context, InForce in_force, pools::OpenNow open_now);
+  /// The loop: returns when a stop is asked for.
   void run(const std::stop_token& stop);
 
   // GET /pools and GET /accounts: on any node, from its records.
