--- a/src/accounts/account.cpp
+++ b/src/accounts/account.cpp
@@ -26,7 +26,7 @@
 std::string_view name_of(Use use) { return kUseNames[static_cast<std::size_t>(use)]; }
 
 Use use_from(std::string_view name) {
-  const auto found = std::ranges::find(kUseNames, name);
+  const auto* const found = std::ranges::find(kUseNames, name);
   if (found == kUseNames.end()) throw Malformed("use: unknown value");
   return static_cast<Use>(found - kUseNames.begin());
 }
--- a/src/calendar/occurrence.cpp
+++ b/src/calendar/occurrence.cpp
@@ -89,34 +89,34 @@
 std::string entry_prefix(const std::string& entry) { return kPrefix + slug_of(entry) + "/"; }
 std::string key_of(const std::string& entry, std::int64_t due_ms) { return entry_prefix(entry) + utc_text(due_ms); }
 
-Value to_value(const Occurrence& one) {
+Value to_value(const Occurrence& occurrence) {
   Value::List jobs;
-  for (const Counted& job : one.jobs) jobs.push_back(to_value(job));
+  for (const Counted& job : occurrence.jobs) jobs.push_back(to_value(job));
   Value::List reasons;
-  for (const std::string& reason : one.reasons) reasons.emplace_back(reason);
-  Value::Map map{
-      {"form", kForm},
-      {"entry", one.entry},
-      {"local", one.local},
-      {"zone", one.zone},
-      {"due", count_of(one.due_ms)},
-      {"opens", count_of(one.opens_ms)},
-      {"tell", count_of(one.tell_ms)},
-      {"expected_jobs", one.expected_jobs},
-      {"expected_tasks", one.expected_tasks},
-      {"version", one.version.number()},
-      {"state", name_of(one.state)},
-      {"jobs", std::move(jobs)},
-      {"folded", Value::List{one.folded.in_time, one.folded.tasks_in_time, one.folded.late, one.folded.cancelled}},
-      {"beyond", one.beyond},
-      {"reasons", std::move(reasons)},
-      {"opened", count_of(one.opened_ms)},
-      {"told", count_of(one.told_ms)},
-      {"stepped", count_of(one.stepped_ms)},
-      {"closed", count_of(one.closed_ms)}};
-  if (one.of_plan > 0) map.emplace_back("of_plan", one.of_plan);  // older programs know no such thing
-  if (one.noted) map.emplace_back("noted", to_value(*one.noted));
-  if (one.waived) map.emplace_back("waived", to_value(*one.waived));
+  for (const std::string& reason : occurrence.reasons) reasons.emplace_back(reason);
+  Value::Map map{{"form", kForm},
+                 {"entry", occurrence.entry},
+                 {"local", occurrence.local},
+                 {"zone", occurrence.zone},
+                 {"due", count_of(occurrence.due_ms)},
+                 {"opens", count_of(occurrence.opens_ms)},
+                 {"tell", count_of(occurrence.tell_ms)},
+                 {"expected_jobs", occurrence.expected_jobs},
+                 {"expected_tasks", occurrence.expected_tasks},
+                 {"version", occurrence.version.number()},
+                 {"state", name_of(occurrence.state)},
+                 {"jobs", std::move(jobs)},
+                 {"folded", Value::List{occurrence.folded.in_time, occurrence.folded.tasks_in_time,
+                                        occurrence.folded.late, occurrence.folded.cancelled}},
+                 {"beyond", occurrence.beyond},
+                 {"reasons", std::move(reasons)},
+                 {"opened", count_of(occurrence.opened_ms)},
+                 {"told", count_of(occurrence.told_ms)},
+                 {"stepped", count_of(occurrence.stepped_ms)},
+                 {"closed", count_of(occurrence.closed_ms)}};
+  if (occurrence.of_plan > 0) map.emplace_back("of_plan", occurrence.of_plan);  // older programs know no such thing
+  if (occurrence.noted) map.emplace_back("noted", to_value(*occurrence.noted));
+  if (occurrence.waived) map.emplace_back("waived", to_value(*occurrence.waived));
   return map;
 }
 
@@ -131,7 +131,7 @@
                  .expected_jobs = value.count("expected_jobs"),
                  .expected_tasks = value.count("expected_tasks"),
                  .version = catalog::Version(value.count("version"))};
-  const auto state = std::ranges::find(kStates, value.text("state"));
+  const auto* const state = std::ranges::find(kStates, value.text("state"));
   if (state == kStates.end()) throw Malformed("state: unknown");
   one.state = static_cast<State>(state - kStates.begin());
   for (const Value& job : value.list("jobs")) one.jobs.push_back(counted_from(job));
@@ -195,18 +195,18 @@
   return {.txn = rewrite(key, next, revision), .refusal = {}};
 }
 
-Tally tally_of(const Occurrence& one, std::int64_t skew_ms) {
-  Tally tally{.open = one.beyond,
-              .in_time = one.folded.in_time,
-              .tasks = one.folded.tasks_in_time,
-              .tasks_in_time = one.folded.tasks_in_time,
-              .late = one.folded.late};
-  for (const Counted& job : one.jobs) {
+Tally tally_of(const Occurrence& occurrence, std::int64_t skew_ms) {
+  Tally tally{.open = occurrence.beyond,
+              .in_time = occurrence.folded.in_time,
+              .tasks = occurrence.folded.tasks_in_time,
+              .tasks_in_time = occurrence.folded.tasks_in_time,
+              .late = occurrence.folded.late};
+  for (const Counted& job : occurrence.jobs) {
     if (job.end == End::cancelled) continue;
     if (job.end == End::open) {
       ++tally.open;
       tally.tasks += job.tasks;
-    } else if (job.end == End::done && job.seen_ms + skew_ms <= one.due_ms) {
+    } else if (job.end == End::done && job.seen_ms + skew_ms <= occurrence.due_ms) {
       ++tally.in_time;
       tally.tasks += job.tasks;
       tally.tasks_in_time += job.tasks;
@@ -214,19 +214,20 @@
       ++tally.late;
     }
   }
-  const std::uint64_t wanted = std::max<std::uint64_t>(one.expected_jobs, 1);
+  const std::uint64_t wanted = std::max<std::uint64_t>(occurrence.expected_jobs, 1);
   const std::uint64_t there = tally.open + tally.in_time;
   tally.missing_jobs = wanted > there ? wanted - there : 0;
   // The tasks of jobs beyond the list are not known.
-  if (one.beyond == 0 && one.expected_tasks > tally.tasks) tally.missing_tasks = one.expected_tasks - tally.tasks;
+  if (occurrence.beyond == 0 && occurrence.expected_tasks > tally.tasks)
+    tally.missing_tasks = occurrence.expected_tasks - tally.tasks;
   return tally;
 }
 
 int step_of(std::int64_t slack_ms, std::optional<int> recorded) {
   // Step n begins at n - 1 whole steps of slack; below 0 it is step 0. It falls at once and rises late.
-  const std::int64_t width = constants::kCalendarSlackStep.count();
+  constexpr std::int64_t width = constants::kCalendarSlackStep.count();
   const std::int64_t hold = constants::kCalendarSlackHold.count();
-  const auto plain = [width](std::int64_t slack) {
+  const auto plain = [](std::int64_t slack) {
     const auto whole = static_cast<std::int64_t>(std::floor(static_cast<double>(slack) / static_cast<double>(width)));
     return static_cast<int>(std::clamp<std::int64_t>(whole + 1, 0, constants::kMaxCalendarSteps));
   };
--- a/src/calendar/view.cpp
+++ b/src/calendar/view.cpp
@@ -1,6 +1,7 @@
 #include "calendar/view.h"
 
 #include <algorithm>
+#include <array>
 #include <cstdio>
 
 #include "config/constants.h"
@@ -60,9 +61,9 @@
 }
 
 std::string hex(std::uint64_t number) {
-  char text[17];
-  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(number));
-  return text;
+  std::array<char, 17> text{};
+  std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(number));
+  return text.data();
 }
 
 }  // namespace
--- a/src/catalog/book.cpp
+++ b/src/catalog/book.cpp
@@ -146,7 +146,7 @@
 }
 
 std::shared_ptr<const Set> CatalogView::edition(Version version) const {
-  if (const auto now = in_force(); version == now->version) return now;
+  if (auto now = in_force(); version == now->version) return now;
   const Edition* edition = head_ ? head_->find(version) : nullptr;
   return edition == nullptr ? nullptr : build(*edition);
 }
--- a/src/catalog/records.cpp
+++ b/src/catalog/records.cpp
@@ -4,6 +4,7 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <array>
 #include <charconv>
 #include <cmath>
 #include <limits>
@@ -16,8 +17,8 @@
 using wire::Malformed;
 using wire::Value;
 
-constexpr std::string_view kPriorityNames[] = {"best_effort", "standard", "high", "production"};
-constexpr std::string_view kJobKindNames[] = {"array", "gang", "service"};
+constexpr std::array<std::string_view, 4> kPriorityNames = {"best_effort", "standard", "high", "production"};
+constexpr std::array<std::string_view, 3> kJobKindNames = {"array", "gang", "service"};
 
 std::optional<std::uint64_t> number_from(std::string_view text) {
   std::uint64_t number = 0;
@@ -166,13 +167,13 @@
 std::string_view name_of(wire::JobKind kind) { return kJobKindNames[static_cast<std::size_t>(kind)]; }
 
 std::optional<wire::Priority> priority_from(std::string_view name) {
-  const auto found = std::ranges::find(kPriorityNames, name);
+  const auto* const found = std::ranges::find(kPriorityNames, name);
   if (found == std::end(kPriorityNames)) return std::nullopt;
   return static_cast<wire::Priority>(found - std::begin(kPriorityNames));
 }
 
 std::optional<wire::JobKind> job_kind_from(std::string_view name) {
-  const auto found = std::ranges::find(kJobKindNames, name);
+  const auto* const found = std::ranges::find(kJobKindNames, name);
   if (found == std::end(kJobKindNames)) return std::nullopt;
   return static_cast<wire::JobKind>(found - std::begin(kJobKindNames));
 }
--- a/src/catalog/xml.cpp
+++ b/src/catalog/xml.cpp
@@ -1,6 +1,7 @@
 #include "catalog/xml.h"
 
 #include <algorithm>
+#include <array>
 #include <charconv>
 #include <chrono>
 #include <cmath>
@@ -13,7 +14,8 @@
 namespace foxshunt::catalog {
 namespace {
 
-constexpr std::string_view kWeekdays[] = {"monday", "tuesday", "wednesday", "thursday", "friday", "saturday", "sunday"};
+constexpr std::array<std::string_view, 7> kWeekdays = {"monday", "tuesday",  "wednesday", "thursday",
+                                                       "friday", "saturday", "sunday"};
 
 // The document's bytes are judged before they are parsed. pugixml takes what is no UTF-8, and leaves an entity that it
 // does not know as text: both would surprise.
@@ -137,7 +139,7 @@
     return std::move(reading_);
   }
 
-  std::size_t line_at(std::size_t offset) const {
+  [[nodiscard]] std::size_t line_at(std::size_t offset) const {
     const auto end = text_.begin() + static_cast<std::ptrdiff_t>(std::min(offset, text_.size()));
     return 1 + static_cast<std::size_t>(std::count(text_.begin(), end, '\n'));
   }
@@ -203,7 +205,7 @@
     }
     return reading_.faults.size() == before;
   }
-  std::size_t line_of_doctype() const { return line_at(std::min(text_.find("<!DOCTYPE"), text_.size())); }
+  [[nodiscard]] std::size_t line_of_doctype() const { return line_at(std::min(text_.find("<!DOCTYPE"), text_.size())); }
 
   // ---- attributes and texts ----
 
@@ -232,7 +234,7 @@
   }
 
   std::string name(const Node& node, const char* attribute) {
-    const std::string text = node.attribute(attribute).value();
+    std::string text = node.attribute(attribute).value();
     if (node.attribute(attribute) && !is_name(text)) {
       fault(node, std::string(attribute) + ": must be 1 to " + std::to_string(constants::kMaxCatalogName) +
                       " letters, digits, single spaces and - _ .");
@@ -314,7 +316,7 @@
   }
   std::string time_zone(const Node& node) {
     const pugi::xml_attribute given = node.attribute("time-zone");
-    const std::string text = given.value();
+    std::string text = given.value();
     if (!given) return text;
     const auto plain_byte = [](char one) {
       return (one >= 'a' && one <= 'z') || (one >= 'A' && one <= 'Z') || (one >= '0' && one <= '9') || one == '/' ||
@@ -328,9 +330,9 @@
     return text;
   }
   static std::string plain(double number) {
-    char text[32];
-    const auto end = std::to_chars(std::begin(text), std::end(text), number).ptr;
-    return {std::begin(text), end};
+    std::array<char, 32> text{};
+    auto* const end = std::to_chars(text.data(), text.data() + text.size(), number).ptr;
+    return {text.data(), end};
   }
 
   // The element's text goes into the list, once.
@@ -351,7 +353,7 @@
   }
   void weekday(const Node& node, std::vector<std::uint32_t>& list) {
     const std::string text = text_of_leaf(node);
-    const auto found = std::ranges::find(kWeekdays, text);
+    const auto* const found = std::ranges::find(kWeekdays, text);
     if (found == std::end(kWeekdays)) return fault(node, "must be one of monday to sunday");
     into(node, list, static_cast<std::uint32_t>(found - std::begin(kWeekdays)) + 1);
   }
@@ -634,9 +636,9 @@
 // ---- printing ----
 
 std::string number_text(double number) {
-  char text[32];
-  const auto end = std::to_chars(std::begin(text), std::end(text), number).ptr;
-  return {std::begin(text), end};
+  std::array<char, 32> text{};
+  auto* const end = std::to_chars(text.data(), text.data() + text.size(), number).ptr;
+  return {text.data(), end};
 }
 
 void put_text(pugi::xml_node& node, const char* name, const std::string& text) {
--- a/src/classes/classes.cpp
+++ b/src/classes/classes.cpp
@@ -82,9 +82,11 @@
   }
   for (auto& [job_class, numbers] : by_job_class_) {
     for (std::size_t number = 0; number < classes_.size(); ++number) {
-      const bool may = std::ranges::any_of(classes_[number].takes, [&](const catalog::JobMatch& match) {
-        return match.job_classes.empty() || std::ranges::find(match.job_classes, job_class) != match.job_classes.end();
-      });
+      const bool may =
+          std::ranges::any_of(classes_[number].takes, [&, &job_class = job_class](const catalog::JobMatch& match) {
+            return match.job_classes.empty() ||
+                   std::ranges::find(match.job_classes, job_class) != match.job_classes.end();
+          });
       if (may) numbers.push_back(number);
     }
   }
--- a/src/cli/catalog.h
+++ b/src/cli/catalog.h
@@ -19,7 +19,7 @@
 
 // Judges the file here and at the node, prints the difference, and puts the set in force. Exit::usage for a file that is
 // no good, Exit::failed for a set that lost against another or whose outcome is not known; which of the two is said.
-[[nodiscard]] Exit apply(const ApplyOptions& options);
+[[nodiscard]] Exit apply(const ApplyOptions& given);
 // Kind: class, calendar or pool. Without a name all of the kind, one a line.
 [[nodiscard]] Exit get(const std::string& to, const std::string& kind, const std::string& name, bool as_json);
 // The set in force as a file that `apply` takes.
--- a/src/foresight/foresight.cpp
+++ b/src/foresight/foresight.cpp
@@ -1,6 +1,7 @@
 #include "foresight/foresight.h"
 
 #include <algorithm>
+#include <array>
 #include <cstdio>
 #include <tuple>
 
@@ -29,9 +30,10 @@
 
 std::string clock_of(std::int64_t minute) {
   const std::int64_t of_day = ((minute % 1440) + 1440) % 1440;
-  char text[16];
-  std::snprintf(text, sizeof text, "%02d:%02d UTC", static_cast<int>(of_day / 60), static_cast<int>(of_day % 60));
-  return text;
+  std::array<char, 16> text{};
+  std::snprintf(text.data(), text.size(), "%02d:%02d UTC", static_cast<int>(of_day / 60),
+                static_cast<int>(of_day % 60));
+  return text.data();
 }
 
 std::string plural(std::uint64_t count, const char* noun) {
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -9,6 +9,7 @@
 #include <sys/resource.h>
 
 #include <algorithm>
+#include <array>
 #include <atomic>
 #include <list>
 #include <mutex>
@@ -32,11 +33,11 @@
     out_.clear();
   }
   // What has come and is not read yet: the beginning of a request.
-  [[nodiscard]] std::string_view begun() const { return {buffer_ + at_, filled_ - at_}; }
+  [[nodiscard]] std::string_view begun() const { return {buffer_.data() + at_, filled_ - at_}; }
   // Sleeps until a request begins; false when the connection is over.
   bool await_request() {
     if (at_ < filled_) return true;
-    const ssize_t got = socket_.read_blocking(buffer_, sizeof buffer_);
+    const ssize_t got = socket_.read_blocking(buffer_.data(), buffer_.size());
     if (got <= 0) return false;
     at_ = 0;
     filled_ = static_cast<std::size_t>(got);
@@ -52,13 +53,13 @@
     if (at_ == filled_) {
       // What was asked only now is not answered yet: a look would be in vain.
       if (asked && !socket_.wait_readable(until_)) return -1;
-      const ssize_t got = socket_.read_some(buffer_, sizeof buffer_, until_);
+      const ssize_t got = socket_.read_some(buffer_.data(), buffer_.size(), until_);
       if (got <= 0) return got;
       at_ = 0;
       filled_ = static_cast<std::size_t>(got);
     }
     const std::size_t part = std::min(size, filled_ - at_);
-    std::memcpy(into, buffer_ + at_, part);
+    std::memcpy(into, buffer_.data() + at_, part);
     at_ += part;
     return static_cast<ssize_t>(part);
   }
@@ -85,7 +86,7 @@
  private:
   const Socket& socket_;
   Deadline until_{};
-  char buffer_[constants::kStreamBufferBytes];
+  std::array<char, constants::kStreamBufferBytes> buffer_;
   std::size_t at_ = 0;
   std::size_t filled_ = 0;
   std::string out_;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -11,6 +11,7 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <cerrno>
 #include <charconv>
 #include <system_error>
@@ -163,9 +164,9 @@
   sockaddr_in native{};
   socklen_t length = sizeof native;
   ::getsockname(socket.fd(), reinterpret_cast<sockaddr*>(&native), &length);
-  char text[INET_ADDRSTRLEN] = "";
-  ::inet_ntop(AF_INET, &native.sin_addr, text, sizeof text);
-  return {.host = text, .port = ntohs(native.sin_port)};
+  std::array<char, INET_ADDRSTRLEN> text{};
+  ::inet_ntop(AF_INET, &native.sin_addr, text.data(), text.size());
+  return {.host = text.data(), .port = ntohs(native.sin_port)};
 }
 
 }  // namespace foxshunt::net
--- a/src/pools/keeper.cpp
+++ b/src/pools/keeper.cpp
@@ -556,8 +556,7 @@
   }
   std::erase_if(members, [&machines = machines](const Member& member) { return machines.contains(member.id); });
   std::ranges::sort(lost);
-  const auto same = std::ranges::unique(lost);
-  lost.erase(same.begin(), same.end());
+  lost.erase(std::unique(lost.begin(), lost.end()), lost.end());
   if (def != nullptr) {
     for (const std::string& kind : lost) refuse(draft, kind, wall_ms);
   }
--- a/src/standby/listener.cpp
+++ b/src/standby/listener.cpp
@@ -103,7 +103,7 @@
 void Subscriber::take(const Message& word, Instant now) {
   if (word.after == 0) {
     ++counts_.wholes;
-    coming_.emplace();
+    coming_ = Held{};
     coming_->from = asked_of_;
     coming_->life = word.life;
   }
--- a/tests/standins/world_troubles.cpp
+++ b/tests/standins/world_troubles.cpp
@@ -297,7 +297,7 @@
     }
   }
   std::ranges::sort(theirs);
-  theirs.erase(std::ranges::unique(theirs).begin(), theirs.end());
+  theirs.erase(std::unique(theirs.begin(), theirs.end()), theirs.end());
   std::shuffle(theirs.begin(), theirs.end(), troubles_luck_);
   theirs.resize(hang_s > 0 ? std::min(kHangingMost, theirs.size()) : 0);
   for (const MachineId& id : theirs) hang(id, hang_s);
--- a/tests/unit/calendar_test.cpp
+++ b/tests/unit/calendar_test.cpp
@@ -1,6 +1,7 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <array>
 #include <functional>
 #include <memory>
 #include <random>
@@ -38,7 +39,7 @@
 };
 
 TEST(CalendarCivil, KnownInstants) {
-  const Instant table[] = {
+  const auto table = std::to_array<Instant>({
       {"Europe/Tallinn", {2027, 3, 26, 330}, "2027-03-26T03:30:00Z"},
       {"Europe/Tallinn", {2027, 3, 28, 179}, "2027-03-28T00:59:00Z"},
       {"Europe/Tallinn", {2027, 3, 28, 180}, "2027-03-28T01:00:00Z"},  // 03:00 does not exist
@@ -57,7 +58,7 @@
       {"America/New_York", {2027, 11, 7, 90}, "2027-11-07T05:30:00Z"},  // 01:30 comes twice
       {"America/New_York", {2027, 11, 7, 120}, "2027-11-07T07:00:00Z"},
       {"America/New_York", {2028, 2, 29, 1439}, "2028-03-01T04:59:00Z"},
-  };
+  });
   for (const Instant& one : table) EXPECT_EQ(utc_text(instant_of(one.zone, one.local)), one.utc) << one.zone;
   EXPECT_THROW((void)instant_of("Europe/Tallinn", {2027, 2, 29, 0}), Unknown);
   EXPECT_THROW((void)instant_of("Nowhere/None", {2027, 2, 28, 0}), Unknown);
@@ -82,13 +83,13 @@
     std::int64_t winter, summer;  // added to UTC
     std::function<std::pair<std::int64_t, std::int64_t>(int)> summer_of;
   };
-  const Law laws[] = {
+  const auto laws = std::to_array<Law>({
       {"Europe/Tallinn", 2 * kHour, 3 * kHour,
        [](int year) { return std::pair(utc(year, 3, sunday(year, 3, 0), 1), utc(year, 10, sunday(year, 10, 0), 1)); }},
       {"America/New_York", -5 * kHour, -4 * kHour,
        [](int year) { return std::pair(utc(year, 3, sunday(year, 3, 2), 7), utc(year, 11, sunday(year, 11, 1), 6)); }},
       {"Asia/Kolkata", 5 * kHour + 30 * kMinute, 5 * kHour + 30 * kMinute, [](int) { return std::pair(0L, 0L); }},
-  };
+  });
   for (const Law& law : laws) {
     for (int year = 2026; year < 2032; ++year) {
       const auto [begin, end] = law.summer_of(year);
@@ -146,7 +147,7 @@
     unsigned month, day;
     int minute;
   };
-  const Rise table[] = {
+  const auto table = std::to_array<Rise>({
       {"Europe/Tallinn", {59.437, 24.754}, 2024, 6, 20, 4 * 60 + 3},
       {"Europe/Tallinn", {59.437, 24.754}, 2024, 12, 21, 9 * 60 + 17},
       {"Europe/London", {51.507, -0.128}, 2024, 6, 20, 4 * 60 + 43},
@@ -158,7 +159,7 @@
       {"Asia/Singapore", {1.352, 103.820}, 2024, 3, 20, 7 * 60 + 9},
       {"Atlantic/Reykjavik", {64.147, -21.943}, 2024, 6, 20, 2 * 60 + 55},
       {"Atlantic/Reykjavik", {64.147, -21.943}, 2024, 12, 21, 11 * 60 + 22},
-  };
+  });
   for (const Rise& one : table) {
     const std::int64_t midnight = instant_of(one.zone, {one.year, one.month, one.day, 0});
     const auto rise = sunrise(one.place, midnight, midnight + kDay);
@@ -234,7 +235,8 @@
 
 TEST(CalendarRecords, KeysOfEntriesDiffer) {
   EXPECT_EQ(key_of("dawn forecast", utc(2027, 3, 28, 2, 30)), "calendar/dawn_forecast/2027-03-28T02:30:00Z");
-  const std::string names[] = {"a b", "a_b", "a/b", "a~2fb", "A b", std::string(200, 'x'), std::string(201, 'x')};
+  const auto names =
+      std::to_array<std::string>({"a b", "a_b", "a/b", "a~2fb", "A b", std::string(200, 'x'), std::string(201, 'x')});
   std::set<std::string> slugs;
   for (const std::string& name : names) {
     const std::string key = key_of(name, 0);
@@ -293,8 +295,8 @@
 // ---- several controllers ----
 
 enum class Fault { none, crash_before, crash_after, lost, late, very_late, refused, freeze, cut };
-constexpr Fault kFaults[] = {Fault::crash_before, Fault::crash_after, Fault::lost,   Fault::late,
-                             Fault::very_late,    Fault::refused,     Fault::freeze, Fault::cut};
+constexpr std::array kFaults = {Fault::crash_before, Fault::crash_after, Fault::lost,   Fault::late,
+                                Fault::very_late,    Fault::refused,     Fault::freeze, Fault::cut};
 
 // Controllers' keepers on ledgers of their own, fed from one state store, in virtual time.
 class Day {
