--- a/tests/unit/priority_mutex_test.cpp
+++ b/tests/unit/priority_mutex_test.cpp
@@ -1,4 +1,4 @@
-// The order in which duties get the engine.
+// The order in which duties get the controller.
 #include "node/priority_mutex.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
                                 LockPriority::scheduling}));
 }
 
-// A pass gives the engine back between its portions: whoever waits gets it there, not only at the end of the pass.
+// A pass gives the controller back between its portions: whoever waits gets it there, not only at the end of the pass.
 TEST(PriorityMutex, WhoGivesItBackDoesNotGetItBeforeAMoreUrgentOne) {
   PriorityMutex mutex;
   bool has_reported = false;
