--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -14,22 +14,22 @@
 
 Autoscaler Autoscaler::successor() const {
   Autoscaler next;
-  next.capacity_ = capacity_.refusals();
+  next.capacity_ = capacity_.successor();
   return next;
 }
 
-void Autoscaler::learn_gpu_demand(const ClusterState& cluster, Instant now) {
+void Autoscaler::record_gpu_demand(const ClusterState& cluster, Instant now) {
   plan::Items wanted = 0;
   for (const auto& [unused, job] : cluster.jobs) {
     if (!job.cancelled) wanted += job.each.of[1] * (job.spec.tasks - job.done_count);
   }
-  plan::Items there = 0;
+  plan::Items available = 0;
   for (const auto& [unused, machine] : cluster.machines) {
     if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster.usable(machine, now)))
       continue;
-    there += machine.planned->info.capacity.of[1];
+    available += machine.planned->info.capacity.of[1];
   }
-  demand_.learn_gpus(wanted, there, now);
+  demand_.record_gpu_counts(wanted, available, now);
 }
 
 // How many more tasks of the class could start on machines that are up or booting. The cheapest of these that
@@ -39,29 +39,32 @@
   struct Spare {
     double price;
     MachineId machine;
-    std::int64_t fit;
+    std::int64_t tasks_per_machine;
   };
   const Amounts each = task_amounts(spec);
-  std::vector<Spare> found;
+  std::vector<Spare> candidates;
   for (const auto& [id, machine] : cluster.machines) {
     if (machine.state != MachineState::booting && !cluster.usable(machine, now)) continue;
     const wire::MachineType* kind = cluster.type(machine.type);
     if (kind == nullptr || machine.planned == nullptr ||
         !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
-    if (each.count_in(pricing(cluster).offered(spec, *kind)) <= 0) continue;
+    if (each.count_in(pricing(cluster).usable_capacity(spec, *kind)) <= 0) continue;
     if (!cluster.pools.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
     const Instant from = std::max(now, machine.ready);
-    const std::int64_t fit = each.count_in(machine.planned->use.free(from, from + constants::kStartTimeout));
-    if (fit <= 0) continue;
+    const std::int64_t tasks_per_machine =
+        each.count_in(machine.planned->use.free(from, from + constants::kStartTimeout));
+    if (tasks_per_machine <= 0) continue;
     const double hourly = hourly_price(*kind, machine.spot);
-    found.push_back({.price = hourly / static_cast<double>(fit), .machine = id, .fit = fit});
+    candidates.push_back({.price = hourly / static_cast<double>(tasks_per_machine),
+                          .machine = id,
+                          .tasks_per_machine = tasks_per_machine});
   }
-  std::ranges::sort(found, {}, [](const Spare& spare) { return std::tie(spare.price, spare.machine); });
+  std::ranges::sort(candidates, {}, [](const Spare& spare) { return std::tie(spare.price, spare.machine); });
   std::int64_t total = 0;
-  for (const Spare& spare : found) {
+  for (const Spare& spare : candidates) {
     if (total < reserve) spare_machines_.insert(spare.machine);
-    total += spare.fit;
+    total += spare.tasks_per_machine;
   }
   return total;
 }
@@ -71,10 +74,11 @@
   const Amounts each = task_amounts(sample);
   double boot_s = 0;
   for (const wire::MachineType& kind : cluster.types) {
-    if (each.count_in(pricing(cluster).offered(sample, kind)) > 0)
+    if (each.count_in(pricing(cluster).usable_capacity(sample, kind)) > 0)
       boot_s = boot_s == 0 ? kind.boot_s : std::min(boot_s, kind.boot_s);
   }
-  return demand_.expected(job_class, boot_s * constants::kBootSlackFactor + cluster.settings.heartbeat_interval_s, now);
+  return demand_.expected_tasks(job_class, boot_s * constants::kBootSlackFactor + cluster.settings.heartbeat_interval_s,
+                                now);
 }
 
 std::optional<CloudOffers::Offer> Autoscaler::offer_for_late(const CloudOffers& offers, const ClusterState& cluster,
@@ -82,25 +86,26 @@
                                                              std::uint32_t late, Instant now) const {
   if (job.overdue_tasks > 0) {
     // A kind that boots later than the work has to begin is no use, however cheap.
-    auto in_time =
-        offers.cheapest(job.spec, late, constants::kMaxLatePriceFactor, deadlines.max_startup_for_deadline(job, now));
+    auto in_time = offers.find_cheapest(job.spec, late, constants::kMaxLatePriceFactor,
+                                        deadlines.max_startup_for_deadline(job, now));
     if (in_time || job.late_tasks == 0) return in_time;
   }
   // As long as a deadline leaves time for another boot, what is dear can wait for what is cheap to become free.
-  const bool patient =
-      deadlines.scale_out_delay(job, now) > pricing(cluster).longest_boot(job.spec) * constants::kBootSlackFactor;
-  return offers.cheapest(job.spec, late, patient ? constants::kMaxPatientPriceFactor : constants::kMaxLatePriceFactor);
+  const bool can_wait =
+      deadlines.scale_out_delay(job, now) > pricing(cluster).max_boot_time(job.spec) * constants::kBootSlackFactor;
+  return offers.find_cheapest(job.spec, late,
+                              can_wait ? constants::kMaxPatientPriceFactor : constants::kMaxLatePriceFactor);
 }
 
-void Autoscaler::add_late_work(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
-                               const DeadlinePlanner& deadlines, MachineShares& shares, Instant now) {
+void Autoscaler::add_late_tasks(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
+                                const DeadlinePlanner& deadlines, MachineShares& shares, Instant now) {
   for (const Job* job : queue) {
     std::uint32_t late = std::max(job->late_tasks, job->overdue_tasks);
     // No more than the team's limit lets run at once.
     while (late > 0 && !quota_for(cluster, *job, late)) --late;
     if (late == 0) continue;
     const auto offer = offer_for_late(offers, cluster, *job, deadlines, late, now);
-    if (offer) shares[offer->key] += static_cast<double>(late) / static_cast<double>(offer->fit);
+    if (offer) shares[offer->kind] += static_cast<double>(late) / static_cast<double>(offer->tasks_per_machine);
   }
 }
 
@@ -112,41 +117,41 @@
     if (reserve == 0) continue;
     const std::int64_t missing = reserve - spare_capacity(cluster, demand.sample, reserve, now);
     if (missing <= 0) continue;
-    const auto offer = offers.cheapest(demand.sample, missing, constants::kMaxReservePriceFactor);
-    if (offer) shares[offer->key] += static_cast<double>(missing) / static_cast<double>(offer->fit);
+    const auto offer = offers.find_cheapest(demand.sample, missing, constants::kMaxReservePriceFactor);
+    if (offer) shares[offer->kind] += static_cast<double>(missing) / static_cast<double>(offer->tasks_per_machine);
   }
 }
 
-void Autoscaler::want_nothing() {
+void Autoscaler::clear_wanted_machines() {
   spare_machines_.clear();
-  capacity_.want({});
+  capacity_.set_wanted({});
 }
 
 void Autoscaler::size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue,
                             const DeadlinePlanner& deadlines, Instant now) {
   spare_machines_.clear();
-  const CloudCapacityTracker::Held have = cluster.machines.held();
+  const CloudCapacityTracker::HeldMachines held = cluster.machines.held();
   const TaskPricing prices = pricing(cluster);
-  const CloudOffers offers(cluster, prices, capacity_, have, now);
+  const CloudOffers offers(cluster, prices, capacity_, held, now);
   MachineShares shares;
-  add_late_work(offers, cluster, queue, deadlines, shares, now);
+  add_late_tasks(offers, cluster, queue, deadlines, shares, now);
   add_reserves(offers, cluster, shares, now);
-  CloudCapacityTracker::Wanted wanted;
+  CloudCapacityTracker::WantedMachines wanted;
   for (const auto& [key, share] : shares) wanted[key] = static_cast<std::uint64_t>(std::ceil(share));
-  capacity_.want(std::move(wanted));
+  capacity_.set_wanted(std::move(wanted));
 }
 
 std::optional<wire::ScaleOutRequest> Autoscaler::next_scale_out(const ClusterState& cluster, Term term, Instant now) {
   if (!cluster.settings.operators.can_scale_out) return std::nullopt;
-  if (const auto& request = capacity_.next(term, cluster.machines.held(), now)) return request;
+  if (const auto& request = capacity_.next_request(term, cluster.machines.held(), now)) return request;
   // Pools come after live work.
-  capacity_.ask(cluster.pools.next_request());
-  return capacity_.next(term, {}, now);
+  capacity_.set_request(cluster.pools.next_request());
+  return capacity_.next_request(term, {}, now);
 }
 
 void Autoscaler::on_scaled_out(ClusterState& cluster, const wire::ScaleOutRequest& request,
                                const std::vector<MachineId>& rented, Instant now) {
-  if (!capacity_.answered(request)) return;
+  if (!capacity_.complete_request(request)) return;
   cluster.pools.answered(request, rented);
   const wire::MachineType* kind = cluster.type(request.type);
   for (const MachineId& id : rented) {
@@ -160,9 +165,9 @@
     cluster.refresh_plan_machine(machine);
   }
   if (rented.size() < request.count) {
-    note_refusal(cluster, request, now);
+    record_refusal(cluster, request, now);
   } else {
-    capacity_.given({request.type, request.zone, request.spot});
+    capacity_.on_granted({request.type, request.zone, request.spot});
   }
   spdlog::info("rented {} of {} {} in {}{}", rented.size(), request.count, request.type, request.zone,
                request.spot ? ", spot" : "");
@@ -170,22 +175,22 @@
 }
 
 void Autoscaler::on_scale_out_refused(ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
-  if (!capacity_.answered(request)) return;
+  if (!capacity_.complete_request(request)) return;
   cluster.pools.answered(request, {});
-  note_refusal(cluster, request, now);
+  record_refusal(cluster, request, now);
   cluster.plan_wanted = true;
 }
 
-void Autoscaler::note_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
+void Autoscaler::record_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
   const CloudCapacityTracker::Kind kind{request.type, request.zone, request.spot};
   const std::size_t held_now = cluster.machines.held()[kind];
-  const Millis pause = capacity_.refused(kind, held_now, now);
+  const Millis pause = capacity_.on_refused(kind, held_now, now);
   spdlog::info("no more {} in {}{} to rent, {} are held; asked again after {:.0f} s", request.type, request.zone,
                request.spot ? ", spot" : "", held_now, to_seconds(pause));
 }
 
-bool Autoscaler::cloud_wanted(const ClusterState& cluster) const {
-  return capacity_.wanted() || cluster.pools.next_request() ||
+bool Autoscaler::has_pending_cloud_work(const ClusterState& cluster) const {
+  return capacity_.has_wanted_machines() || cluster.pools.next_request() ||
          std::ranges::any_of(cluster.machines,
                              [](const auto& entry) { return entry.second.state == MachineState::returning; });
 }
--- a/src/control/autoscaler.h
+++ b/src/control/autoscaler.h
@@ -39,12 +39,12 @@
   [[nodiscard]] bool is_spare(const MachineId& machine) const { return spare_machines_.contains(machine); }
 
   // GPUs that are wanted now, and those that there are.
-  void learn_gpu_demand(const ClusterState& cluster, Instant now);
+  void record_gpu_demand(const ClusterState& cluster, Instant now);
   // Works out what is wanted of the cloud from now on. `queue`: the jobs that wait, in their planning order.
   void size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue, const DeadlinePlanner& deadlines,
                   Instant now);
   // Without machine types nothing is wanted of the cloud.
-  void want_nothing();
+  void clear_wanted_machines();
 
   // The request under way, or the next one.
   [[nodiscard]] std::optional<wire::ScaleOutRequest> next_scale_out(const ClusterState& cluster, Term term,
@@ -55,7 +55,7 @@
   // Machines that are to be given back.
   [[nodiscard]] static std::vector<MachineId> next_scale_in(const ClusterState& cluster);
   // Whether there is something to rent or to return.
-  [[nodiscard]] bool cloud_wanted(const ClusterState& cluster) const;
+  [[nodiscard]] bool has_pending_cloud_work(const ClusterState& cluster) const;
 
  private:
   using MachineShares = std::map<CloudCapacityTracker::Kind, double>;  // machines, of which a task may be a part
@@ -67,10 +67,10 @@
                                             std::int64_t reserve, Instant now);
   [[nodiscard]] std::int64_t wanted_spare_capacity(const ClusterState& cluster, const std::string& job_class,
                                                    const wire::JobSpec& sample, Instant now);
-  void add_late_work(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
-                     const DeadlinePlanner& deadlines, MachineShares& shares, Instant now);
+  void add_late_tasks(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
+                      const DeadlinePlanner& deadlines, MachineShares& shares, Instant now);
   void add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares, Instant now);
-  void note_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now);
+  void record_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now);
 
   DemandEstimator demand_;
   CloudCapacityTracker capacity_;
--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -8,37 +8,37 @@
 
 namespace foxshunt::control {
 
-std::optional<CloudOffers::Offer> CloudOffers::offer_of(const wire::MachineType& kind, const std::string& zone,
-                                                        bool spot, const wire::JobSpec& spec,
-                                                        std::int64_t tasks) const {
-  if (!is_machine_allowed(spec, kind.name, zone, spot) || !cluster_.counted_on(zone)) return std::nullopt;
-  CloudCapacityTracker::Kind key{kind.name, zone, spot};
-  if (!capacity_.is_available(key, have_, now_)) return std::nullopt;
+std::optional<CloudOffers::Offer> CloudOffers::make_offer(const wire::MachineType& type, const std::string& zone,
+                                                          bool spot, const wire::JobSpec& spec,
+                                                          std::int64_t tasks) const {
+  if (!is_machine_allowed(spec, type.name, zone, spot) || !cluster_.counted_on(zone)) return std::nullopt;
+  CloudCapacityTracker::Kind kind{type.name, zone, spot};
+  if (!capacity_.is_available(kind, held_, now_)) return std::nullopt;
   // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
-  const std::int64_t fit = task_amounts(spec).count_in(capacity_of(kind));
-  const double hourly = hourly_price(kind, spot);
-  return Offer{.key = std::move(key),
-               .price = hourly / static_cast<double>(std::min(fit, tasks)),
-               .full_price = hourly / static_cast<double>(fit),
-               .fit = fit};
+  const std::int64_t tasks_per_machine = task_amounts(spec).count_in(capacity_of(type));
+  const double hourly = hourly_price(type, spot);
+  return Offer{.kind = std::move(kind),
+               .price_per_task = hourly / static_cast<double>(std::min(tasks_per_machine, tasks)),
+               .price_per_task_when_full = hourly / static_cast<double>(tasks_per_machine),
+               .tasks_per_machine = tasks_per_machine};
 }
 
-std::optional<CloudOffers::Offer> CloudOffers::cheapest(const wire::JobSpec& spec, std::int64_t tasks,
-                                                        double max_price_ratio, Millis max_startup) const {
+std::optional<CloudOffers::Offer> CloudOffers::find_cheapest(const wire::JobSpec& spec, std::int64_t tasks,
+                                                             double max_price_ratio, Millis max_startup) const {
   const Amounts each = task_amounts(spec);
   std::optional<Offer> best;
-  for (const wire::MachineType& kind : cluster_.types) {
-    if (each.count_in(capacity_of(kind)) <= 0) continue;
-    if (from_seconds(kind.boot_s) + constants::kCloudCallTimeout + cluster_.fetch_time(spec, kind.name) > max_startup)
+  for (const wire::MachineType& type : cluster_.types) {
+    if (each.count_in(capacity_of(type)) <= 0) continue;
+    if (from_seconds(type.boot_s) + constants::kCloudCallTimeout + cluster_.fetch_time(spec, type.name) > max_startup)
       continue;
-    for (const std::string& zone : kind.zones) {
+    for (const std::string& zone : type.zones) {
       for (const bool spot : {true, false}) {
-        auto offer = offer_of(kind, zone, spot, spec, tasks);
-        if (offer && (!best || offer->price < best->price)) best = std::move(offer);
+        auto offer = make_offer(type, zone, spot, spec, tasks);
+        if (offer && (!best || offer->price_per_task < best->price_per_task)) best = std::move(offer);
       }
     }
   }
-  if (best && best->full_price > pricing_.lowest_price(spec) * max_price_ratio) return std::nullopt;
+  if (best && best->price_per_task_when_full > pricing_.lowest_task_price(spec) * max_price_ratio) return std::nullopt;
   return best;
 }
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -52,7 +52,7 @@
   cluster_.pools.become_leader(now);
   cycle_.queue().ranking() = std::move(ranking);
   cycle_.queue().ranking().tell_time(failover.wall_ms, now);
-  leadership_.begin(failover.term, failover.term_revision, now);
+  leadership_.begin_term(failover.term, failover.term_revision, now);
   cluster_.older_leaders_until = kept(Guard::others_counted) ? failover.older_leaders_until : now;
   cluster_.delegations = zone::DelegationTable(cluster_.settings.siblings, delegation_spans(cluster_.settings));
   set_team_quotas(cluster_);
@@ -71,7 +71,7 @@
 
 bool Controller::can_renew_agent_leases(Instant now) const { return leadership_.can_renew_agent_leases(now); }
 
-bool Controller::can_start_tasks(Instant now) const { return leadership_.can_start(now); }
+bool Controller::can_start_tasks(Instant now) const { return leadership_.can_modify_cluster(now); }
 
 // ---- agents ----
 
@@ -88,13 +88,13 @@
   const bool any_ended = std::ranges::any_of(
       heartbeat.tasks, [](const wire::TaskStatus& task) { return task.state == wire::TaskState::ended; });
   if (any_ended && plan_wanted()) return false;
-  return is_durable(cluster_, heartbeat);
+  return is_heartbeat_durable(cluster_, heartbeat);
 }
 
 std::optional<std::vector<wire::Command>> Controller::later_commands(const wire::Heartbeat& heartbeat, Instant now) {
   // An answer renews the agent's lease, so the right to answer is looked at again.
   if (kept(Guard::answer_rechecked) && !leadership_.can_renew_agent_leases(now)) return std::nullopt;
-  return Reconciler(cluster_, leadership_).later_commands(heartbeat, now);
+  return Reconciler(cluster_, leadership_).newly_due_commands(heartbeat, now);
 }
 
 std::vector<DirectStop> Controller::due_direct_stops(Instant now) { return tasks().due_direct_stops(now); }
@@ -156,7 +156,7 @@
 std::map<JobId, foresight::DeadlineForecast> Controller::deadline_forecasts(Instant now) const {
   // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
   if (!leadership_.is_leader() || cycle_.under_way() ||
-      cycle_.planned_at() < leadership_.since() + detour_span(cluster_.settings))
+      cycle_.planned_at() < leadership_.term_started() + detour_span(cluster_.settings))
     return {};
   return deadlines_.deadline_forecasts(
       {cluster_, autoscaler_.demand(), autoscaler_.capacity(), cycle_.queue().ranking()}, cycle_.planned_at(), now);
--- a/src/control/controller_explain.cpp
+++ b/src/control/controller_explain.cpp
@@ -32,7 +32,7 @@
 
 std::optional<std::string> Controller::explain(const JobId& id, Instant now) const {
   if (!leadership_.is_leader()) return std::nullopt;
-  return Explanation(cluster_, cycle_.queue().ranking(), autoscaler_.capacity(), leadership_.can_start(now))
+  return Explanation(cluster_, cycle_.queue().ranking(), autoscaler_.capacity(), leadership_.can_modify_cluster(now))
       .of(id, now);
 }
 
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -15,7 +15,7 @@
 // and another node may hear them. Only while the state service answers, without which nobody could take the lead.
 bool is_unreachable(const ClusterState& cluster, const Leadership& leadership, Instant now) {
   return cluster.machines.unheard(now) >= constants::kMinUnreachableMachines && cluster.settings.nodes > 1 &&
-         leadership.can_start(now);
+         leadership.can_modify_cluster(now);
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
 }
 
 std::optional<wire::ScaleOutRequest> Controller::next_scale_out(Instant now) {
-  if (!leadership_.can_start(now)) return std::nullopt;
+  if (!leadership_.can_modify_cluster(now)) return std::nullopt;
   return autoscaler_.next_scale_out(cluster_, leadership_.term(), now);
 }
 
@@ -60,10 +60,10 @@
   autoscaler_.on_scale_out_refused(cluster_, request, now);
 }
 
-bool Controller::cloud_wanted() const { return autoscaler_.cloud_wanted(cluster_); }
+bool Controller::cloud_wanted() const { return autoscaler_.has_pending_cloud_work(cluster_); }
 
 std::vector<MachineId> Controller::next_scale_in(Instant now) {
-  return leadership_.can_start(now) ? Autoscaler::next_scale_in(cluster_) : std::vector<MachineId>();
+  return leadership_.can_modify_cluster(now) ? Autoscaler::next_scale_in(cluster_) : std::vector<MachineId>();
 }
 
 void Controller::on_scaled_in(const std::vector<MachineId>& names, Instant now) {
@@ -74,7 +74,7 @@
     spdlog::info("machine {} is returned: {}", id.text(), entry->second.why);
     cluster_.machines.on_scaled_in(id);
     const std::set<TaskKey> runs = entry->second.allocations.copy();
-    for (const TaskKey& key : runs) tasks().lose_task(key, "its machine was returned", now);
+    for (const TaskKey& key : runs) tasks().mark_task_lost(key, "its machine was returned", now);
     cluster_.forget_machine(id);
   }
 }
@@ -86,7 +86,7 @@
   cycle_.request_overdue_pass(cluster_, now);
   cluster_.delegations.forget_before(now);
   ZoneCoordinator zones = zone_coordinator();
-  zones.move_services_out();
+  zones.drain_zones_out_of_service();
   if (cluster_.settings.operators.zone_watch) zones.observe_zones(now);
   MachineHousekeeper(cluster_, leadership_, autoscaler_).review_machines(now);
 }
--- a/src/control/controller_records.cpp
+++ b/src/control/controller_records.cpp
@@ -35,7 +35,7 @@
 }
 
 std::optional<WriteBatch> Controller::begin_write(Instant now) {
-  if (!leadership_.can_start(now)) return std::nullopt;
+  if (!leadership_.can_modify_cluster(now)) return std::nullopt;
   return cluster_.jobs.begin_write(leadership_.term_revision(), cluster_.settings.state_txn_ops, now);
 }
 
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -61,8 +61,8 @@
 }
 
 std::optional<foresight::Kind> rentable_kind(const PlanView& view, const Job& job, const wire::MachineType& kind,
-                                             double price_most, const CloudCapacityTracker::Held& have) {
-  const std::int64_t fit = job.each.count_in(TaskPricing(view.cluster, view.demand).offered(job.spec, kind));
+                                             double price_most, const CloudCapacityTracker::HeldMachines& have) {
+  const std::int64_t fit = job.each.count_in(TaskPricing(view.cluster, view.demand).usable_capacity(job.spec, kind));
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
                         .boot = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
@@ -75,13 +75,14 @@
       any = true;
       const double hourly = spot ? kind.spot_price : kind.price;
       if (!view.cluster.counted_on(zone) || hourly > price_most * static_cast<double>(fit)) continue;
-      found.can_scale_out = found.can_scale_out || view.capacity.counted_on({kind.name, zone, spot}, have);
+      found.can_scale_out = found.can_scale_out || view.capacity.is_expected_available({kind.name, zone, spot}, have);
     }
   }
   return any ? std::optional(std::move(found)) : std::nullopt;
 }
 
-foresight::Work work_of(const PlanView& view, const Job& job, Instant by, const CloudCapacityTracker::Held& have) {
+foresight::Work work_of(const PlanView& view, const Job& job, Instant by,
+                        const CloudCapacityTracker::HeldMachines& have) {
   foresight::Work work{.by = by, .run = run_time(job)};
   work.waiting = job.pending();
   work.together = is_gang(job);
@@ -95,7 +96,7 @@
     work.capped = rank->capped;
   }
   const double price_most =
-      TaskPricing(view.cluster, view.demand).lowest_price(job.spec) * constants::kMaxLatePriceFactor;
+      TaskPricing(view.cluster, view.demand).lowest_task_price(job.spec) * constants::kMaxLatePriceFactor;
   for (const wire::MachineType& kind : view.cluster.types) {
     if (auto rentable = rentable_kind(view, job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
   }
@@ -103,8 +104,8 @@
 }
 
 std::optional<foresight::DeadlineForecast> forecast_of(const PlanView& view, const Job& job, Instant by,
-                                                       const CloudCapacityTracker::Held& have, Instant planned_at,
-                                                       Instant now) {
+                                                       const CloudCapacityTracker::HeldMachines& have,
+                                                       Instant planned_at, Instant now) {
   // A pass books some of a very large array only; the rest is not late for that.
   if (job.cancelled || is_service(job) || job.pending() > constants::kMaxTasksPlannedPerPass) return std::nullopt;
   const auto end = planned_end(view.cluster, job);
@@ -144,7 +145,7 @@
                                                                                  Instant now) const {
   std::map<JobId, foresight::DeadlineForecast> deadline_forecasts;
   if (due_jobs_.empty() || view.cluster.types.empty()) return deadline_forecasts;
-  const CloudCapacityTracker::Held have = view.cluster.machines.held();
+  const CloudCapacityTracker::HeldMachines have = view.cluster.machines.held();
   for (const auto& [id, due] : due_jobs_) {
     const auto entry = view.cluster.jobs.find(id);
     if (entry == view.cluster.jobs.end()) continue;
--- a/src/control/demand_estimator.cpp
+++ b/src/control/demand_estimator.cpp
@@ -11,7 +11,7 @@
 
 using plan::Amounts;
 
-void DemandEstimator::learn(const wire::JobSpec& spec, const Amounts& each, plan::Instant submitted) {
+void DemandEstimator::record_job(const wire::JobSpec& spec, const Amounts& each, plan::Instant submitted) {
   ClassDemand& demand = classes_[spec.job_class];
   demand.sample = spec;
   demand.arrivals.emplace_back(submitted, spec.tasks);
@@ -20,41 +20,41 @@
   sizes_.learn(spec.job_class, spec.tasks, submitted);
   if (each.of[1] <= 0) return;
   for (const std::size_t r : {0U, 2U}) {
-    beside_gpu_.of[r] = std::max(beside_gpu_.of[r], each.of[r] * 1000 / each.of[1]);
+    usage_per_gpu_.of[r] = std::max(usage_per_gpu_.of[r], each.of[r] * 1000 / each.of[1]);
   }
 }
 
-void DemandEstimator::learn_gpus(plan::Items wanted, plan::Items there, plan::Instant now) {
-  while (!gpu_demand_.empty() && gpu_demand_.back().second <= wanted) gpu_demand_.pop_back();
-  gpu_demand_.emplace_back(now, wanted);
-  while (gpu_demand_.front().first < now - constants::kGpuDemandWindow) gpu_demand_.pop_front();
-  gpus_spare_ = std::max<plan::Items>(0, there - gpu_demand_.front().second);
+void DemandEstimator::record_gpu_counts(plan::Items wanted, plan::Items available, plan::Instant now) {
+  while (!gpu_peaks_.empty() && gpu_peaks_.back().second <= wanted) gpu_peaks_.pop_back();
+  gpu_peaks_.emplace_back(now, wanted);
+  while (gpu_peaks_.front().first < now - constants::kGpuDemandWindow) gpu_peaks_.pop_front();
+  unclaimed_gpus_ = std::max<plan::Items>(0, available - gpu_peaks_.front().second);
 }
 
 // PAPER 5.4, "expensive resources": X cores are kept free for jobs requesting GPUs.
-Amounts DemandEstimator::offered(const wire::JobSpec& spec, const wire::MachineType& kind,
-                                 const std::vector<wire::MachineType>& types) const {
-  Amounts all = capacity_of(kind);
-  if (spec.gpus > 0 || kind.gpus <= 0) return all;
-  const bool elsewhere = std::ranges::any_of(types, [&](const wire::MachineType& other) {
+Amounts DemandEstimator::usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type,
+                                         const std::vector<wire::MachineType>& types) const {
+  Amounts amounts = capacity_of(type);
+  if (spec.gpus > 0 || type.gpus <= 0) return amounts;
+  const bool fits_without_gpus = std::ranges::any_of(types, [&](const wire::MachineType& other) {
     return other.gpus <= 0 && is_type_allowed(spec, other.name) &&
            Amounts::from(spec.cpus, 0, spec.ram_gb).fits(Amounts::from(other.cpus, 0, other.ram_gb));
   });
-  if (!elsewhere) return all;  // it can't run without
+  if (!fits_without_gpus) return amounts;  // it can't run without
   for (const std::size_t r : {0U, 2U}) {
     // As long as no task with a GPU was seen, each GPU's share of the machine.
-    const plan::Items beside = beside_gpu_.of[r] > 0 ? beside_gpu_.of[r] * all.of[1] / 1000 : all.of[r];
-    all.of[r] = std::max<plan::Items>(0, all.of[r] - beside);
+    const plan::Items reserved = usage_per_gpu_.of[r] > 0 ? usage_per_gpu_.of[r] * amounts.of[1] / 1000 : amounts.of[r];
+    amounts.of[r] = std::max<plan::Items>(0, amounts.of[r] - reserved);
   }
-  return all;
+  return amounts;
 }
 
-std::int64_t DemandEstimator::expected(const std::string& job_class, double cover_s, plan::Instant now) {
-  const auto known = classes_.find(job_class);
-  if (known == classes_.end()) return 0;
-  auto& arrivals = known->second.arrivals;
-  const plan::Instant since = now - constants::kDemandWindow;
-  while (!arrivals.empty() && arrivals.front().first < since) arrivals.pop_front();
+std::int64_t DemandEstimator::expected_tasks(const std::string& job_class, double cover_s, plan::Instant now) {
+  const auto entry = classes_.find(job_class);
+  if (entry == classes_.end()) return 0;
+  auto& arrivals = entry->second.arrivals;
+  const plan::Instant window_start = now - constants::kDemandWindow;
+  while (!arrivals.empty() && arrivals.front().first < window_start) arrivals.pop_front();
   if (arrivals.empty()) return 0;
   double tasks = 0;
   for (const auto& [unused, count] : arrivals) tasks += count;
@@ -67,36 +67,36 @@
 
 // ---- hints ----
 
-void DemandEstimator::hint_largest(const std::string& job_class, std::uint32_t tasks, plan::Instant now) {
+void DemandEstimator::apply_largest_job_hint(const std::string& job_class, std::uint32_t tasks, plan::Instant now) {
   sizes_.learn(job_class, tasks, now);
 }
 
-void DemandEstimator::hint_sample(const wire::JobSpec& sample) {
+void DemandEstimator::apply_sample_hint(const wire::JobSpec& sample) {
   if (classes_.size() < constants::kMaxTrackedClasses && !classes_.contains(sample.job_class)) {
     classes_[sample.job_class].sample = sample;
   }
 }
 
-void DemandEstimator::hint_arrivals(const std::string& job_class, Arrivals before, plan::Instant taken) {
-  const auto known = classes_.find(job_class);
-  if (known == classes_.end()) return;
-  for (const auto& arrival : known->second.arrivals) {
-    if (arrival.first > taken) before.push_back(arrival);
+void DemandEstimator::apply_arrivals_hint(const std::string& job_class, Arrivals before, plan::Instant taken_at) {
+  const auto entry = classes_.find(job_class);
+  if (entry == classes_.end()) return;
+  for (const auto& arrival : entry->second.arrivals) {
+    if (arrival.first > taken_at) before.push_back(arrival);
   }
-  known->second.arrivals = std::move(before);
+  entry->second.arrivals = std::move(before);
 }
 
-void DemandEstimator::hint_gpus(const GpuPeaks& peaks, plan::Items cpus_beside, plan::Items ram_beside) {
-  GpuPeaks all;
-  for (const GpuPeaks* some : {&peaks, static_cast<const GpuPeaks*>(&gpu_demand_)}) {
-    for (const auto& [when, items] : *some) {
-      while (!all.empty() && all.back().second <= items) all.pop_back();
-      all.emplace_back(when, items);
+void DemandEstimator::apply_gpu_hint(const GpuPeaks& peaks, plan::Items cpus_beside, plan::Items ram_beside) {
+  GpuPeaks merged;
+  for (const GpuPeaks* source : {&peaks, static_cast<const GpuPeaks*>(&gpu_peaks_)}) {
+    for (const auto& [when, items] : *source) {
+      while (!merged.empty() && merged.back().second <= items) merged.pop_back();
+      merged.emplace_back(when, items);
     }
   }
-  gpu_demand_ = std::move(all);
-  beside_gpu_.of[0] = std::max(beside_gpu_.of[0], cpus_beside);
-  beside_gpu_.of[2] = std::max(beside_gpu_.of[2], ram_beside);
+  gpu_peaks_ = std::move(merged);
+  usage_per_gpu_.of[0] = std::max(usage_per_gpu_.of[0], cpus_beside);
+  usage_per_gpu_.of[2] = std::max(usage_per_gpu_.of[2], ram_beside);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/explanation.cpp
+++ b/src/control/explanation.cpp
@@ -50,7 +50,7 @@
 
 std::string Explanation::renting() const {
   if (!cluster_.settings.operators.can_scale_out) return "; the settings forbid renting";
-  return capacity_.wanted() ? "; machines are being rented" : "";
+  return capacity_.has_wanted_machines() ? "; machines are being rented" : "";
 }
 
 std::optional<std::string> Explanation::of(const JobId& id, Instant now) const {
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -60,7 +60,7 @@
     const bool waits_whole = job.allocation_count == 0 && job.pending() > 0 && !job.cancelled && job.not_before <= now;
     if (!is_gang(job) || !waits_whole) continue;
     if (now - job.submitted < constants::kReservationAfter) continue;
-    if (!demand.largest(job.spec.job_class, job.spec.tasks)) continue;
+    if (!demand.is_among_largest(job.spec.job_class, job.spec.tasks)) continue;
     // At its team's limit no machine would help it.
     if (quota_for(cluster, job, job.pending())) candidates.push_back({.job = id, .submitted = job.submitted});
   }
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -77,13 +77,13 @@
   for (const JobId& id : cancelled) {
     Job& job = cluster_.jobs.at(id);
     job.had_allocations = true;
-    tasks_.cancel(job, now);
+    tasks_.cancel_job(job, now);
   }
 }
 
 Job& JobIntake::add_job(const state::JobRecord& record, Revision revision, std::int64_t wall_ms, Instant now) {
   Job& job = cluster_.jobs.add(record, revision, wall_ms, cluster_.machines, now);
-  demand_.learn(job.spec, job.each, job.submitted);
+  demand_.record_job(job.spec, job.each, job.submitted);
   if (record.whole) book_adopted(job, 0, now);
   cluster_.plan_wanted = true;
   return job;
@@ -118,14 +118,14 @@
   Job* job = cluster_.jobs.on_reloaded(reload, revision);
   if (job == nullptr) return;
   spdlog::info("job {}: its record is gone, {} tasks to stop", reload.job.text(), job->allocation_count);
-  tasks_.cancel(*job, now);
+  tasks_.cancel_job(*job, now);
 }
 
 void JobIntake::on_removed(const JobId& id, Instant now) {
   Job* job = cluster_.jobs.on_removed(id);
   if (job == nullptr) return;
   spdlog::info("job {}: withdrawn, {} tasks to stop", id.text(), job->allocation_count);
-  tasks_.cancel(*job, now);
+  tasks_.cancel_job(*job, now);
 }
 
 void JobIntake::on_list(const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now) {
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -99,7 +99,7 @@
   std::uint32_t planned = 0;
   // Renting helps only a task that a machine rented now would start earlier; those that boot are waited for.
   const Instant rent_after =
-      now + std::max(deadlines_.scale_out_delay(job, now), autoscaler_.pricing(cluster_).longest_boot(job.spec));
+      now + std::max(deadlines_.scale_out_delay(job, now), autoscaler_.pricing(cluster_).max_boot_time(job.spec));
   for (const plan::Placing& placing : turn.placings) {
     planned += placing.count;
     if (placing.start > rent_after + constants::kTick) job.late_tasks += placing.count;
@@ -175,7 +175,7 @@
   auto next = tasks.begin();
   for (const plan::Placing& placing : GangCoordinator::members_due(cluster_, job, placings, now)) {
     for (std::uint32_t at = 0; at < placing.count && next != tasks.end(); ++at, ++next) {
-      tasks_.place(job, *next, attempt, cluster_.machines.at(placing.machine), now);
+      tasks_.place_task(job, *next, attempt, cluster_.machines.at(placing.machine), now);
     }
   }
   if (next == tasks.end()) job.gather_until.reset();
@@ -183,7 +183,7 @@
 }
 
 bool JobPlanner::place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  if (!tasks_.can_start_anything(now)) return false;
+  if (!tasks_.can_start_or_preempt(now)) return false;
   if (is_gang(job)) return place_gang(job, placings, now);
   bool any = false;
   for (const plan::Placing& placing : placings) {
@@ -193,7 +193,7 @@
       if (!room_for(cluster_, job, machine, 1) || !quota_for(cluster_, job, 1) ||
           !place_allowed(cluster_, job, machine, 1))
         break;
-      tasks_.place(job, index, job.shards[index / constants::kTasksPerShard].next, machine, now);
+      tasks_.place_task(job, index, job.shards[index / constants::kTasksPerShard].next, machine, now);
       any = true;
     }
   }
@@ -205,7 +205,7 @@
 // nothing has moved, and the next pass books none of it.
 std::size_t JobPlanner::plan_stranded(Job& job, Instant now) {
   // Renting before a boot would end at the proof costs for nothing.
-  const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).longest_boot(job.spec);
+  const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).max_boot_time(job.spec);
   if (!due) return 0;
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
                                            : std::min(job.stranded, std::uint32_t{constants::kMaxTasksPlannedPerPass});
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -13,11 +13,11 @@
 using guards::kept;
 using plan::Instant;
 
-void Leadership::begin(Term term, Revision term_revision, Instant now) {
+void Leadership::begin_term(Term term, Revision term_revision, Instant now) {
   is_leader_ = true;
   term_ = term;
   term_revision_ = term_revision;
-  since_ = lease_confirmed_ = records_confirmed_ = now;
+  term_started_ = lease_confirmed_ = records_confirmed_ = now;
 }
 
 void Leadership::step_down(std::string_view reason) {
@@ -28,7 +28,7 @@
 
 void Leadership::yield(std::string_view reason, Instant now) {
   step_down(reason);
-  yields_until_ = now + constants::kLeadershipYieldTimeout;
+  yield_deadline_ = now + constants::kLeadershipYieldTimeout;
 }
 
 void Leadership::on_term_conflict(Revision term_revision) {
@@ -59,7 +59,7 @@
   return is_leader_ && (!kept(Guard::fence) || now < known + fence_);
 }
 
-bool Leadership::can_start(Instant now) const {
+bool Leadership::can_modify_cluster(Instant now) const {
   return is_leader_ && (!kept(Guard::start_confirmed) || now < last_confirmed() + constants::kLeaderLeaseTtl);
 }
 
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -25,7 +25,7 @@
   explicit Leadership(plan::Millis fence) : fence_(fence) {}
 
   // Begins to lead in the term, whose record is at that revision.
-  void begin(Term term, Revision term_revision, plan::Instant now);
+  void begin_term(Term term, Revision term_revision, plan::Instant now);
   // Ends the lead, if there is one; `reason` is logged.
   void step_down(std::string_view reason);
   // Steps down, and lets others go first for a while.
@@ -44,25 +44,25 @@
   [[nodiscard]] Term term() const { return term_; }
   [[nodiscard]] Revision term_revision() const { return term_revision_; }
   // When the lead began.
-  [[nodiscard]] plan::Instant since() const { return since_; }
+  [[nodiscard]] plan::Instant term_started() const { return term_started_; }
   // Whether it stepped down for the others' sake so recently that they go first.
-  [[nodiscard]] bool should_yield(plan::Instant now) const { return now < yields_until_; }
+  [[nodiscard]] bool should_yield(plan::Instant now) const { return now < yield_deadline_; }
   // The last moment for which both the lease and the records were confirmed.
   [[nodiscard]] plan::Instant last_confirmed() const;
   // Whether heartbeats may be answered, which renews the agents' leases.
   [[nodiscard]] bool can_renew_agent_leases(plan::Instant now) const;
   // Whether anything may be started, stopped for other work, written, rented or returned.
-  [[nodiscard]] bool can_start(plan::Instant now) const;
+  [[nodiscard]] bool can_modify_cluster(plan::Instant now) const;
 
  private:
   plan::Millis fence_{};
   bool is_leader_ = false;
   Term term_;
   Revision term_revision_;
-  plan::Instant since_;
+  plan::Instant term_started_;
   plan::Instant lease_confirmed_;
   plan::Instant records_confirmed_;
-  plan::Instant yields_until_;
+  plan::Instant yield_deadline_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -36,7 +36,7 @@
     fits.push_back({.type = &type,
                     .allowed = is_type_allowed(job.spec, type.name),
                     .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
-                    .offered = pricing_.offered(job.spec, type),
+                    .offered = pricing_.usable_capacity(job.spec, type),
                     .fetch = cluster_.fetch_time(job.spec, type.name)});
   }
   return fits;
@@ -70,7 +70,7 @@
 // What the machine has to do before a task of the job runs there: boot, and fetch the image.
 Millis MachineFilter::preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const {
   if (machine.state == MachineState::booting && machine.ready < now)
-    return fetch + pricing_.remaining_boot(machine, now);
+    return fetch + pricing_.remaining_boot_time(machine, now);
   if (machine.images.contains(job.spec.image)) return Millis(0);
   // Of two that have to fetch it, the one that is to hold it anyway.
   if (fetch > Millis(0) && cluster_.pools.wants(machine.id, job.spec.image))
@@ -82,7 +82,7 @@
 std::vector<plan::Place> MachineFilter::places_for(const Job& job, Instant now) const {
   const std::vector<TypeFit> fits = type_fits(job);
   const std::optional<std::size_t> warms = cluster_.pools.warms(job.spec, now - job.submitted);
-  plan::Items spare_gpus = demand_.gpus_spare();
+  plan::Items spare_gpus = demand_.unclaimed_gpus();
   std::vector<plan::Place> places;
   const TypeFit* fit = nullptr;  // of the machine before, which mostly is of the same type
   for (const auto& [id, machine] : cluster_.machines) {
--- a/src/control/machine_housekeeper.h
+++ b/src/control/machine_housekeeper.h
@@ -22,12 +22,12 @@
   void review_machines(Instant now);
 
  private:
-  enum class Verdict : std::uint8_t {
-    stays,
+  enum class ReviewResult : std::uint8_t {
+    active,
     returning,  // it is marked to be returned
-    vanished,   // it no longer exists and is to be forgotten
+    deleted,    // it no longer exists and is to be forgotten
   };
-  [[nodiscard]] Verdict review(Machine& machine, Instant now);
+  [[nodiscard]] ReviewResult review(Machine& machine, Instant now);
   // Marks a machine that has been idle for long enough to be returned.
   void review_idle(Machine& machine, Instant now);
   // Whether it is up and has nothing to do, now and by the plan.
@@ -35,11 +35,11 @@
   [[nodiscard]] bool can_scale_in(const Machine& machine, Millis idle, Instant now) const;
   void expire_lease(Machine& machine, Instant now);
   // Tasks that a record places on a machine that no leader has heard of.
-  void give_up_unheard_tasks(Machine& machine, Instant now);
+  void expire_tasks_of_unreported_machine(Machine& machine, Instant now);
   [[nodiscard]] bool is_boot_lost(const Machine& machine, Instant now) const;
-  [[nodiscard]] bool has_vanished(const Machine& machine, Instant now) const;
+  [[nodiscard]] bool is_deleted(const Machine& machine, Instant now) const;
   // Whether the machine's zone is lost and waited for.
-  [[nodiscard]] bool is_zone_awaited(const Machine& machine, Instant now) const;
+  [[nodiscard]] bool is_zone_return_awaited(const Machine& machine, Instant now) const;
 
   ClusterState& cluster_;
   const Leadership& leadership_;
--- a/src/control/preemptor.cpp
+++ b/src/control/preemptor.cpp
@@ -89,7 +89,7 @@
   Job& other = cluster_.jobs.at(victim.job);
   other.displaced = now;
   for (const TaskKey& key : victim.tasks) {
-    tasks_.preempt(other, key.index);
+    tasks_.preempt_task(other, key.index);
     // All tasks of a gang have to hear of it within `gang_peer_s`, which may be less than until their next reports.
     if (is_gang(other)) cluster_.jobs.find_allocation(key)->stop_due = now;
   }
@@ -97,7 +97,7 @@
 }
 
 void Preemptor::preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now) {
-  if (!tasks_.can_start_anything(now)) return;
+  if (!tasks_.can_start_or_preempt(now)) return;
   const std::uint32_t count = tasks_to_preempt_for(job, tasks_most);
   if (count == 0) return;
   const preempt::Need need{.each = job.each,
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -46,10 +46,10 @@
 
 std::vector<Command> Reconciler::on_heartbeat(const wire::Heartbeat& heartbeat, Instant now) {
   if (!cluster_.machines.news(heartbeat)) return {};
-  Exchange exchange{.heartbeat = heartbeat, .machine = learn_machine(heartbeat, now), .now = now};
-  lose_tasks_of_earlier_incarnations(exchange);
-  take_statuses(exchange);
-  std::vector<Command> starts = take_absent_tasks(exchange);
+  Exchange exchange{.heartbeat = heartbeat, .machine = update_machine(heartbeat, now), .now = now};
+  mark_tasks_of_earlier_incarnations_lost(exchange);
+  process_task_statuses(exchange);
+  std::vector<Command> starts = process_unreported_tasks(exchange);
   if (heartbeat.notice_s && exchange.machine.state == MachineState::up) {
     evict(exchange, *heartbeat.notice_s);
     starts.clear();
@@ -62,37 +62,37 @@
   return std::move(exchange.commands);
 }
 
-Machine& Reconciler::learn_machine(const wire::Heartbeat& heartbeat, Instant now) {
+Machine& Reconciler::update_machine(const wire::Heartbeat& heartbeat, Instant now) {
   Machine& machine = cluster_.know_machine(heartbeat.machine, now);
   if (cluster_.machines.hear(machine, heartbeat, leadership_.term(), now)) cluster_.plan_wanted = true;
   cluster_.refresh_plan_machine(machine);
   return machine;
 }
 
-void Reconciler::lose_tasks_of_earlier_incarnations(const Exchange& exchange) {
+void Reconciler::mark_tasks_of_earlier_incarnations_lost(const Exchange& exchange) {
   std::vector<TaskKey> lost;
   for (const TaskKey& key : exchange.machine.allocations) {
     const Allocation* allocation = cluster_.jobs.find_allocation(key);
-    const bool earlier = allocation != nullptr && allocation->incarnation < exchange.heartbeat.incarnation;
-    if (earlier && kept(Guard::ended_session)) lost.push_back(key);
+    const bool is_earlier = allocation != nullptr && allocation->incarnation < exchange.heartbeat.incarnation;
+    if (is_earlier && kept(Guard::ended_session)) lost.push_back(key);
   }
-  for (const TaskKey& key : lost) tasks_.lose_task(key, "the machine's session ended", exchange.now);
+  for (const TaskKey& key : lost) tasks_.mark_task_lost(key, "the machine's session ended", exchange.now);
 }
 
-void Reconciler::take_statuses(Exchange& exchange) {
+void Reconciler::process_task_statuses(Exchange& exchange) {
   bool unknown_tasks = false;
   for (const wire::TaskStatus& status : exchange.heartbeat.tasks) {
-    const bool active = status.state != TaskState::ended;
+    const bool is_active = status.state != TaskState::ended;
     if (Allocation* allocation = find_allocation(exchange, status); allocation != nullptr) {
       Job& job = *find_job(status);
-      exchange.present.insert(status.task);
-      if (active) {
+      exchange.reported.insert(status.task);
+      if (is_active) {
         on_task_active(exchange, job, *allocation, status);
         continue;
       }
       on_task_ended(exchange, job, Allocation(*allocation), status);
     }
-    if (active) {
+    if (is_active) {
       // Not placed here by any record: nobody wants it, and it takes room.
       unknown_tasks = true;
       exchange.commands.push_back(stop_command(status.task, status.attempt, 0));
@@ -136,7 +136,7 @@
     cluster_.pools.was_missing(machine.id, job.spec.image);
   }
   if (status.state == TaskState::running && !allocation.running_since) {
-    on_task_began(job, machine, allocation, status.task.index, exchange.now);
+    on_task_running(job, machine, allocation, status.task.index, exchange.now);
   }
   // Who waits for the last image is due.
   if (allocation.seen != status.state && job.gather_until) cluster_.plan_wanted = true;
@@ -144,18 +144,19 @@
   if (allocation.stopping) exchange.commands.push_back(stop_command(status.task, status.attempt, allocation.grace_s));
 }
 
-void Reconciler::on_task_began(Job& job, const Machine& machine, Allocation& allocation, std::uint32_t index,
-                               Instant now) {
+void Reconciler::on_task_running(Job& job, const Machine& machine, Allocation& allocation, std::uint32_t index,
+                                 Instant now) {
   allocation.running_since = std::min(now, allocation.told_began.value_or(now));
   cluster_.pools.began({job.spec.id, index}, job.spec, now - allocation.placed);
   cluster_.planner.revoke(allocation.booking);
-  Millis left = estimate(job);
+  Millis remaining = estimate(job);
   if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
-    left = std::max(left - saved->second, constants::kStartTimeout);
+    remaining = std::max(remaining - saved->second, constants::kStartTimeout);
   }
-  if (allocation.told_began) left = std::max(left - (now - *allocation.running_since), constants::kStartTimeout);
+  if (allocation.told_began)
+    remaining = std::max(remaining - (now - *allocation.running_since), constants::kStartTimeout);
   allocation.booking = cluster_.planner.book(
-      {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + left});
+      {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + remaining});
   spdlog::info("task {} attempt {} runs on {}, {:.1f} s after its job's submission", TaskKey{job.spec.id, index}.text(),
                allocation.attempt.number(), machine.id.text(), to_seconds(now - job.submitted));
   // The tasks of a gang begin together, so that the first one to run tells it of all. A new leader tells it once more.
@@ -176,9 +177,9 @@
       exchange.machine.errors = 0;
       // A service's replica has no end of its own: it is started again.
       if (job.spec.kind == wire::JobKind::service || job.cancelled) break;
-      return tasks_.finish(job, index, exchange.now);
+      return tasks_.finish_task(job, index, exchange.now);
     case EndReason::stopped:
-      if (status.saved && allocation.running_since) return on_task_saved(job, allocation, index, exchange.now);
+      if (status.saved && allocation.running_since) return on_task_checkpointed(job, allocation, index, exchange.now);
       break;
     case EndReason::error: on_task_failed(exchange, job, status); break;
     case EndReason::unknown: job.not_before = exchange.now + constants::kTaskErrorBackoff; break;
@@ -188,7 +189,7 @@
   tasks_.end_gang_attempt(job);
 }
 
-void Reconciler::on_task_saved(Job& job, const Allocation& allocation, std::uint32_t index, Instant now) {
+void Reconciler::on_task_checkpointed(Job& job, const Allocation& allocation, std::uint32_t index, Instant now) {
   const Millis ran = std::max(Millis(0), now - *allocation.running_since);
   job.saved[index] += ran;
   tasks_.confirm_terminated(job, index, "stopped, saved", now);
@@ -210,19 +211,19 @@
         std::min(constants::kMaxTaskErrorBackoff, constants::kTaskErrorBackoff * (1 << std::min(job.errors, 5)));
     if (++job.errors > 1) job.not_before = exchange.now + pause;
   }
-  if (machine.errors >= constants::kMaxMachineErrors) tasks_.drain(machine, "tasks fail on it");
+  if (machine.errors >= constants::kMaxMachineErrors) tasks_.drain_machine(machine, "tasks fail on it");
 }
 
-std::vector<Command> Reconciler::take_absent_tasks(Exchange& exchange) {
-  std::vector<TaskKey> absent;
+std::vector<Command> Reconciler::process_unreported_tasks(Exchange& exchange) {
+  std::vector<TaskKey> unreported;
   for (const TaskKey& key : exchange.machine.allocations) {
-    if (!exchange.present.contains(key)) absent.push_back(key);
+    if (!exchange.reported.contains(key)) unreported.push_back(key);
   }
   // The agent had seen our term when it made this heartbeat, and this heartbeat is newer than any that was answered with the
   // start command: what is not in it does not run and will not.
   const bool saw_term = exchange.machine.saw_term || !kept(Guard::absent_saw_term);
   std::vector<Command> starts;
-  for (const TaskKey& key : absent) {
+  for (const TaskKey& key : unreported) {
     Allocation& allocation = *cluster_.jobs.find_allocation(key);
     if (!allocation.durable || allocation.incarnation != exchange.heartbeat.incarnation) continue;
     Job& job = cluster_.jobs.at(key.job);
@@ -238,40 +239,40 @@
 
 void Reconciler::evict(Exchange& exchange, double notice_s) {
   Machine& machine = exchange.machine;
-  tasks_.drain(machine, "the cloud takes it in " + std::to_string(static_cast<int>(notice_s)) + " s");
+  tasks_.drain_machine(machine, "the cloud takes it in " + std::to_string(static_cast<int>(notice_s)) + " s");
   for (const TaskKey& key : machine.allocations) {
-    if (!exchange.present.contains(key)) continue;
+    if (!exchange.reported.contains(key)) continue;
     const Allocation& allocation = *cluster_.jobs.find_allocation(key);
     exchange.commands.push_back(stop_command(key, allocation.attempt, allocation.grace_s));
   }
 }
 
-std::vector<Command> Reconciler::later_commands(const wire::Heartbeat& heartbeat, Instant now) {
+std::vector<Command> Reconciler::newly_due_commands(const wire::Heartbeat& heartbeat, Instant now) {
   std::vector<Command> commands;
   const auto entry = cluster_.machines.find(heartbeat.machine);
   if (entry == cluster_.machines.end()) return commands;
   const Machine& machine = entry->second;
   // A newer heartbeat has been taken meanwhile: this one teaches nothing any more.
   if (!cluster_.machines.newest(heartbeat)) return commands;
-  std::set<TaskKey> present;
+  std::set<TaskKey> reported;
   for (const wire::TaskStatus& status : heartbeat.tasks) {
-    present.insert(status.task);
+    reported.insert(status.task);
     if (status.state == TaskState::ended && cluster_.jobs.settled(status.task)) {
       commands.push_back(forget_command(status));
-      present.erase(status.task);
+      reported.erase(status.task);
     }
   }
   if (machine.state != MachineState::up) return commands;
   for (const TaskKey& key : machine.allocations) {
     const Allocation& allocation = *cluster_.jobs.find_allocation(key);
-    if (present.contains(key) || allocation.incarnation != heartbeat.incarnation || allocation.seen) continue;
+    if (reported.contains(key) || allocation.incarnation != heartbeat.incarnation || allocation.seen) continue;
     if (tasks_.can_start(cluster_.jobs.at(key.job), allocation, now))
       commands.push_back(start_command(key, allocation.attempt));
   }
   return commands;
 }
 
-bool is_durable(const ClusterState& cluster, const wire::Heartbeat& heartbeat) {
+bool is_heartbeat_durable(const ClusterState& cluster, const wire::Heartbeat& heartbeat) {
   const auto entry = cluster.machines.find(heartbeat.machine);
   if (entry == cluster.machines.end()) return true;
   const bool ends_recorded = std::ranges::all_of(heartbeat.tasks, [&](const wire::TaskStatus& status) {
--- a/src/control/reconciler.h
+++ b/src/control/reconciler.h
@@ -24,7 +24,7 @@
   // Takes a heartbeat. Returns the commands to answer with; none if it was held up on its way and teaches nothing.
   [[nodiscard]] std::vector<wire::Command> on_heartbeat(const wire::Heartbeat& heartbeat, Instant now);
   // Commands that have become due since the heartbeat was answered.
-  [[nodiscard]] std::vector<wire::Command> later_commands(const wire::Heartbeat& heartbeat, Instant now);
+  [[nodiscard]] std::vector<wire::Command> newly_due_commands(const wire::Heartbeat& heartbeat, Instant now);
 
  private:
   // A heartbeat while it is taken, and the answer to it so far.
@@ -32,26 +32,26 @@
     const wire::Heartbeat& heartbeat;
     Machine& machine;
     Instant now;
-    std::set<TaskKey> present;  // known tasks that it tells of
+    std::set<TaskKey> reported;  // known tasks that it tells of
     std::vector<wire::Command> commands;
   };
 
-  Machine& learn_machine(const wire::Heartbeat& heartbeat, Instant now);
+  Machine& update_machine(const wire::Heartbeat& heartbeat, Instant now);
   // Tasks of an earlier incarnation of the agent: a later one began with nothing.
-  void lose_tasks_of_earlier_incarnations(const Exchange& exchange);
-  void take_statuses(Exchange& exchange);
+  void mark_tasks_of_earlier_incarnations_lost(const Exchange& exchange);
+  void process_task_statuses(Exchange& exchange);
   // The job that the status is of; null if there is none with such a task.
   [[nodiscard]] Job* find_job(const wire::TaskStatus& status);
   // The allocation that the status is of; null if the machine has no such allocation in this incarnation.
   [[nodiscard]] Allocation* find_allocation(const Exchange& exchange, const wire::TaskStatus& status);
   void on_task_active(Exchange& exchange, Job& job, Allocation& allocation, const wire::TaskStatus& status);
-  void on_task_began(Job& job, const Machine& machine, Allocation& allocation, std::uint32_t index, Instant now);
+  void on_task_running(Job& job, const Machine& machine, Allocation& allocation, std::uint32_t index, Instant now);
   void on_task_ended(Exchange& exchange, Job& job, const Allocation& allocation, const wire::TaskStatus& status);
-  void on_task_saved(Job& job, const Allocation& allocation, std::uint32_t index, Instant now);
+  void on_task_checkpointed(Job& job, const Allocation& allocation, std::uint32_t index, Instant now);
   void on_task_failed(Exchange& exchange, Job& job, const wire::TaskStatus& status);
   // Allocations to the machine that the heartbeat does not tell of: confirms their termination or starts them. Returns the
   // start commands.
-  [[nodiscard]] std::vector<wire::Command> take_absent_tasks(Exchange& exchange);
+  [[nodiscard]] std::vector<wire::Command> process_unreported_tasks(Exchange& exchange);
   // The cloud takes the machine soon: stops what runs there.
   void evict(Exchange& exchange, double notice_s);
 
@@ -61,6 +61,6 @@
 };
 
 // Whether all that the heartbeat told, and all that is allocated to its machine, is durable.
-[[nodiscard]] bool is_durable(const ClusterState& cluster, const wire::Heartbeat& heartbeat);
+[[nodiscard]] bool is_heartbeat_durable(const ClusterState& cluster, const wire::Heartbeat& heartbeat);
 
 }  // namespace foxshunt::control
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -58,7 +58,7 @@
     extend_overrunning(cluster, job, now);
     forget_latest_plan(cluster, job);
   }
-  context.autoscaler.learn_gpu_demand(cluster, now);
+  context.autoscaler.record_gpu_demand(cluster, now);
   find_stranded(cluster);
   context.gangs.choose_holder(cluster, context.autoscaler.demand(), now);
   pass_.emplace();
@@ -68,7 +68,7 @@
 
 void SchedulingCycle::end_pass(const PassContext& context, Instant now) {
   if (context.cluster.types.empty()) {
-    context.autoscaler.want_nothing();
+    context.autoscaler.clear_wanted_machines();
   } else {
     context.autoscaler.size_fleet(context.cluster,
                                   queue_.order(context.cluster, context.gangs, context.autoscaler.demand(), now),
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -37,7 +37,7 @@
 aging::WaitingJob waiting_job(const ClusterState& cluster, const DemandEstimator& demand, const Job& job, Instant now) {
   return {.submitted = job.submitted,
           .aging_penalty = aging_penalty(cluster, job, now),
-          .largest = demand.largest(job.spec.job_class, job.spec.tasks)};
+          .largest = demand.is_among_largest(job.spec.job_class, job.spec.tasks)};
 }
 
 // When the job counts as submitted, in the planning order.
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -116,12 +116,15 @@
 
 void add_refusals(std::vector<SoftStateEntry>& entries, const ClusterState& cluster,
                   const CloudCapacityTracker& capacity) {
-  for (const auto& [key, supply] : capacity.refused()) {
+  for (const auto& [key, supply] : capacity.refusals()) {
     const auto& [type_name, zone, spot] = key;
     const auto place = std::ranges::find(cluster.settings.zones, zone) - cluster.settings.zones.begin();
     add(entries, Kind::refusal, type_name, static_cast<std::uint32_t>(place) * 2 + (spot ? 1U : 0U),
-        standby::Shared(standby::Refusal{
-            .zone = zone, .spot = spot, .not_before = supply.not_before, .pause = supply.pause, .most = supply.most}));
+        standby::Shared(standby::Refusal{.zone = zone,
+                                         .spot = spot,
+                                         .not_before = supply.not_before,
+                                         .pause = supply.pause,
+                                         .most = supply.held_at_refusal}));
   }
 }
 
@@ -149,7 +152,7 @@
 
 void add_samples(std::vector<SoftStateEntry>& entries, const SoftStateSources& sources) {
   for (const auto& [name, demand] : sources.demand.classes()) {
-    standby::Sample sample{.largest = sources.demand.most(name)};
+    standby::Sample sample{.largest = sources.demand.largest_job_size(name)};
     if (const wire::JobSpec& spec = demand.sample; sources.urgent_classes.contains(name)) {
       sample = {.cpus = spec.cpus,
                 .gpus = spec.gpus,
@@ -165,8 +168,8 @@
 
 void add_gpu_demand(std::vector<SoftStateEntry>& entries, const DemandEstimator& demand) {
   standby::GpuDemand gpus{.peaks = {},
-                          .cpus_beside = count_of(demand.beside_gpu().of[0]),
-                          .ram_beside = count_of(demand.beside_gpu().of[2])};
+                          .cpus_beside = count_of(demand.usage_per_gpu().of[0]),
+                          .ram_beside = count_of(demand.usage_per_gpu().of[2])};
   for (const auto& [when, items] : demand.gpu_peaks()) {
     if (gpus.peaks.size() < constants::kMaxStandbyList / 2) gpus.peaks.emplace_back(when, count_of(items));
   }
@@ -256,15 +259,15 @@
 }
 
 void SoftState::apply_refusal(const std::string& type, const standby::Refusal& told, Instant now) {
-  supply_.hint(
+  supply_.apply_refusal_hint(
       {type, told.zone, told.spot},
       {.not_before = std::min(told.not_before, now + constants::kMaxCapacityRefusalBackoff),
        .pause = std::clamp(told.pause, constants::kCapacityRefusalBackoff, constants::kMaxCapacityRefusalBackoff),
-       .most = told.most.value_or(0)});
+       .held_at_refusal = told.most.value_or(0)});
 }
 
 void SoftState::apply_sample(const std::string& job_class, const standby::Sample& told, Instant now) {
-  demand_.hint_largest(job_class, static_cast<std::uint32_t>(told.largest), now);
+  demand_.apply_largest_job_hint(job_class, static_cast<std::uint32_t>(told.largest), now);
   if (told.estimate_s <= 0) return;
   wire::JobSpec sample;
   sample.job_class = job_class;
@@ -274,7 +277,7 @@
   sample.image_gb = told.image_gb;
   sample.estimate_s = told.estimate_s;
   sample.spot = told.spot;
-  demand_.hint_sample(sample);
+  demand_.apply_sample_hint(sample);
 }
 
 void SoftState::apply_gpu_demand(const standby::GpuDemand& told, Instant now) {
@@ -282,7 +285,7 @@
   for (const auto& [when, items] : told.peaks) {
     if (when <= now && when >= now - constants::kGpuDemandWindow) peaks.emplace_back(when, items_of(items));
   }
-  demand_.hint_gpus(peaks, items_of(told.cpus_beside), items_of(told.ram_beside));
+  demand_.apply_gpu_hint(peaks, items_of(told.cpus_beside), items_of(told.ram_beside));
 }
 
 void SoftState::apply(const standby::SoftStateSnapshot& snapshot, Instant now) {
@@ -303,7 +306,7 @@
       case Kind::gpus: apply_gpu_demand(*std::get<standby::Shared<standby::GpuDemand>>(what), now); break;
     }
   }
-  for (const auto& [name, sums] : arrivals) demand_.hint_arrivals(name, spread(sums, now), snapshot.taken);
+  for (const auto& [name, sums] : arrivals) demand_.apply_arrivals_hint(name, spread(sums, now), snapshot.taken);
   cluster_.plan_wanted = true;
   spdlog::info("standby: hints of term {} taken: facts={} machines={} tasks={} age_s={:.1f}", snapshot.term.number(),
                snapshot.entries.size(), snapshot.count(Kind::machine), snapshot.count(Kind::task),
--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -18,17 +18,17 @@
 
 using wire::CommandKind;
 
-void TaskLifecycle::place(Job& job, std::uint32_t index, AttemptNumber attempt, Machine& machine, Instant now) {
-  Millis left = estimate(job);
+void TaskLifecycle::place_task(Job& job, std::uint32_t index, AttemptNumber attempt, Machine& machine, Instant now) {
+  Millis remaining = estimate(job);
   if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
-    left = std::max(left - saved->second, constants::kStartTimeout);
+    remaining = std::max(remaining - saved->second, constants::kStartTimeout);
   }
-  const bool found = machine.images.contains(job.spec.image);
-  cluster_.pools.placed({job.spec.id, index}, job.spec, found);
-  if (!found) left += cluster_.fetch_time(job.spec, machine.type);
+  const bool has_image = machine.images.contains(job.spec.image);
+  cluster_.pools.placed({job.spec.id, index}, job.spec, has_image);
+  if (!has_image) remaining += cluster_.fetch_time(job.spec, machine.type);
   Allocation& allocation = cluster_.jobs.place(job, index, attempt, machine, now);
   allocation.booking = cluster_.planner.book(
-      {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + left});
+      {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + remaining});
   machine.idle_since.reset();
   ++cluster_.counters.placed;
   spdlog::info("task {} attempt {} is placed on {}", TaskKey{job.spec.id, index}.text(), attempt.number(),
@@ -36,7 +36,8 @@
 }
 
 bool TaskLifecycle::can_start(const Job& job, const Allocation& allocation, Instant now) const {
-  if ((kept(Guard::start_durable) && !allocation.durable) || allocation.stopping || !leadership_.can_start(now))
+  if ((kept(Guard::start_durable) && !allocation.durable) || allocation.stopping ||
+      !leadership_.can_modify_cluster(now))
     return false;
   // All tasks of a gang start, or none: each one's placement has to be durable.
   return job.spec.kind != wire::JobKind::gang || !kept(Guard::gang_durable) || jobs::JobTable::all_durable(job);
@@ -47,47 +48,47 @@
   return job.spec.checkpoint_s > 0 && !job.cancelled ? job.spec.save_s + 0.01 : 0;
 }
 
-void TaskLifecycle::stop(Job& job, std::uint32_t index, double grace_s) {
+void TaskLifecycle::stop_task(Job& job, std::uint32_t index, double grace_s) {
   Allocation* allocation = cluster_.jobs.find_allocation({job.spec.id, index});
   if (allocation == nullptr || (allocation->stopping && allocation->grace_s <= grace_s)) return;
   allocation->stopping = true;
   allocation->grace_s = grace_s;
-  mark_stopping(allocation->machine);
+  mark_machine_stopping(allocation->machine);
 }
 
-void TaskLifecycle::mark_stopping(const MachineId& id) {
+void TaskLifecycle::mark_machine_stopping(const MachineId& id) {
   if (const auto machine = cluster_.machines.find(id); machine != cluster_.machines.end())
     machine->second.stopping = true;
 }
 
-void TaskLifecycle::drain(Machine& machine, const std::string& why) {
+void TaskLifecycle::drain_machine(Machine& machine, const std::string& why) {
   if (machine.state == MachineState::draining || machine.state == MachineState::returning) return;
   spdlog::info("machine {} is drained: {}", machine.id.text(), why);
   machine.state = MachineState::draining;
   machine.why = why;
-  const std::set<TaskKey> runs = machine.allocations.copy();
-  for (const TaskKey& key : runs) {
+  const std::set<TaskKey> tasks = machine.allocations.copy();
+  for (const TaskKey& key : tasks) {
     Job& job = cluster_.jobs.at(key.job);
     const double grace_s = checkpoint_grace(job);
     if (job.spec.kind == wire::JobKind::gang) {
       // An orderly stop has to reach all tasks of the gang.
       for (JobShard& shard : job.shards) {
-        for (auto& [index, unused] : shard.allocations) stop(job, index, grace_s);
+        for (auto& [index, unused] : shard.allocations) stop_task(job, index, grace_s);
       }
     } else {
-      stop(job, key.index, grace_s);
+      stop_task(job, key.index, grace_s);
     }
   }
   cluster_.plan_wanted = true;
 }
 
-void TaskLifecycle::cancel(Job& job, Instant now) {
+void TaskLifecycle::cancel_job(Job& job, Instant now) {
   revoke_bookings(cluster_, job);
   for (JobShard& shard : job.shards) {
     for (auto& [unused, allocation] : shard.allocations) {
       allocation.stopping = true;
       allocation.grace_s = 0;
-      mark_stopping(allocation.machine);
+      mark_machine_stopping(allocation.machine);
     }
   }
   for (const std::uint32_t index : cluster_.jobs.cancel(job)) confirm_terminated(job, index, "never started", now);
@@ -139,7 +140,7 @@
   cluster_.plan_wanted = true;
 }
 
-void TaskLifecycle::finish(Job& job, std::uint32_t index, Instant now) {
+void TaskLifecycle::finish_task(Job& job, std::uint32_t index, Instant now) {
   cluster_.jobs.mark_done(job, index);
   job.saved.erase(index);
   job.errors = 0;
@@ -147,7 +148,7 @@
   confirm_terminated(job, index, "done", now);
 }
 
-void TaskLifecycle::lose_task(const TaskKey& task, const char* why, Instant now) {
+void TaskLifecycle::mark_task_lost(const TaskKey& task, const char* why, Instant now) {
   Job& job = cluster_.jobs.at(task.job);
   const bool had_run = cluster_.jobs.find_allocation(task)->running_since.has_value();
   confirm_terminated(job, task.index, why, now);
@@ -158,7 +159,7 @@
   if (job.spec.kind != wire::JobKind::gang) return;
   for (JobShard& shard : job.shards) {
     for (auto& [index, allocation] : shard.allocations) {
-      if (!allocation.stopping) stop(job, index, 0);
+      if (!allocation.stopping) stop_task(job, index, 0);
     }
   }
 }
--- a/src/control/task_pricing.cpp
+++ b/src/control/task_pricing.cpp
@@ -8,42 +8,42 @@
 
 namespace foxshunt::control {
 
-Amounts TaskPricing::offered(const wire::JobSpec& spec, const wire::MachineType& kind) const {
-  return demand_.offered(spec, kind, cluster_.types);
+Amounts TaskPricing::usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type) const {
+  return demand_.usable_capacity(spec, type, cluster_.types);
 }
 
 // The longest, as it isn't known yet which kind will be rented: a shorter one would have tasks that wait for a slow
 // kind rent again in every pass until the cloud has no more.
-Millis TaskPricing::longest_boot(const wire::JobSpec& spec) const {
+Millis TaskPricing::max_boot_time(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double longest_s = 0;
-  for (const wire::MachineType& kind : cluster_.types) {
-    if (is_type_allowed(spec, kind.name) && each.count_in(offered(spec, kind)) > 0)
-      longest_s = std::max(longest_s, kind.boot_s);
+  for (const wire::MachineType& type : cluster_.types) {
+    if (is_type_allowed(spec, type.name) && each.count_in(usable_capacity(spec, type)) > 0)
+      longest_s = std::max(longest_s, type.boot_s);
   }
   return from_seconds(longest_s) + constants::kCloudCallTimeout;
 }
 
 // What is left of a boot that is late. Most end soon after their time; one that is very late may never end, and is
 // no longer worth waiting for once it has taken as long again.
-Millis TaskPricing::remaining_boot(const Machine& machine, Instant now) const {
-  const wire::MachineType* kind = cluster_.type(machine.type);
-  const Millis boot = from_seconds(kind == nullptr ? 0 : kind->boot_s);
-  const Millis taken = now - machine.since;
-  return taken < boot * constants::kBootSlackFactor ? boot / 4 : taken;
+Millis TaskPricing::remaining_boot_time(const Machine& machine, Instant now) const {
+  const wire::MachineType* type = cluster_.type(machine.type);
+  const Millis boot = from_seconds(type == nullptr ? 0 : type->boot_s);
+  const Millis elapsed = now - machine.since;
+  return elapsed < boot * constants::kBootSlackFactor ? boot / 4 : elapsed;
 }
 
 // From the wish for a machine to a task that runs on it.
 double TaskPricing::shortest_startup_s(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
-  double cover_s = 0;
-  for (const wire::MachineType& kind : cluster_.types) {
-    if (each.count_in(offered(spec, kind)) <= 0) continue;
-    const double kind_s = kind.boot_s * constants::kBootSlackFactor + to_seconds(cluster_.fetch_time(spec, kind.name)) +
-                          cluster_.settings.heartbeat_interval_s;
-    cover_s = cover_s == 0 ? kind_s : std::min(cover_s, kind_s);
+  double shortest_s = 0;
+  for (const wire::MachineType& type : cluster_.types) {
+    if (each.count_in(usable_capacity(spec, type)) <= 0) continue;
+    const double startup_s = type.boot_s * constants::kBootSlackFactor +
+                             to_seconds(cluster_.fetch_time(spec, type.name)) + cluster_.settings.heartbeat_interval_s;
+    shortest_s = shortest_s == 0 ? startup_s : std::min(shortest_s, startup_s);
   }
-  return cover_s;
+  return shortest_s;
 }
 
 bool TaskPricing::is_urgent_class(const std::string& job_class, const wire::JobSpec& sample) const {
@@ -55,39 +55,41 @@
 }
 
 bool TaskPricing::serves_urgent_class(const Machine& machine) const {
-  const wire::MachineType* kind = cluster_.type(machine.type);
-  if (kind == nullptr) return false;
+  const wire::MachineType* type = cluster_.type(machine.type);
+  if (type == nullptr) return false;
   return std::ranges::any_of(demand_.classes(), [&](const auto& entry) {
     const wire::JobSpec& spec = entry.second.sample;
     if (!is_urgent_class(entry.first, spec) || !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       return false;
-    const std::int64_t fit = task_amounts(spec).count_in(offered(spec, *kind));
-    const double hourly = hourly_price(*kind, machine.spot);
-    return fit > 0 && hourly / static_cast<double>(fit) <= constants::kMaxReservePriceFactor * lowest_price(spec);
+    const std::int64_t tasks_per_machine = task_amounts(spec).count_in(usable_capacity(spec, *type));
+    const double hourly = hourly_price(*type, machine.spot);
+    return tasks_per_machine > 0 && hourly / static_cast<double>(tasks_per_machine) <=
+                                        constants::kMaxReservePriceFactor * lowest_task_price(spec);
   });
 }
 
 // How long a machine is kept idle. What will come is not known. Keeping it for as long as booting it again would
-// take costs at most twice the least possible, as with hired skis; half of that cost less on the deployments known,
+// take costs at most twice the lowest possible, as with hired skis; half of that cost less on the deployments known,
 // where the next work mostly finds cheaper machines. Where an aim leaves no time for a boot, it is kept for longer.
-Millis TaskPricing::max_idle(const Machine& machine) const {
+Millis TaskPricing::max_idle_time(const Machine& machine) const {
   if (cluster_.settings.operators.idle_return_s > 0) return from_seconds(cluster_.settings.operators.idle_return_s);
   if (serves_urgent_class(machine)) return constants::kIdleBeforeScaleInUrgent;
-  const wire::MachineType* kind = cluster_.type(machine.type);
-  const double boot_s = kind == nullptr ? 0 : kind->boot_s;
+  const wire::MachineType* type = cluster_.type(machine.type);
+  const double boot_s = type == nullptr ? 0 : type->boot_s;
   return std::max(constants::kMinIdleBeforeScaleIn, from_seconds(boot_s * constants::kIdleShareOfBoot));
 }
 
-double TaskPricing::lowest_price(const wire::JobSpec& spec) const {
+double TaskPricing::lowest_task_price(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
-  double least = 0;
-  for (const wire::MachineType& kind : cluster_.types) {
-    const std::int64_t fit = each.count_in(offered(spec, kind));
-    if (fit <= 0 || !is_type_allowed(spec, kind.name)) continue;
-    const double price = (spec.spot ? std::min(kind.spot_price, kind.price) : kind.price) / static_cast<double>(fit);
-    if (least == 0 || price < least) least = price;
+  double lowest = 0;
+  for (const wire::MachineType& type : cluster_.types) {
+    const std::int64_t tasks_per_machine = each.count_in(usable_capacity(spec, type));
+    if (tasks_per_machine <= 0 || !is_type_allowed(spec, type.name)) continue;
+    const double price =
+        (spec.spot ? std::min(type.spot_price, type.price) : type.price) / static_cast<double>(tasks_per_machine);
+    if (lowest == 0 || price < lowest) lowest = price;
   }
-  return least;
+  return lowest;
 }
 
 }  // namespace foxshunt::control
--- a/src/control/task_pricing.h
+++ b/src/control/task_pricing.h
@@ -12,8 +12,8 @@
 
 namespace foxshunt::control {
 
-[[nodiscard]] inline double hourly_price(const wire::MachineType& kind, bool spot) {
-  return spot ? kind.spot_price : kind.price;
+[[nodiscard]] inline double hourly_price(const wire::MachineType& type, bool spot) {
+  return spot ? type.spot_price : type.price;
 }
 
 class TaskPricing {
@@ -21,17 +21,17 @@
   TaskPricing(const ClusterState& cluster, const DemandEstimator& demand) : cluster_(cluster), demand_(demand) {}
 
   // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
-  [[nodiscard]] Amounts offered(const wire::JobSpec& spec, const wire::MachineType& kind) const;
+  [[nodiscard]] Amounts usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type) const;
   // An hour of the cheapest kind for one task of the job, whether there is one to rent or not.
-  [[nodiscard]] double lowest_price(const wire::JobSpec& spec) const;
+  [[nodiscard]] double lowest_task_price(const wire::JobSpec& spec) const;
   // How long tasks of the job wait for a machine that boots rather than for another one to be rented.
-  [[nodiscard]] Millis longest_boot(const wire::JobSpec& spec) const;
+  [[nodiscard]] Millis max_boot_time(const wire::JobSpec& spec) const;
   // What is left of a boot that is late.
-  [[nodiscard]] Millis remaining_boot(const Machine& machine, Instant now) const;
+  [[nodiscard]] Millis remaining_boot_time(const Machine& machine, Instant now) const;
   // Whether a class has an objective that leaves no time for a boot.
   [[nodiscard]] bool is_urgent_class(const std::string& job_class, const wire::JobSpec& sample) const;
   // How long a machine is kept idle.
-  [[nodiscard]] Millis max_idle(const Machine& machine) const;
+  [[nodiscard]] Millis max_idle_time(const Machine& machine) const;
 
  private:
   [[nodiscard]] double shortest_startup_s(const wire::JobSpec& spec) const;
--- a/src/control/unreached.cpp
+++ b/src/control/unreached.cpp
@@ -4,25 +4,26 @@
 
 namespace foxshunt::control {
 
-bool Unreached::passes(const MachineId& machine, Term seen, Term current, plan::Instant now) {
-  if (current != term_ || visits_.size() > constants::kMaxRelayed) visits_.clear();
-  term_ = current;
-  Visit& visit = visits_[machine];
-  if (visit.since) {
-    if (now - *visit.since < constants::kRelayPeriod) return true;
+bool RelayPolicy::should_relay(const MachineId& machine, Term seen_term, Term current_term, plan::Instant now) {
+  if (current_term != term_ || states_.size() > constants::kMaxRelayed) states_.clear();
+  term_ = current_term;
+  RelayState& relay = states_[machine];
+  if (relay.relayed_since) {
+    if (now - *relay.relayed_since < constants::kRelayPeriod) return true;
     // The leader may be in reach again, which only the worker can tell: it comes back if not.
-    visit = {.sent = now, .since = {}};
+    relay = {.redirected_at = now, .relayed_since = {}};
     return false;
   }
-  // Whoever has seen the term was served by its leader, and would still be there if it answered. Without this a cut
+  // Whoever has seen_term the term was served by its leader, and would still be there if it answered. Without this a cut
   // costs such a worker the time of two answers that don't come, and that is more than a short lease.
-  const bool left_leader = seen == current;
-  const bool came_back = visit.sent && now - *visit.sent < constants::kRelayReturnWindow;
-  if (!left_leader && !came_back) {
-    visit.sent = now;
+  const bool was_served_by_leader = seen_term == current_term;
+  const bool returned_after_redirect =
+      relay.redirected_at && now - *relay.redirected_at < constants::kRelayReturnWindow;
+  if (!was_served_by_leader && !returned_after_redirect) {
+    relay.redirected_at = now;
     return false;
   }
-  visit.since = now;
+  relay.relayed_since = now;
   return true;
 }
 
--- a/src/control/unreached.h
+++ b/src/control/unreached.h
@@ -9,19 +9,19 @@
 
 namespace foxshunt::control {
 
-class Unreached {
+class RelayPolicy {
  public:
   // Whether the report of a machine that has seen the term `seen` is passed on to the leader of the term `current`;
   // otherwise the machine is sent to it.
-  [[nodiscard]] bool passes(const MachineId& machine, Term seen, Term current, plan::Instant now);
+  [[nodiscard]] bool should_relay(const MachineId& machine, Term seen_term, Term current_term, plan::Instant now);
 
  private:
-  struct Visit {
-    std::optional<plan::Instant> sent;   // to the leader
-    std::optional<plan::Instant> since;  // its reports are passed on
+  struct RelayState {
+    std::optional<plan::Instant> redirected_at;  // to the leader
+    std::optional<plan::Instant> relayed_since;  // its reports are passed on
   };
   Term term_;
-  std::unordered_map<MachineId, Visit> visits_;
+  std::unordered_map<MachineId, RelayState> states_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -16,7 +16,7 @@
 
 // ---- delegations ----
 
-bool ZoneCoordinator::must_stop_tasks(const Machine& machine) const {
+bool ZoneCoordinator::has_tasks_to_stop(const Machine& machine) const {
   if (machine.has_unknown_tasks && kept(Guard::grant_strangers)) return true;
   return std::ranges::any_of(machine.allocations, [this](const TaskKey& key) {
     const Job& job = cluster_.jobs.at(key.job);
@@ -28,16 +28,17 @@
 // to which the leader knows all changes, so that the fence's reckoning does not cover it and only a halt does. One with
 // tasks that no record places there, for the same reason. And one that neither this leader nor the holder hears, though
 // the holder is heard: it has most likely died, and its tasks need not wait for the grant's end to start elsewhere.
-std::vector<MachineId> ZoneCoordinator::delegation_exceptions(const std::string& zone, Instant now) const {
-  std::vector<MachineId> except;
+std::vector<MachineId> ZoneCoordinator::machines_excluded_from_delegation(const std::string& zone, Instant now) const {
+  std::vector<MachineId> excluded;
   for (const auto& [id, machine] : cluster_.machines) {
-    const std::string stands_in = machine.seen_zone();
-    if (!stands_in.empty() && stands_in != zone) continue;
-    if (must_stop_tasks(machine) || (cluster_.machines.silent(machine, now) &&
-                                     !cluster_.delegations.used_within(zone, id, silence_span(cluster_.settings), now)))
-      except.push_back(id);
+    const std::string machine_zone = machine.seen_zone();
+    if (!machine_zone.empty() && machine_zone != zone) continue;
+    if (has_tasks_to_stop(machine) ||
+        (cluster_.machines.silent(machine, now) &&
+         !cluster_.delegations.used_within(zone, id, silence_span(cluster_.settings), now)))
+      excluded.push_back(id);
   }
-  return except;
+  return excluded;
 }
 
 std::optional<zone::LeaseDelegation> ZoneCoordinator::on_delegation_request(const zone::DelegationRequest& request,
@@ -45,25 +46,25 @@
   if (!leadership_.is_leader()) return std::nullopt;
   const auto sibling = std::ranges::find(cluster_.settings.siblings, request.node, &config::Sibling::name);
   if (sibling == cluster_.settings.siblings.end()) return std::nullopt;
-  const bool older_over = cluster_.delegations.have_older_terms_ended();
+  const bool older_terms_had_ended = cluster_.delegations.have_older_terms_ended();
   // First what the word tells: a machine that the sibling has answered is not taken for dead.
   if (!cluster_.delegations.hear(request, leadership_.term(), now)) return std::nullopt;
-  std::vector<MachineId> except;
+  std::vector<MachineId> excluded;
   std::optional<Instant> known;
   if (cluster_.settings.operators.zone_lease_delegation) {
-    except = delegation_exceptions(sibling->zone, now);
-    if (except.size() <= constants::kMaxDelegationMachines) known = leadership_.last_confirmed();
+    excluded = machines_excluded_from_delegation(sibling->zone, now);
+    if (excluded.size() <= constants::kMaxDelegationMachines) known = leadership_.last_confirmed();
   }
-  if (!older_over && cluster_.delegations.have_older_terms_ended()) {
+  if (!older_terms_had_ended && cluster_.delegations.have_older_terms_ended()) {
     cluster_.older_leaders_until = std::min(cluster_.older_leaders_until, now);
     spdlog::info("every sibling has left older terms");
   }
-  return cluster_.delegations.give(request.node, leadership_.term(), known, except, now);
+  return cluster_.delegations.give(request.node, leadership_.term(), known, excluded, now);
 }
 
 // ---- zone health ----
 
-std::map<std::string, zone::ZoneObservation> ZoneCoordinator::sight_zones(Instant now) const {
+std::map<std::string, zone::ZoneObservation> ZoneCoordinator::collect_zone_observations(Instant now) const {
   std::map<std::string, zone::ZoneObservation> seen;
   for (const std::string& name : cluster_.settings.zones) seen[name];
   for (const auto& [unused, machine] : cluster_.machines) {
@@ -88,7 +89,7 @@
 }
 
 void ZoneCoordinator::observe_zones(Instant now) {
-  for (const zone::Change& change : cluster_.zones.look(sight_zones(now), now)) {
+  for (const zone::Change& change : cluster_.zones.look(collect_zone_observations(now), now)) {
     spdlog::log(change.to == zone::State::whole || change.to == zone::State::returning ? spdlog::level::info
                                                                                        : spdlog::level::warn,
                 "zone {} is {}, it was {}: {} machines heard, {} silent with {} tasks, {} with ended leases{}",
@@ -104,18 +105,18 @@
 
 // ---- work of zones that are left ----
 
-void ZoneCoordinator::move_services_out() {
+void ZoneCoordinator::drain_zones_out_of_service() {
   if (cluster_.settings.operators.zones_out.empty()) return;
   Machine* next = nullptr;
   for (auto& [unused, machine] : cluster_.machines) {
     if (machine.allocations.empty() || cluster_.settings.in_service(machine.zone)) continue;
     if (machine.state == MachineState::draining) return;  // one at a time
-    const bool only_replicas = std::ranges::all_of(machine.allocations, [this](const TaskKey& key) {
+    const bool only_services = std::ranges::all_of(machine.allocations, [this](const TaskKey& key) {
       return cluster_.jobs.at(key.job).spec.kind == wire::JobKind::service;
     });
-    if (next == nullptr && machine.state == MachineState::up && only_replicas) next = &machine;
+    if (next == nullptr && machine.state == MachineState::up && only_services) next = &machine;
   }
-  if (next != nullptr) TaskLifecycle(cluster_, leadership_).drain(*next, "its zone is out of service");
+  if (next != nullptr) TaskLifecycle(cluster_, leadership_).drain_machine(*next, "its zone is out of service");
 }
 
 }  // namespace foxshunt::control
--- a/src/control/zone_coordinator.h
+++ b/src/control/zone_coordinator.h
@@ -30,12 +30,12 @@
   // Looks at the machines of each zone and logs what has changed.
   void observe_zones(Instant now);
   // Moves services out of zones that are out of service, one machine after the other; all other work runs out.
-  void move_services_out();
+  void drain_zones_out_of_service();
 
  private:
-  [[nodiscard]] std::vector<MachineId> delegation_exceptions(const std::string& zone, Instant now) const;
-  [[nodiscard]] bool must_stop_tasks(const Machine& machine) const;
-  [[nodiscard]] std::map<std::string, zone::ZoneObservation> sight_zones(Instant now) const;
+  [[nodiscard]] std::vector<MachineId> machines_excluded_from_delegation(const std::string& zone, Instant now) const;
+  [[nodiscard]] bool has_tasks_to_stop(const Machine& machine) const;
+  [[nodiscard]] std::map<std::string, zone::ZoneObservation> collect_zone_observations(Instant now) const;
 
   ClusterState& cluster_;
   const Leadership& leadership_;
--- a/src/node/heartbeat_relay.cpp
+++ b/src/node/heartbeat_relay.cpp
@@ -49,7 +49,7 @@
   bool passes = false;
   {
     const std::lock_guard lock(mutex_);
-    passes = unreached_.passes(heartbeat.machine, heartbeat.term, term, now());
+    passes = relay_policy_.should_relay(heartbeat.machine, heartbeat.term, term, now());
   }
   if (!passes) return answer_by_held_delegation(heartbeat, false).value_or(send_to(leader));
   auto answer = forward(leader, body);
--- a/src/node/heartbeat_relay.h
+++ b/src/node/heartbeat_relay.h
@@ -35,7 +35,7 @@
   Context& context_;
   HeldDelegation& held_delegation_;
   std::mutex mutex_;
-  control::Unreached unreached_;
+  control::RelayPolicy relay_policy_;
   std::map<NodeName, Link> links_;
 };
 
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -238,7 +238,7 @@
     Revision watch_from;
     NodeName leader_seen;
     Term term_seen;
-    control::Unreached unreached;
+    control::RelayPolicy relay_policy;
     std::string zone;
     zone::DelegatedLease holder;
     std::optional<Instant> leader_answered;
--- a/tests/standins/world_troubles.cpp
+++ b/tests/standins/world_troubles.cpp
@@ -241,7 +241,7 @@
   }
   const auto leader = node_of(self.leader_seen);
   if (leader && *leader != node && hears(*leader, node) &&
-      self.unreached.passes(heartbeat.machine, heartbeat.term, self.term_seen, time_of(node))) {
+      self.relay_policy.should_relay(heartbeat.machine, heartbeat.term, self.term_seen, time_of(node))) {
     (void)nodes_[*leader].controller->on_heartbeat(heartbeat, time_of(*leader));
     return;
   }
--- a/tests/standins/world_workers.cpp
+++ b/tests/standins/world_workers.cpp
@@ -90,7 +90,7 @@
   if (!self.controller->is_leader() && (!leader || *leader == node)) {
     if (answer_by_delegation(id, heartbeat, sent, node, true)) return;
   } else if (!self.controller->is_leader()) {
-    if (!nodes_[node].unreached.passes(id, heartbeat.term, self.term_seen, time_of(node))) {
+    if (!nodes_[node].relay_policy.should_relay(id, heartbeat.term, self.term_seen, time_of(node))) {
       if (!answer_by_delegation(id, heartbeat, sent, node, false)) take_heartbeat(id, heartbeat, sent, node, node);
       return;
     }
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -7,7 +7,7 @@
 
 constexpr Term kTerm{7};
 
-class Autoscaling : public ClusterFixture {
+class AutoscalerTest : public ClusterFixture {
  protected:
   void size_fleet(const std::vector<Job*>& queue) { autoscaler_.size_fleet(cluster_, queue, deadlines_, now_); }
 
@@ -15,7 +15,7 @@
   DeadlinePlanner deadlines_;
 };
 
-TEST_F(Autoscaling, ScalesOutForLateTasks) {
+TEST_F(AutoscalerTest, ScalesOutForLateTasks) {
   Job& job = add_job(spec_of("j-000001", 6));
   job.late_tasks = 6;  // four to a machine
   size_fleet({&job});
@@ -25,7 +25,7 @@
   EXPECT_EQ(request->count, 2U);
 }
 
-TEST_F(Autoscaling, NeverScalesOutBeyondTheQuota) {
+TEST_F(AutoscalerTest, NeverScalesOutBeyondTheQuota) {
   Job& job = add_job(spec_of("j-000001", 100));
   job.late_tasks = 100;  // eight fit the quota of 32 CPUs
   size_fleet({&job});
@@ -34,14 +34,14 @@
   EXPECT_EQ(request->count, 2U);
 }
 
-TEST_F(Autoscaling, AsksForNothingWhereNothingIsLate) {
+TEST_F(AutoscalerTest, AsksForNothingWhereNothingIsLate) {
   Job& job = add_job(spec_of("j-000001", 6));
   size_fleet({&job});
   EXPECT_FALSE(autoscaler_.next_scale_out(cluster_, kTerm, now_));
-  EXPECT_FALSE(autoscaler_.cloud_wanted(cluster_));
+  EXPECT_FALSE(autoscaler_.has_pending_cloud_work(cluster_));
 }
 
-TEST_F(Autoscaling, AsksForNothingWhereTheSettingsForbidIt) {
+TEST_F(AutoscalerTest, AsksForNothingWhereTheSettingsForbidIt) {
   cluster_.settings.operators.can_scale_out = false;
   Job& job = add_job(spec_of("j-000001", 6));
   job.late_tasks = 6;
@@ -49,7 +49,7 @@
   EXPECT_FALSE(autoscaler_.next_scale_out(cluster_, kTerm, now_));
 }
 
-TEST_F(Autoscaling, MachinesThatWereGivenAreKnownToBoot) {
+TEST_F(AutoscalerTest, MachinesThatWereGivenAreKnownToBoot) {
   Job& job = add_job(spec_of("j-000001", 4));
   job.late_tasks = 4;
   size_fleet({&job});
@@ -62,7 +62,7 @@
   EXPECT_TRUE(cluster_.plan_wanted);
 }
 
-TEST_F(Autoscaling, ASuccessorKnowsWhatTheCloudRefusedAndNothingElse) {
+TEST_F(AutoscalerTest, ASuccessorKnowsWhatTheCloudRefusedAndNothingElse) {
   Job& job = add_job(spec_of("j-000001", 4));
   job.late_tasks = 4;
   size_fleet({&job});
@@ -70,8 +70,8 @@
   ASSERT_TRUE(request);
   autoscaler_.on_scale_out_refused(cluster_, *request, now_);
   const Autoscaler successor = autoscaler_.successor();
-  EXPECT_EQ(successor.capacity().refused().size(), 1U);
-  EXPECT_FALSE(successor.capacity().wanted());
+  EXPECT_EQ(successor.capacity().refusals().size(), 1U);
+  EXPECT_FALSE(successor.capacity().has_wanted_machines());
 }
 
 }  // namespace
--- a/tests/unit/gang_coordinator_test.cpp
+++ b/tests/unit/gang_coordinator_test.cpp
@@ -59,7 +59,7 @@
 TEST_F(GangCoordination, AGangThatWaitsLongGetsTheReservationUnlessItsQuotaIsUsedUp) {
   GangCoordinator gangs;
   DemandEstimator demand;
-  demand.learn(job_.spec, job_.each, job_.submitted);
+  demand.record_job(job_.spec, job_.each, job_.submitted);
   gangs.choose_holder(cluster_, demand, now_);
   EXPECT_FALSE(gangs.holds_reservation(job_.spec.id));
   now_ += constants::kReservationAfter;
--- a/tests/unit/leadership_test.cpp
+++ b/tests/unit/leadership_test.cpp
@@ -12,60 +12,60 @@
 
 constexpr Millis kFence{30'000};
 
-class LeadershipInTermSeven : public testing::Test {
+class LeadershipTest : public testing::Test {
  protected:
-  LeadershipInTermSeven() { leadership_.begin(Term(7), Revision(3), now_); }
+  LeadershipTest() { leadership_.begin_term(Term(7), Revision(3), now_); }
 
   Instant now_{Millis(1'000'000)};
   jobs::JobTable jobs_;
   Leadership leadership_{kFence};
 };
 
-TEST(LeadershipBeforeItBegins, AllowsNothing) {
+TEST(LeadershipBeforeFirstTermTest, AllowsNothing) {
   const Leadership leadership(kFence);
   EXPECT_FALSE(leadership.is_leader());
   EXPECT_FALSE(leadership.can_renew_agent_leases(Instant()));
-  EXPECT_FALSE(leadership.can_start(Instant()));
+  EXPECT_FALSE(leadership.can_modify_cluster(Instant()));
 }
 
-TEST_F(LeadershipInTermSeven, StartsNothingOnceTheLeaderLeaseMayHaveEnded) {
-  EXPECT_TRUE(leadership_.can_start(now_ + constants::kLeaderLeaseTtl - Millis(1)));
-  EXPECT_FALSE(leadership_.can_start(now_ + constants::kLeaderLeaseTtl));
+TEST_F(LeadershipTest, StartsNothingOnceTheLeaderLeaseMayHaveEnded) {
+  EXPECT_TRUE(leadership_.can_modify_cluster(now_ + constants::kLeaderLeaseTtl - Millis(1)));
+  EXPECT_FALSE(leadership_.can_modify_cluster(now_ + constants::kLeaderLeaseTtl));
 }
 
-TEST_F(LeadershipInTermSeven, RenewsAgentLeasesUpToTheFence) {
+TEST_F(LeadershipTest, RenewsAgentLeasesUpToTheFence) {
   EXPECT_TRUE(leadership_.can_renew_agent_leases(now_ + kFence - Millis(1)));
   EXPECT_FALSE(leadership_.can_renew_agent_leases(now_ + kFence));
 }
 
-TEST_F(LeadershipInTermSeven, IsBoundByTheOlderOfItsConfirmations) {
+TEST_F(LeadershipTest, IsBoundByTheOlderOfItsConfirmations) {
   leadership_.on_lease_confirmed(now_ + Millis(5'000));
   EXPECT_EQ(leadership_.last_confirmed(), now_);
   leadership_.on_records_confirmed(now_ + Millis(2'000), jobs_);
   EXPECT_EQ(leadership_.last_confirmed(), now_ + Millis(2'000));
 }
 
-TEST_F(LeadershipInTermSeven, AnOlderConfirmationChangesNothing) {
+TEST_F(LeadershipTest, AnOlderConfirmationChangesNothing) {
   leadership_.on_lease_confirmed(now_ - Millis(1));
   leadership_.on_records_confirmed(now_ - Millis(1), jobs_);
   EXPECT_EQ(leadership_.last_confirmed(), now_);
 }
 
-TEST_F(LeadershipInTermSeven, AHigherTermEndsItAndNoOther) {
+TEST_F(LeadershipTest, AHigherTermEndsItAndNoOther) {
   leadership_.observe_term(Term(7), "a test knows of");
   EXPECT_TRUE(leadership_.is_leader());
   leadership_.observe_term(Term(8), "a test knows of");
   EXPECT_FALSE(leadership_.is_leader());
 }
 
-TEST_F(LeadershipInTermSeven, AConflictOfAnEarlierLeadsWriteDoesNotEndIt) {
+TEST_F(LeadershipTest, AConflictOfAnEarlierLeadsWriteDoesNotEndIt) {
   leadership_.on_term_conflict(Revision(2));
   EXPECT_TRUE(leadership_.is_leader());
   leadership_.on_term_conflict(Revision(3));
   EXPECT_FALSE(leadership_.is_leader());
 }
 
-TEST_F(LeadershipInTermSeven, LetsOthersGoFirstAfterItHasYielded) {
+TEST_F(LeadershipTest, LetsOthersGoFirstAfterItHasYielded) {
   EXPECT_FALSE(leadership_.should_yield(now_));
   leadership_.yield("a test wants it", now_);
   EXPECT_FALSE(leadership_.is_leader());
--- a/tests/unit/machine_housekeeper_test.cpp
+++ b/tests/unit/machine_housekeeper_test.cpp
@@ -7,17 +7,17 @@
 namespace foxshunt::control {
 namespace {
 
-class Housekeeping : public ClusterFixture {
+class MachineHousekeeperTest : public ClusterFixture {
  protected:
-  Housekeeping()
+  MachineHousekeeperTest()
       : leadership_(Millis(1'000'000)),
         housekeeper_(cluster_, leadership_, autoscaler_),
         machine_(add_machine("m-000001")) {
-    leadership_.begin(Term(7), Revision(1), now_);
+    leadership_.begin_term(Term(7), Revision(1), now_);
   }
 
   // Lets time pass in which the leader stays confirmed.
-  void pass(Millis span) {
+  void advance_time(Millis span) {
     now_ += span;
     leadership_.on_lease_confirmed(now_);
     leadership_.on_records_confirmed(now_, cluster_.jobs);
@@ -29,19 +29,19 @@
   Machine& machine_;
 };
 
-TEST_F(Housekeeping, TasksOfAMachineWhoseLeaseHasEndedAreConfirmedTerminated) {
+TEST_F(MachineHousekeeperTest, TasksOfAMachineWhoseLeaseHasEndedAreConfirmedTerminated) {
   Job& job = add_job(spec_of("j-000001", 1));
   place(job, 0, machine_);
-  pass(lease_span(cluster_.settings) - Millis(1));
+  advance_time(lease_span(cluster_.settings) - Millis(1));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(job.allocation_count, 1U);
-  pass(Millis(1'000));
+  advance_time(Millis(1'000));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(job.allocation_count, 0U);
   EXPECT_TRUE(machine_.expired);
 }
 
-TEST_F(Housekeeping, ADrainedMachineIsReturnedOnceItIsEmpty) {
+TEST_F(MachineHousekeeperTest, ADrainedMachineIsReturnedOnceItIsEmpty) {
   Job& job = add_job(spec_of("j-000001", 1));
   place(job, 0, machine_);
   machine_.state = MachineState::draining;
@@ -52,17 +52,17 @@
   EXPECT_EQ(machine_.state, MachineState::returning);
 }
 
-TEST_F(Housekeeping, AMachineThatStaysIdleIsReturned) {
+TEST_F(MachineHousekeeperTest, AMachineThatStaysIdleIsReturned) {
   cluster_.settings.operators.idle_return_s = 5;
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.idle_since, now_);
-  pass(Millis(5'001));
+  advance_time(Millis(5'001));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.state, MachineState::returning);
   EXPECT_EQ(machine_.why, "it is idle");
 }
 
-TEST_F(Housekeeping, AMachineThatOnlyARecordTellsOfIsForgottenWhenNoListNamesIt) {
+TEST_F(MachineHousekeeperTest, AMachineThatOnlyARecordTellsOfIsForgottenWhenNoListNamesIt) {
   cluster_.know_machine(MachineId("m-000002"), now_);
   housekeeper_.review_machines(now_ + Millis(3'600'000));
   EXPECT_FALSE(cluster_.machines.contains(MachineId("m-000002")));
--- a/tests/unit/reconciler_test.cpp
+++ b/tests/unit/reconciler_test.cpp
@@ -9,21 +9,21 @@
 using wire::EndReason;
 using wire::TaskState;
 
-class Reconciliation : public ClusterFixture {
+class ReconcilerTest : public ClusterFixture {
  protected:
-  Reconciliation()
+  ReconcilerTest()
       : leadership_(Millis(30'000)),
         tasks_(cluster_, leadership_),
         reconciler_(cluster_, leadership_),
         machine_(add_machine("m-000001")),
         job_(add_job(spec_of("j-000001", 2))) {
-    leadership_.begin(Term(7), Revision(1), now_);
+    leadership_.begin_term(Term(7), Revision(1), now_);
     machine_.incarnation = AgentIncarnation(1);
-    tasks_.place(job_, 0, AttemptNumber(1), machine_, now_);
+    tasks_.place_task(job_, 0, AttemptNumber(1), machine_, now_);
     write_records();
   }
 
-  jobs::Allocation& run() { return *cluster_.jobs.find_allocation(task_); }
+  jobs::Allocation& allocation() { return *cluster_.jobs.find_allocation(task_); }
 
   // A heartbeat of the machine that tells of these tasks.
   wire::Heartbeat heartbeat(std::vector<wire::TaskStatus> tasks, AgentIncarnation incarnation = AgentIncarnation(1)) {
@@ -46,27 +46,27 @@
   std::uint64_t sequence_ = 0;
 };
 
-TEST_F(Reconciliation, StartsADurableAllocationThatTheHeartbeatDoesNotTellOf) {
+TEST_F(ReconcilerTest, StartsADurableAllocationThatTheHeartbeatDoesNotTellOf) {
   const auto commands = reconciler_.on_heartbeat(heartbeat({}), now_);
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands.front(), (wire::Command{.kind = CommandKind::run, .task = task_, .attempt = AttemptNumber(1)}));
 }
 
-TEST_F(Reconciliation, AHeartbeatThatIsNoNewsTeachesNothing) {
+TEST_F(ReconcilerTest, AHeartbeatThatIsNoNewsTeachesNothing) {
   const wire::Heartbeat first = heartbeat({});
   (void)reconciler_.on_heartbeat(first, now_);
   EXPECT_TRUE(reconciler_.on_heartbeat(first, now_).empty());
 }
 
-TEST_F(Reconciliation, ATaskThatRunsIsSeenToHaveBegun) {
+TEST_F(ReconcilerTest, ATaskThatRunsIsSeenToHaveBegun) {
   const auto commands = reconciler_.on_heartbeat(
       heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::running}}), now_);
   EXPECT_TRUE(commands.empty());
-  EXPECT_EQ(run().seen, TaskState::running);
-  EXPECT_EQ(run().running_since, now_);
+  EXPECT_EQ(allocation().seen, TaskState::running);
+  EXPECT_EQ(allocation().running_since, now_);
 }
 
-TEST_F(Reconciliation, ATaskThatWasSeenAndIsGoneIsConfirmedTerminated) {
+TEST_F(ReconcilerTest, ATaskThatWasSeenAndIsGoneIsConfirmedTerminated) {
   (void)reconciler_.on_heartbeat(heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::running}}),
                                  now_);
   EXPECT_TRUE(reconciler_.on_heartbeat(heartbeat({}), now_).empty());
@@ -74,15 +74,15 @@
   EXPECT_EQ(job_.done_count, 0U);
 }
 
-TEST_F(Reconciliation, AnAgentThatHasNotSeenTheTermConfirmsNothing) {
-  run().seen = TaskState::running;
+TEST_F(ReconcilerTest, AnAgentThatHasNotSeenTheTermConfirmsNothing) {
+  allocation().seen = TaskState::running;
   wire::Heartbeat of_earlier_term = heartbeat({});
   of_earlier_term.term = Term(6);
   (void)reconciler_.on_heartbeat(of_earlier_term, now_);
   EXPECT_EQ(job_.allocation_count, 1U);
 }
 
-TEST_F(Reconciliation, ATaskThatEndedWellIsDone) {
+TEST_F(ReconcilerTest, ATaskThatEndedWellIsDone) {
   (void)reconciler_.on_heartbeat(
       heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::ended, .reason = EndReason::done}}),
       now_);
@@ -90,7 +90,7 @@
   EXPECT_EQ(job_.allocation_count, 0U);
 }
 
-TEST_F(Reconciliation, AnUnknownTaskIsKilled) {
+TEST_F(ReconcilerTest, AnUnknownTaskIsKilled) {
   const TaskKey unknown{JobId("j-000009"), 0};
   const auto commands = reconciler_.on_heartbeat(
       heartbeat({{.task = unknown, .attempt = AttemptNumber(1), .state = TaskState::running}}), now_);
@@ -99,26 +99,26 @@
   EXPECT_TRUE(machine_.has_unknown_tasks);
 }
 
-TEST_F(Reconciliation, ALaterIncarnationOfTheAgentHasLostTheTasks) {
+TEST_F(ReconcilerTest, ALaterIncarnationOfTheAgentHasLostTheTasks) {
   (void)reconciler_.on_heartbeat(heartbeat({}, AgentIncarnation(2)), now_);
   EXPECT_EQ(job_.allocation_count, 0U);
 }
 
-TEST_F(Reconciliation, AMachineThatTheCloudTakesIsDrainedAndStartsNothing) {
+TEST_F(ReconcilerTest, AMachineThatTheCloudTakesIsDrainedAndStartsNothing) {
   wire::Heartbeat notice = heartbeat({});
   notice.notice_s = 30;
   EXPECT_TRUE(reconciler_.on_heartbeat(notice, now_).empty());
   EXPECT_EQ(machine_.state, MachineState::draining);
-  EXPECT_TRUE(run().stopping);
+  EXPECT_TRUE(allocation().stopping);
 }
 
-TEST_F(Reconciliation, AHeartbeatIsDurableWhenAllOfItsMachineIs) {
+TEST_F(ReconcilerTest, AHeartbeatIsDurableWhenAllOfItsMachineIs) {
   const wire::Heartbeat told = heartbeat({});
-  EXPECT_TRUE(is_durable(cluster_, told));
-  tasks_.place(job_, 1, AttemptNumber(1), machine_, now_);
-  EXPECT_FALSE(is_durable(cluster_, told));
+  EXPECT_TRUE(is_heartbeat_durable(cluster_, told));
+  tasks_.place_task(job_, 1, AttemptNumber(1), machine_, now_);
+  EXPECT_FALSE(is_heartbeat_durable(cluster_, told));
   write_records();
-  EXPECT_TRUE(is_durable(cluster_, told));
+  EXPECT_TRUE(is_heartbeat_durable(cluster_, told));
 }
 
 }  // namespace
--- a/tests/unit/scheduling_cycle_test.cpp
+++ b/tests/unit/scheduling_cycle_test.cpp
@@ -11,7 +11,7 @@
 class Cycle : public ClusterFixture {
  protected:
   Cycle() : leadership_(Millis(30'000)), tasks_(cluster_, leadership_) {
-    leadership_.begin(Term(7), Revision(1), now_);
+    leadership_.begin_term(Term(7), Revision(1), now_);
     confirm();
   }
 
--- a/tests/unit/task_lifecycle_test.cpp
+++ b/tests/unit/task_lifecycle_test.cpp
@@ -6,21 +6,22 @@
 namespace foxshunt::control {
 namespace {
 
-class TaskLife : public ClusterFixture {
+class TaskLifecycleTest : public ClusterFixture {
  protected:
-  TaskLife() : leadership_(Millis(30'000)), tasks_(cluster_, leadership_), machine_(add_machine("m-000001")) {
-    leadership_.begin(Term(7), Revision(1), now_);
+  TaskLifecycleTest() : leadership_(Millis(30'000)), tasks_(cluster_, leadership_), machine_(add_machine("m-000001")) {
+    leadership_.begin_term(Term(7), Revision(1), now_);
     machine_.address = "127.0.0.1:1";
   }
 
   // A job whose first `placed` tasks are allocated to the machine.
   Job& add_placed(const wire::JobSpec& spec, std::uint32_t placed) {
     Job& job = add_job(spec);
-    for (std::uint32_t index = 0; index < placed; ++index) tasks_.place(job, index, AttemptNumber(1), machine_, now_);
+    for (std::uint32_t index = 0; index < placed; ++index)
+      tasks_.place_task(job, index, AttemptNumber(1), machine_, now_);
     return job;
   }
 
-  jobs::Allocation& run_of(const Job& job, std::uint32_t index) {
+  jobs::Allocation& allocation_of(const Job& job, std::uint32_t index) {
     return *cluster_.jobs.find_allocation({job.spec.id, index});
   }
 
@@ -29,38 +30,38 @@
   Machine& machine_;
 };
 
-TEST_F(TaskLife, ATaskMayStartOnceItsAllocationIsDurable) {
+TEST_F(TaskLifecycleTest, ATaskMayStartOnceItsAllocationIsDurable) {
   const Job& job = add_placed(spec_of("j-000001", 1), 1);
-  jobs::Allocation& run = run_of(job, 0);
-  EXPECT_FALSE(tasks_.can_start(job, run, now_));
+  jobs::Allocation& allocation = allocation_of(job, 0);
+  EXPECT_FALSE(tasks_.can_start(job, allocation, now_));
   write_records();
-  EXPECT_TRUE(tasks_.can_start(job, run, now_));
-  EXPECT_FALSE(tasks_.can_start(job, run, now_ + constants::kLeaderLeaseTtl));
+  EXPECT_TRUE(tasks_.can_start(job, allocation, now_));
+  EXPECT_FALSE(tasks_.can_start(job, allocation, now_ + constants::kLeaderLeaseTtl));
 }
 
-TEST_F(TaskLife, AMemberOfAGangStartsOnlyWhenAllAreDurable) {
+TEST_F(TaskLifecycleTest, AMemberOfAGangStartsOnlyWhenAllAreDurable) {
   Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 1);
   write_records();
-  tasks_.place(job, 1, AttemptNumber(1), machine_, now_);
-  EXPECT_FALSE(tasks_.can_start(job, run_of(job, 0), now_));
+  tasks_.place_task(job, 1, AttemptNumber(1), machine_, now_);
+  EXPECT_FALSE(tasks_.can_start(job, allocation_of(job, 0), now_));
   write_records();
-  EXPECT_TRUE(tasks_.can_start(job, run_of(job, 0), now_));
+  EXPECT_TRUE(tasks_.can_start(job, allocation_of(job, 0), now_));
 }
 
-TEST_F(TaskLife, AStopIsOnlyEverMadeSooner) {
+TEST_F(TaskLifecycleTest, AStopIsOnlyEverMadeSooner) {
   Job& job = add_placed(spec_of("j-000001", 1), 1);
-  tasks_.stop(job, 0, 10);
-  EXPECT_EQ(run_of(job, 0).grace_s, 10);
-  tasks_.stop(job, 0, 20);
-  EXPECT_EQ(run_of(job, 0).grace_s, 10);
-  tasks_.stop(job, 0, 0);
-  EXPECT_EQ(run_of(job, 0).grace_s, 0);
+  tasks_.stop_task(job, 0, 10);
+  EXPECT_EQ(allocation_of(job, 0).grace_s, 10);
+  tasks_.stop_task(job, 0, 20);
+  EXPECT_EQ(allocation_of(job, 0).grace_s, 10);
+  tasks_.stop_task(job, 0, 0);
+  EXPECT_EQ(allocation_of(job, 0).grace_s, 0);
 }
 
-TEST_F(TaskLife, AStopThatNoHeartbeatHasTakenAlongIsSentDirectly) {
+TEST_F(TaskLifecycleTest, AStopThatNoHeartbeatHasTakenAlongIsSentDirectly) {
   Job& job = add_placed(spec_of("j-000001", 1), 1);
-  run_of(job, 0).seen = wire::TaskState::running;
-  tasks_.stop(job, 0, 0);
+  allocation_of(job, 0).seen = wire::TaskState::running;
+  tasks_.stop_task(job, 0, 0);
   EXPECT_TRUE(tasks_.due_direct_stops(now_).empty());
   const auto due = tasks_.due_direct_stops(now_ + Millis(1'500));
   ASSERT_EQ(due.size(), 1U);
@@ -70,46 +71,46 @@
   EXPECT_EQ(due.front().commands.front().task, (TaskKey{job.spec.id, 0}));
 }
 
-TEST_F(TaskLife, WholeCheckpointsSurviveTheEndOfATask) {
+TEST_F(TaskLifecycleTest, WholeCheckpointsSurviveTheEndOfATask) {
   wire::JobSpec spec = spec_of("j-000001", 1);
   spec.checkpoint_s = 10;
   Job& job = add_placed(spec, 1);
-  run_of(job, 0).running_since = now_;
+  allocation_of(job, 0).running_since = now_;
   tasks_.confirm_terminated(job, 0, "a test says so", now_ + Millis(25'000));
   EXPECT_EQ(job.allocation_count, 0U);
   EXPECT_EQ(job.saved.at(0), Millis(20'000));
 }
 
-TEST_F(TaskLife, ACancelledJobLosesAtOnceWhatWasNeverDurable) {
+TEST_F(TaskLifecycleTest, ACancelledJobLosesAtOnceWhatWasNeverDurable) {
   Job& job = add_placed(spec_of("j-000001", 2), 1);
   write_records();
-  tasks_.place(job, 1, AttemptNumber(1), machine_, now_);
-  tasks_.cancel(job, now_);
+  tasks_.place_task(job, 1, AttemptNumber(1), machine_, now_);
+  tasks_.cancel_job(job, now_);
   EXPECT_TRUE(job.cancelled);
   ASSERT_EQ(job.allocation_count, 1U);
-  EXPECT_TRUE(run_of(job, 0).stopping);
+  EXPECT_TRUE(allocation_of(job, 0).stopping);
 }
 
-TEST_F(TaskLife, ALostMemberOfAStartedGangEndsTheAttempt) {
+TEST_F(TaskLifecycleTest, ALostMemberOfAStartedGangEndsTheAttempt) {
   Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 2);
   for (const std::uint32_t index : {0U, 1U}) {
-    run_of(job, index).seen = wire::TaskState::running;
-    run_of(job, index).running_since = now_;
+    allocation_of(job, index).seen = wire::TaskState::running;
+    allocation_of(job, index).running_since = now_;
   }
-  tasks_.lose_task({job.spec.id, 0}, "a test says so", now_);
+  tasks_.mark_task_lost({job.spec.id, 0}, "a test says so", now_);
   EXPECT_EQ(job.allocation_count, 1U);
-  EXPECT_TRUE(run_of(job, 1).stopping);
+  EXPECT_TRUE(allocation_of(job, 1).stopping);
 }
 
-TEST_F(TaskLife, ADrainedMachineHasItsTasksStoppedWithTheirCheckpointsGrace) {
+TEST_F(TaskLifecycleTest, ADrainedMachineHasItsTasksStoppedWithTheirCheckpointsGrace) {
   wire::JobSpec spec = spec_of("j-000001", 1);
   spec.checkpoint_s = 10;
   spec.save_s = 5;
   const Job& job = add_placed(spec, 1);
-  tasks_.drain(machine_, "a test wants it");
+  tasks_.drain_machine(machine_, "a test wants it");
   EXPECT_EQ(machine_.state, MachineState::draining);
-  EXPECT_TRUE(run_of(job, 0).stopping);
-  EXPECT_GE(run_of(job, 0).grace_s, 5);
+  EXPECT_TRUE(allocation_of(job, 0).stopping);
+  EXPECT_GE(allocation_of(job, 0).grace_s, 5);
 }
 
 }  // namespace
--- a/tests/unit/unreached_test.cpp
+++ b/tests/unit/unreached_test.cpp
@@ -10,38 +10,38 @@
 const MachineId kMachine("m-000001");
 constexpr plan::Instant kStart{plan::Millis(1'000'000)};
 
-TEST(Unreached, AMachineThatTheLeaderServedBefore) {
-  Unreached unreached;
-  EXPECT_TRUE(unreached.passes(kMachine, Term(7), Term(7), kStart));
+TEST(RelayPolicyTest, AMachineThatTheLeaderServedBefore) {
+  RelayPolicy policy;
+  EXPECT_TRUE(policy.should_relay(kMachine, Term(7), Term(7), kStart));
 }
 
-TEST(Unreached, AMachineThatWasSentToTheLeaderAndIsBack) {
-  Unreached unreached;
-  EXPECT_FALSE(unreached.passes(kMachine, Term(6), Term(7), kStart));
-  EXPECT_FALSE(unreached.passes(MachineId("m-000002"), Term(6), Term(7), kStart));
-  EXPECT_TRUE(unreached.passes(kMachine, Term(6), Term(7), kStart + plan::Millis(5000)));
+TEST(RelayPolicyTest, AMachineThatWasSentToTheLeaderAndIsBack) {
+  RelayPolicy policy;
+  EXPECT_FALSE(policy.should_relay(kMachine, Term(6), Term(7), kStart));
+  EXPECT_FALSE(policy.should_relay(MachineId("m-000002"), Term(6), Term(7), kStart));
+  EXPECT_TRUE(policy.should_relay(kMachine, Term(6), Term(7), kStart + plan::Millis(5000)));
 }
 
-TEST(Unreached, AMachineThatComesLongAfterIsSentAgain) {
-  Unreached unreached;
-  EXPECT_FALSE(unreached.passes(kMachine, Term(6), Term(7), kStart));
-  EXPECT_FALSE(unreached.passes(kMachine, Term(6), Term(7), kStart + constants::kRelayReturnWindow));
+TEST(RelayPolicyTest, AMachineThatComesLongAfterIsSentAgain) {
+  RelayPolicy policy;
+  EXPECT_FALSE(policy.should_relay(kMachine, Term(6), Term(7), kStart));
+  EXPECT_FALSE(policy.should_relay(kMachine, Term(6), Term(7), kStart + constants::kRelayReturnWindow));
 }
 
-TEST(Unreached, ANewLeaderIsTriedFirst) {
-  Unreached unreached;
-  EXPECT_TRUE(unreached.passes(kMachine, Term(7), Term(7), kStart));
-  EXPECT_FALSE(unreached.passes(kMachine, Term(7), Term(8), kStart + plan::Millis(1000)));
+TEST(RelayPolicyTest, ANewLeaderIsTriedFirst) {
+  RelayPolicy policy;
+  EXPECT_TRUE(policy.should_relay(kMachine, Term(7), Term(7), kStart));
+  EXPECT_FALSE(policy.should_relay(kMachine, Term(7), Term(8), kStart + plan::Millis(1000)));
 }
 
 // The worker alone can tell whether the leader is in reach again.
-TEST(Unreached, TheLeaderIsTriedNowAndThen) {
-  Unreached unreached;
-  EXPECT_TRUE(unreached.passes(kMachine, Term(7), Term(7), kStart));
+TEST(RelayPolicyTest, TheLeaderIsTriedNowAndThen) {
+  RelayPolicy policy;
+  EXPECT_TRUE(policy.should_relay(kMachine, Term(7), Term(7), kStart));
   const plan::Instant later = kStart + constants::kRelayPeriod;
-  EXPECT_TRUE(unreached.passes(kMachine, Term(7), Term(7), later - plan::Millis(1)));
-  EXPECT_FALSE(unreached.passes(kMachine, Term(7), Term(7), later));
-  EXPECT_TRUE(unreached.passes(kMachine, Term(7), Term(7), later + plan::Millis(5000)));
+  EXPECT_TRUE(policy.should_relay(kMachine, Term(7), Term(7), later - plan::Millis(1)));
+  EXPECT_FALSE(policy.should_relay(kMachine, Term(7), Term(7), later));
+  EXPECT_TRUE(policy.should_relay(kMachine, Term(7), Term(7), later + plan::Millis(5000)));
 }
 
 }  // namespace
