--- a/src/control/unreached.cpp
+++ b/src/control/relay_policy.cpp
@@ -1,4 +1,4 @@
-#include "control/unreached.h"
+#include "control/relay_policy.h"
 
 #include "config/constants.h"
 
--- a/src/node/heartbeat_relay.h
+++ b/src/node/heartbeat_relay.h
@@ -6,7 +6,7 @@
 
 #include <map>
 
-#include "control/unreached.h"
+#include "control/relay_policy.h"
 #include "node/context.h"
 #include "node/client_pool.h"
 #include "node/held_delegation.h"
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -16,7 +16,7 @@
 #include "classes/queue.h"
 #include "control/controller.h"
 #include "control/times.h"
-#include "control/unreached.h"
+#include "control/relay_policy.h"
 #include "ledger/jobs.h"
 #include "ledger/ledger.h"
 #include "pools/keeper.h"
--- a/tests/unit/unreached_test.cpp
+++ b/tests/unit/relay_policy_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "config/constants.h"
-#include "control/unreached.h"
+#include "control/relay_policy.h"
 
 namespace foxshunt::control {
 namespace {
