--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -23,7 +23,7 @@
 void Leadership::step_down(std::string_view reason) {
   if (!is_leader_) return;
   is_leader_ = false;
-  spdlog::info("no longer leading in term {}: {}", term_.number(), reason);
+  spdlog::info("leadership_ended term={} reason=\"{}\"", term_.number(), reason);
 }
 
 void Leadership::yield(std::string_view reason, Instant now) {
@@ -44,8 +44,8 @@
 void Leadership::on_lease_confirmed(Instant when) { lease_confirmed_ = std::max(lease_confirmed_, when); }
 
 void Leadership::on_records_confirmed(Instant when, const jobs::JobTable& jobs) {
-  // Of a removal that came while a write was under way it is not known yet whose it was: a cancellation, perhaps, that
-  // nothing was stopped for. Until the record is read again, what is known goes no further.
+  // A removal that was observed during a write may be a user's cancellation whose tasks have not been stopped yet. The
+  // confirmed time does not advance until that record has been read again.
   if (kept(Guard::reading_settled) && jobs.has_unread()) return;
   records_confirmed_ = std::max(records_confirmed_, when);
 }
@@ -53,10 +53,10 @@
 Instant Leadership::last_confirmed() const { return std::min(lease_confirmed_, records_confirmed_); }
 
 bool Leadership::can_renew_agent_leases(Instant now) const {
-  // A cancellation that this leader can't read may have been told to a user just after the last moment whose changes it
-  // knows. The agents' leases that it renews must have ended `cancel_s` after that.
-  const Instant known = kept(Guard::fence_reading) ? last_confirmed() : lease_confirmed_;
-  return is_leader_ && (!kept(Guard::fence) || now < known + fence_);
+  // A cancellation that this leader cannot read may have been confirmed to a user right after the last confirmed time.
+  // Every agent lease that this leader renews must have expired `cancel_s` after that confirmation.
+  const Instant confirmed = kept(Guard::fence_reading) ? last_confirmed() : lease_confirmed_;
+  return is_leader_ && (!kept(Guard::fence) || now < confirmed + fence_);
 }
 
 bool Leadership::can_modify_cluster(Instant now) const {
