--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -31,7 +31,7 @@
       {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + remaining});
   machine.idle_since.reset();
   ++cluster_.counters.placed;
-  spdlog::info("task {} attempt {} is placed on {}", TaskKey{job.spec.id, index}.text(), attempt.number(),
+  spdlog::info("task_placed task={} attempt={} machine={}", TaskKey{job.spec.id, index}.text(), attempt.number(),
                machine.id.text());
 }
 
@@ -39,12 +39,12 @@
   if ((kept(Guard::start_durable) && !allocation.durable) || allocation.stopping ||
       !leadership_.can_modify_cluster(now))
     return false;
-  // All tasks of a gang start, or none: each one's placement has to be durable.
+  // A gang starts all of its tasks or none, so every member's allocation has to be durable.
   return job.spec.kind != wire::JobKind::gang || !kept(Guard::gang_durable) || jobs::JobTable::all_durable(job);
 }
 
 double TaskLifecycle::checkpoint_grace(const Job& job) const {
-  // A little above `buryS`, so that no rounding of decimals makes it less.
+  // 10 ms more than the job's `buryS`, so that decimal rounding cannot make the grace period shorter than that.
   return job.spec.checkpoint_s > 0 && !job.cancelled ? job.spec.save_s + 0.01 : 0;
 }
 
@@ -63,7 +63,7 @@
 
 void TaskLifecycle::drain_machine(Machine& machine, const std::string& why) {
   if (machine.state == MachineState::draining || machine.state == MachineState::returning) return;
-  spdlog::info("machine {} is drained: {}", machine.id.text(), why);
+  spdlog::info("machine_draining machine={} reason=\"{}\"", machine.id.text(), why);
   machine.state = MachineState::draining;
   machine.why = why;
   const std::set<TaskKey> tasks = machine.allocations.copy();
@@ -71,7 +71,7 @@
     Job& job = cluster_.jobs.at(key.job);
     const double grace_s = checkpoint_grace(job);
     if (job.spec.kind == wire::JobKind::gang) {
-      // An orderly stop has to reach all tasks of the gang.
+      // Gang members are stopped together, so that all of them can write their checkpoints.
       for (JobShard& shard : job.shards) {
         for (auto& [index, unused] : shard.allocations) stop_task(job, index, grace_s);
       }
@@ -110,7 +110,8 @@
       Allocation& allocation = *cluster_.jobs.find_allocation(key);
       machine.stopping = machine.stopping || allocation.stopping;
       if (!allocation.stopping || allocation.incarnation != machine.incarnation || !allocation.seen) continue;
-      // The answer to the next report tells it too; only what that did not reach is told directly.
+      // The answer to the next heartbeat carries the stop as well. It is sent directly only if that answer fails to
+      // arrive within 1.5 heartbeat intervals.
       if (allocation.stop_due == Instant{})
         allocation.stop_due = now + from_seconds(cluster_.settings.heartbeat_interval_s * 1.5);
       if (now < allocation.stop_due) continue;
@@ -129,10 +130,10 @@
   const TaskKey key{job.spec.id, index};
   cluster_.pools.ended(key);
   cluster_.planner.revoke(allocation->booking);
-  spdlog::info("task {} attempt {} is off {}: {}", key.text(), allocation->attempt.number(), allocation->machine.text(),
-               why);
+  spdlog::info("task_terminated task={} attempt={} machine={} reason=\"{}\"", key.text(), allocation->attempt.number(),
+               allocation->machine.text(), why);
   if (allocation->running_since && job.spec.checkpoint_s > 0) {
-    // Whole checkpoints survive, whatever became of the machine.
+    // Complete checkpoints survive, even if the machine is lost.
     const Millis step = from_seconds(job.spec.checkpoint_s);
     Millis& saved = job.saved[index];
     saved += std::max(Millis(0), now - *allocation->running_since) / step * step;
