--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -35,7 +35,7 @@
   return {.kind = CommandKind::clear, .task = status.task, .attempt = status.attempt};
 }
 
-// Whether the task ended only after its image was there.
+// Whether the task ended after its image had been fetched.
 bool ended_with_image(const wire::TaskStatus& status, const Allocation& allocation) {
   const EndReason reason = status.reason;
   if (reason == EndReason::no_room || reason == EndReason::in_use || reason == EndReason::unknown) return false;
@@ -55,7 +55,7 @@
     starts.clear();
   }
   for (const Command& start : starts) {
-    spdlog::debug("machine {}: told to run {} attempt {}", exchange.machine.id.text(), start.task.text(),
+    spdlog::debug("task_start_sent machine={} task={} attempt={}", exchange.machine.id.text(), start.task.text(),
                   start.attempt.number());
   }
   exchange.commands.insert(exchange.commands.end(), starts.begin(), starts.end());
@@ -76,7 +76,7 @@
     const bool is_earlier = allocation != nullptr && allocation->incarnation < exchange.heartbeat.incarnation;
     if (is_earlier && kept(Guard::ended_session)) lost.push_back(key);
   }
-  for (const TaskKey& key : lost) tasks_.mark_task_lost(key, "the machine's session ended", exchange.now);
+  for (const TaskKey& key : lost) tasks_.mark_task_lost(key, "the agent was restarted", exchange.now);
 }
 
 void Reconciler::process_task_statuses(Exchange& exchange) {
@@ -93,19 +93,19 @@
       on_task_ended(exchange, job, Allocation(*allocation), status);
     }
     if (is_active) {
-      // Not placed here by any record: nobody wants it, and it takes room.
+      // No record places this task here. It uses resources that belong to other tasks, so it is killed.
       unknown_tasks = true;
       exchange.commands.push_back(stop_command(status.task, status.attempt, 0));
       continue;
     }
-    // Forgotten by the agent only when the record says how it ended.
+    // The agent may forget an ended task only when the record of its end is durable.
     if (!kept(Guard::clear_settled) || cluster_.jobs.settled(status.task)) {
       exchange.commands.push_back(forget_command(status));
     }
   }
   Machine& machine = exchange.machine;
   if (unknown_tasks && !machine.has_unknown_tasks)
-    spdlog::warn("machine {} has tasks that no record places there", machine.id.text());
+    spdlog::warn("unknown_tasks_reported machine={} reason=\"no record places them there\"", machine.id.text());
   machine.has_unknown_tasks = unknown_tasks;
 }
 
@@ -120,8 +120,9 @@
   Allocation* allocation = cluster_.jobs.find_allocation(status.task);
   if (allocation == nullptr || allocation->attempt != status.attempt || allocation->machine != exchange.machine.id)
     return nullptr;
-  // A gang's lost task is replaced with the same attempt number, on the same machine perhaps. A heartbeat of the incarnation
-  // before, held up until a new leader has begun, would tell of the end of the one that runs.
+  // The replacement of a lost gang member has the same attempt number and may run on the same machine. A delayed
+  // heartbeat of the earlier incarnation, received by a new leader, would otherwise report the end of the replacement
+  // that still runs.
   if (kept(Guard::report_session) && allocation->incarnation != exchange.heartbeat.incarnation) return nullptr;
   return allocation;
 }
@@ -131,14 +132,14 @@
   if (status.state != TaskState::fetching) {
     if (allocation.seen.value_or(TaskState::fetching) == TaskState::fetching) cluster_.know_image(machine, job.spec);
   } else if (allocation.seen && cluster_.pools.on()) {
-    // Told twice, it is not only on its way: what was believed to be there is not.
+    // The second heartbeat in state `fetching`: the image was not cached, contrary to what the leader assumed.
     machine.images.erase(job.spec.image);
     cluster_.pools.was_missing(machine.id, job.spec.image);
   }
   if (status.state == TaskState::running && !allocation.running_since) {
     on_task_running(job, machine, allocation, status.task.index, exchange.now);
   }
-  // Who waits for the last image is due.
+  // A gang that waits until all of its images are fetched may be ready now, so it is planned again.
   if (allocation.seen != status.state && job.gather_until) cluster_.plan_wanted = true;
   allocation.seen = status.state;
   if (allocation.stopping) exchange.commands.push_back(stop_command(status.task, status.attempt, allocation.grace_s));
@@ -157,11 +158,13 @@
     remaining = std::max(remaining - (now - *allocation.running_since), constants::kStartTimeout);
   allocation.booking = cluster_.planner.book(
       {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + remaining});
-  spdlog::info("task {} attempt {} runs on {}, {:.1f} s after its job's submission", TaskKey{job.spec.id, index}.text(),
-               allocation.attempt.number(), machine.id.text(), to_seconds(now - job.submitted));
-  // The tasks of a gang begin together, so that the first one to run tells it of all. A new leader tells it once more.
+  spdlog::info("task_running task={} attempt={} machine={} since_submission_s={:.1f}",
+               TaskKey{job.spec.id, index}.text(), allocation.attempt.number(), machine.id.text(),
+               to_seconds(now - job.submitted));
+  // The tasks of a gang start together, so the first running one marks the start of all. A new leader logs the line
+  // again.
   if (job.begun) return;
-  spdlog::info("job begins job={} class={} tasks={} wait_s={:.1f}", job.spec.id.text(), job.spec.job_class,
+  spdlog::info("job_started job={} class={} tasks={} wait_s={:.1f}", job.spec.id.text(), job.spec.job_class,
                job.spec.tasks, to_seconds(now - job.submitted));
   job.begun = true;
 }
@@ -169,13 +172,14 @@
 void Reconciler::on_task_ended(Exchange& exchange, Job& job, const Allocation& allocation,
                                const wire::TaskStatus& status) {
   const std::uint32_t index = status.task.index;
-  // What was reckoned of its fetches was wrong: the next attempt waits for the heartbeats.
+  // The task gave up waiting for its gang: the estimated image fetch times were wrong. The next attempt relies on the
+  // heartbeats to learn when the images are fetched.
   if (status.reason == EndReason::alone) job.in_stages = true;
   if (ended_with_image(status, allocation)) cluster_.know_image(exchange.machine, job.spec);
   switch (status.reason) {
     case EndReason::done:
       exchange.machine.errors = 0;
-      // A service's replica has no end of its own: it is started again.
+      // A service replica that exits is started again.
       if (job.spec.kind == wire::JobKind::service || job.cancelled) break;
       return tasks_.finish_task(job, index, exchange.now);
     case EndReason::stopped:
@@ -193,7 +197,7 @@
   const Millis ran = std::max(Millis(0), now - *allocation.running_since);
   job.saved[index] += ran;
   tasks_.confirm_terminated(job, index, "stopped, saved", now);
-  // confirm_terminated() added the whole checkpoints of the same span.
+  // confirm_terminated() has added the complete checkpoints of the same run time; they must not count twice.
   const Millis step = from_seconds(job.spec.checkpoint_s);
   if (step > Millis(0)) job.saved[index] -= ran / step * step;
   tasks_.end_gang_attempt(job);
@@ -201,17 +205,18 @@
 
 void Reconciler::on_task_failed(Exchange& exchange, Job& job, const wire::TaskStatus& status) {
   Machine& machine = exchange.machine;
-  spdlog::warn("task {} failed on {}", status.task.text(), machine.id.text());
+  spdlog::warn("task_failed task={} machine={}", status.task.text(), machine.id.text());
   job.failed_on.insert(machine.id);
-  // A job that fails wherever it runs says nothing about the machines.
+  // A job that fails on three or more machines is likely faulty itself, so it does not count against further machines.
   if (job.failed_on.size() < 3) ++machine.errors;
-  // What fails while the job pauses had begun before, with what it pauses for: it is no further failure.
+  // A task that fails during the job's backoff was started before it, together with the task that caused the backoff.
+  // It does not count as another failure.
   if (exchange.now >= job.not_before) {
     const Millis pause =
         std::min(constants::kMaxTaskErrorBackoff, constants::kTaskErrorBackoff * (1 << std::min(job.errors, 5)));
     if (++job.errors > 1) job.not_before = exchange.now + pause;
   }
-  if (machine.errors >= constants::kMaxMachineErrors) tasks_.drain_machine(machine, "tasks fail on it");
+  if (machine.errors >= constants::kMaxMachineErrors) tasks_.drain_machine(machine, "repeated task failures");
 }
 
 std::vector<Command> Reconciler::process_unreported_tasks(Exchange& exchange) {
@@ -219,8 +224,8 @@
   for (const TaskKey& key : exchange.machine.allocations) {
     if (!exchange.reported.contains(key)) unreported.push_back(key);
   }
-  // The agent had seen our term when it made this heartbeat, and this heartbeat is newer than any that was answered with the
-  // start command: what is not in it does not run and will not.
+  // If the agent had seen this leader's term when it built the heartbeat, the heartbeat is newer than any that was
+  // answered with the start command. A task that it does not report is not running and will not start.
   const bool saw_term = exchange.machine.saw_term || !kept(Guard::absent_saw_term);
   std::vector<Command> starts;
   for (const TaskKey& key : unreported) {
@@ -239,7 +244,8 @@
 
 void Reconciler::evict(Exchange& exchange, double notice_s) {
   Machine& machine = exchange.machine;
-  tasks_.drain_machine(machine, "the cloud takes it in " + std::to_string(static_cast<int>(notice_s)) + " s");
+  tasks_.drain_machine(machine,
+                       "the cloud reclaims the machine in " + std::to_string(static_cast<int>(notice_s)) + " s");
   for (const TaskKey& key : machine.allocations) {
     if (!exchange.reported.contains(key)) continue;
     const Allocation& allocation = *cluster_.jobs.find_allocation(key);
@@ -252,7 +258,7 @@
   const auto entry = cluster_.machines.find(heartbeat.machine);
   if (entry == cluster_.machines.end()) return commands;
   const Machine& machine = entry->second;
-  // A newer heartbeat has been taken meanwhile: this one teaches nothing any more.
+  // A newer heartbeat of the machine has been processed meanwhile, so this one is outdated.
   if (!cluster_.machines.newest(heartbeat)) return commands;
   std::set<TaskKey> reported;
   for (const wire::TaskStatus& status : heartbeat.tasks) {
--- a/src/control/reconciler.h
+++ b/src/control/reconciler.h
@@ -1,9 +1,10 @@
-// Reconciles agents' heartbeats with the job table: which tasks have begun, which have ended, which are unknown, and which are
-// confirmed terminated because a heartbeat that had to tell of them does not.
+// Reconciles agents' heartbeats with the job table: determines which tasks have started, which have ended, which are
+// unknown to the job table, and which are confirmed terminated because a heartbeat that would have to report them does
+// not.
 //
-// Owns no state of its own. Is given the cluster state, which it changes, leadership, which it asks, and changes tasks only by
-// way of their life cycle. Whether a heartbeat may be answered at all is the controller's to ask first. Never
-// places anything, and starts only what the life cycle allows. Made for the moment of a call and not kept; pure; not
+// Stateless. Modifies the cluster state that is passed in, asks leadership, and changes tasks only through
+// TaskLifecycle. The controller checks beforehand whether a heartbeat may be answered at all. Places no tasks, and
+// starts only tasks that TaskLifecycle::can_start() permits. Constructed for a single call and not kept. No I/O; not
 // thread-safe.
 #pragma once
 
@@ -21,38 +22,43 @@
   Reconciler(ClusterState& cluster, const Leadership& leadership)
       : cluster_(cluster), leadership_(leadership), tasks_(cluster, leadership) {}
 
-  // Takes a heartbeat. Returns the commands to answer with; none if it was held up on its way and teaches nothing.
+  // Processes a heartbeat and returns the commands for the answer. A heartbeat that is not newer than the last one of
+  // the machine is ignored.
   [[nodiscard]] std::vector<wire::Command> on_heartbeat(const wire::Heartbeat& heartbeat, Instant now);
-  // Commands that have become due since the heartbeat was answered.
+  // Returns further commands for the same heartbeat that have become due since on_heartbeat() processed it.
   [[nodiscard]] std::vector<wire::Command> newly_due_commands(const wire::Heartbeat& heartbeat, Instant now);
 
  private:
-  // A heartbeat while it is taken, and the answer to it so far.
+  // The heartbeat that is being processed, and the answer as collected so far.
   struct Exchange {
     const wire::Heartbeat& heartbeat;
     Machine& machine;
     Instant now;
-    std::set<TaskKey> reported;  // known tasks that it tells of
+    std::set<TaskKey> reported;  // tasks of the heartbeat that match an allocation to this machine
     std::vector<wire::Command> commands;
   };
 
+  // Updates the machine's inventory entry from the heartbeat; adds the machine if it is unknown.
   Machine& update_machine(const wire::Heartbeat& heartbeat, Instant now);
-  // Tasks of an earlier incarnation of the agent: a later one began with nothing.
+  // Marks tasks of earlier incarnations of the agent as lost: an agent starts without any tasks.
   void mark_tasks_of_earlier_incarnations_lost(const Exchange& exchange);
+  // Processes the status of each task in the heartbeat.
   void process_task_statuses(Exchange& exchange);
-  // The job that the status is of; null if there is none with such a task.
+  // Returns the job of the reported task, or null if no job has such a task.
   [[nodiscard]] Job* find_job(const wire::TaskStatus& status);
-  // The allocation that the status is of; null if the machine has no such allocation in this incarnation.
+  // Returns the allocation of the reported task, or null if the job table has no such allocation to this machine and
+  // incarnation of the agent.
   [[nodiscard]] Allocation* find_allocation(const Exchange& exchange, const wire::TaskStatus& status);
   void on_task_active(Exchange& exchange, Job& job, Allocation& allocation, const wire::TaskStatus& status);
   void on_task_running(Job& job, const Machine& machine, Allocation& allocation, std::uint32_t index, Instant now);
   void on_task_ended(Exchange& exchange, Job& job, const Allocation& allocation, const wire::TaskStatus& status);
   void on_task_checkpointed(Job& job, const Allocation& allocation, std::uint32_t index, Instant now);
   void on_task_failed(Exchange& exchange, Job& job, const wire::TaskStatus& status);
-  // Allocations to the machine that the heartbeat does not tell of: confirms their termination or starts them. Returns the
-  // start commands.
+  // Handles the allocations to the machine that the heartbeat does not report: confirms that they have terminated, or
+  // starts them. Returns the start commands.
   [[nodiscard]] std::vector<wire::Command> process_unreported_tasks(Exchange& exchange);
-  // The cloud takes the machine soon: stops what runs there.
+  // Handles the cloud's notice that it will take the machine back in `notice_s` seconds: drains the machine and
+  // adds stop commands for its reported tasks to the answer.
   void evict(Exchange& exchange, double notice_s);
 
   ClusterState& cluster_;
@@ -60,7 +66,7 @@
   TaskLifecycle tasks_;
 };
 
-// Whether all that the heartbeat told, and all that is allocated to its machine, is durable.
+// Whether the ends of all tasks that the heartbeat reports, and all allocations to its machine, are durable.
 [[nodiscard]] bool is_heartbeat_durable(const ClusterState& cluster, const wire::Heartbeat& heartbeat);
 
 }  // namespace foxshunt::control
