--- a/src/control/relay_policy.cpp
+++ b/src/control/relay_policy.cpp
@@ -10,12 +10,13 @@
   RelayState& relay = states_[machine];
   if (relay.relayed_since) {
     if (now - *relay.relayed_since < constants::kRelayPeriod) return true;
-    // The leader may be in reach again, which only the worker can tell: it comes back if not.
+    // The leader may be reachable again, which only the agent can find out. If not, the agent returns to this node.
     relay = {.redirected_at = now, .relayed_since = {}};
     return false;
   }
-  // Whoever has seen_term the term was served by its leader, and would still be there if it answered. Without this a cut
-  // costs such a worker the time of two answers that don't come, and that is more than a short lease.
+  // An agent that has seen the current term was served by its leader and would still be talking to it if the leader
+  // answered. Redirecting it during a network partition would cost two request timeouts, which is more than a short
+  // lease.
   const bool was_served_by_leader = seen_term == current_term;
   const bool returned_after_redirect =
       relay.redirected_at && now - *relay.redirected_at < constants::kRelayReturnWindow;
--- a/src/control/relay_policy.h
+++ b/src/control/relay_policy.h
@@ -1,4 +1,8 @@
-// Which machines can't reach the leader, as a node that does not lead tells by how they come to it. Pure.
+// Decides on a node that is not the leader whether to relay a machine's heartbeat to the leader or to redirect the
+// machine's agent there. A machine whose agent contacts this node although it knows the leader probably cannot reach
+// the leader.
+//
+// No I/O: the caller passes in the time. Not thread-safe.
 #pragma once
 
 #include <optional>
@@ -11,14 +15,14 @@
 
 class RelayPolicy {
  public:
-  // Whether the report of a machine that has seen the term `seen` is passed on to the leader of the term `current`;
-  // otherwise the machine is sent to it.
+  // Returns true if the machine's heartbeat is to be relayed, false if its agent is to be redirected to the leader.
+  // `seen_term`: the latest term that the agent has seen. `current_term`: the term of the leader that this node knows.
   [[nodiscard]] bool should_relay(const MachineId& machine, Term seen_term, Term current_term, plan::Instant now);
 
  private:
   struct RelayState {
-    std::optional<plan::Instant> redirected_at;  // to the leader
-    std::optional<plan::Instant> relayed_since;  // its reports are passed on
+    std::optional<plan::Instant> redirected_at;  // last redirect to the leader
+    std::optional<plan::Instant> relayed_since;  // start of the current relay period
   };
   Term term_;
   std::unordered_map<MachineId, RelayState> states_;
