--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -32,39 +32,35 @@
   demand_.record_gpu_counts(wanted, available, now);
 }
 
-// How many more tasks of the class could start on machines that are up or booting. The cheapest of these that
-// make up the reserve are kept.
 std::int64_t Autoscaler::spare_capacity(const ClusterState& cluster, const wire::JobSpec& spec, std::int64_t reserve,
                                         Instant now) {
   struct Spare {
     double price;
     MachineId machine;
-    std::int64_t tasks_per_machine;
+    std::int64_t fitting_tasks;
   };
   const Amounts each = task_amounts(spec);
   std::vector<Spare> candidates;
   for (const auto& [id, machine] : cluster.machines) {
     if (machine.state != MachineState::booting && !cluster.usable(machine, now)) continue;
-    const wire::MachineType* kind = cluster.type(machine.type);
-    if (kind == nullptr || machine.planned == nullptr ||
+    const wire::MachineType* type = cluster.type(machine.type);
+    if (type == nullptr || machine.planned == nullptr ||
         !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
-    if (each.count_in(pricing(cluster).usable_capacity(spec, *kind)) <= 0) continue;
+    if (each.count_in(pricing(cluster).usable_capacity(spec, *type)) <= 0) continue;
     if (!cluster.pools.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
     const Instant from = std::max(now, machine.ready);
-    const std::int64_t tasks_per_machine =
-        each.count_in(machine.planned->use.free(from, from + constants::kStartTimeout));
-    if (tasks_per_machine <= 0) continue;
-    const double hourly = hourly_price(*kind, machine.spot);
-    candidates.push_back({.price = hourly / static_cast<double>(tasks_per_machine),
-                          .machine = id,
-                          .tasks_per_machine = tasks_per_machine});
+    const std::int64_t fitting_tasks = each.count_in(machine.planned->use.free(from, from + constants::kStartTimeout));
+    if (fitting_tasks <= 0) continue;
+    const double hourly = hourly_price(*type, machine.spot);
+    candidates.push_back(
+        {.price = hourly / static_cast<double>(fitting_tasks), .machine = id, .fitting_tasks = fitting_tasks});
   }
   std::ranges::sort(candidates, {}, [](const Spare& spare) { return std::tie(spare.price, spare.machine); });
   std::int64_t total = 0;
   for (const Spare& spare : candidates) {
     if (total < reserve) spare_machines_.insert(spare.machine);
-    total += spare.tasks_per_machine;
+    total += spare.fitting_tasks;
   }
   return total;
 }
@@ -73,9 +69,9 @@
                                                const wire::JobSpec& sample, Instant now) {
   const Amounts each = task_amounts(sample);
   double boot_s = 0;
-  for (const wire::MachineType& kind : cluster.types) {
-    if (each.count_in(pricing(cluster).usable_capacity(sample, kind)) > 0)
-      boot_s = boot_s == 0 ? kind.boot_s : std::min(boot_s, kind.boot_s);
+  for (const wire::MachineType& type : cluster.types) {
+    if (each.count_in(pricing(cluster).usable_capacity(sample, type)) > 0)
+      boot_s = boot_s == 0 ? type.boot_s : std::min(boot_s, type.boot_s);
   }
   return demand_.expected_tasks(job_class, boot_s * constants::kBootSlackFactor + cluster.settings.heartbeat_interval_s,
                                 now);
@@ -85,12 +81,13 @@
                                                              const Job& job, const DeadlinePlanner& deadlines,
                                                              std::uint32_t late, Instant now) const {
   if (job.overdue_tasks > 0) {
-    // A kind that boots later than the work has to begin is no use, however cheap.
+    // A machine that boots only after the work has to start is useless, however cheap.
     auto in_time = offers.find_cheapest(job.spec, late, constants::kMaxLatePriceFactor,
                                         deadlines.max_startup_for_deadline(job, now));
     if (in_time || job.late_tasks == 0) return in_time;
   }
-  // As long as a deadline leaves time for another boot, what is dear can wait for what is cheap to become free.
+  // While the deadline leaves time for another boot, expensive machines are not rented: a cheap one may become
+  // available.
   const bool can_wait =
       deadlines.scale_out_delay(job, now) > pricing(cluster).max_boot_time(job.spec) * constants::kBootSlackFactor;
   return offers.find_cheapest(job.spec, late,
@@ -101,7 +98,7 @@
                                 const DeadlinePlanner& deadlines, MachineShares& shares, Instant now) {
   for (const Job* job : queue) {
     std::uint32_t late = std::max(job->late_tasks, job->overdue_tasks);
-    // No more than the team's limit lets run at once.
+    // Does not rent for more tasks than the team's quota lets run at once.
     while (late > 0 && !quota_for(cluster, *job, late)) --late;
     if (late == 0) continue;
     const auto offer = offer_for_late(offers, cluster, *job, deadlines, late, now);
@@ -137,14 +134,14 @@
   add_late_tasks(offers, cluster, queue, deadlines, shares, now);
   add_reserves(offers, cluster, shares, now);
   CloudCapacityTracker::WantedMachines wanted;
-  for (const auto& [key, share] : shares) wanted[key] = static_cast<std::uint64_t>(std::ceil(share));
+  for (const auto& [kind, share] : shares) wanted[kind] = static_cast<std::uint64_t>(std::ceil(share));
   capacity_.set_wanted(std::move(wanted));
 }
 
 std::optional<wire::ScaleOutRequest> Autoscaler::next_scale_out(const ClusterState& cluster, Term term, Instant now) {
   if (!cluster.settings.operators.can_scale_out) return std::nullopt;
   if (const auto& request = capacity_.next_request(term, cluster.machines.held(), now)) return request;
-  // Pools come after live work.
+  // Warm pools are served after waiting tasks.
   capacity_.set_request(cluster.pools.next_request());
   return capacity_.next_request(term, {}, now);
 }
@@ -153,7 +150,7 @@
                                const std::vector<MachineId>& rented, Instant now) {
   if (!capacity_.complete_request(request)) return;
   cluster.pools.answered(request, rented);
-  const wire::MachineType* kind = cluster.type(request.type);
+  const wire::MachineType* type = cluster.type(request.type);
   for (const MachineId& id : rented) {
     Machine& machine = cluster.know_machine(id, now);
     if (machine.has_reported) continue;
@@ -161,7 +158,7 @@
     machine.zone = request.zone;
     machine.spot = request.spot;
     machine.since = now;
-    machine.ready = now + from_seconds(kind == nullptr ? 0 : kind->boot_s);
+    machine.ready = now + from_seconds(type == nullptr ? 0 : type->boot_s);
     cluster.refresh_plan_machine(machine);
   }
   if (rented.size() < request.count) {
@@ -169,8 +166,8 @@
   } else {
     capacity_.on_granted({request.type, request.zone, request.spot});
   }
-  spdlog::info("rented {} of {} {} in {}{}", rented.size(), request.count, request.type, request.zone,
-               request.spot ? ", spot" : "");
+  spdlog::info("machines_rented rented={} requested={} type={} zone={}{}", rented.size(), request.count, request.type,
+               request.zone, request.spot ? " spot=true" : "");
   cluster.plan_wanted = true;
 }
 
@@ -185,8 +182,8 @@
   const CloudCapacityTracker::Kind kind{request.type, request.zone, request.spot};
   const std::size_t held_now = cluster.machines.held()[kind];
   const Millis pause = capacity_.on_refused(kind, held_now, now);
-  spdlog::info("no more {} in {}{} to rent, {} are held; asked again after {:.0f} s", request.type, request.zone,
-               request.spot ? ", spot" : "", held_now, to_seconds(pause));
+  spdlog::info("scale_out_refused type={} zone={}{} held={} retry_after_s={:.0f}", request.type, request.zone,
+               request.spot ? " spot=true" : "", held_now, to_seconds(pause));
 }
 
 bool Autoscaler::has_pending_cloud_work(const ClusterState& cluster) const {
@@ -196,11 +193,11 @@
 }
 
 std::vector<MachineId> Autoscaler::next_scale_in(const ClusterState& cluster) {
-  std::vector<MachineId> names;
+  std::vector<MachineId> ids;
   for (const auto& [id, machine] : cluster.machines) {
-    if (machine.state == MachineState::returning && names.size() < constants::kMaxScaleInNames) names.push_back(id);
+    if (machine.state == MachineState::returning && ids.size() < constants::kMaxScaleInNames) ids.push_back(id);
   }
-  return names;
+  return ids;
 }
 
 }  // namespace foxshunt::control
--- a/src/control/autoscaler.h
+++ b/src/control/autoscaler.h
@@ -1,11 +1,11 @@
-// How many machines of which kinds: scales out for tasks that would wait too long, keeps spare capacity for classes whose
-// objectives leave no time for a boot, and scales in what is idle.
+// Decides how many machines of which kinds to rent and to return. Scales out for tasks that would wait too long, keeps
+// spare capacity for job classes whose objectives leave no time for a machine to boot, and names the machines to scale
+// in.
 //
-// Owns the demand (what it has learnt of the work that comes), the cloud's capacity (what the cloud has refused, what is
-// wanted of it and the request under way) and which machines are spare capacity. Given the cluster state with each call; it
-// changes machines there only as the cloud answers. Never places, stops or books anything, and asks the cloud for nothing
-// by itself: its owner sends the requests, and only while it may act for the controllers. Pure, with the time passed in;
-// not thread-safe.
+// Owns the demand estimator, the tracker of the cloud's capacity (refusals, wanted machines, the pending request) and
+// the set of spare machines. The cluster state is passed with each call; its machines are changed only when the cloud
+// answers a request. Places, stops and books nothing, and does not call the cloud: the owner sends the requests, and
+// only while leadership permits it. No I/O: the caller passes in the time. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
 
 class Autoscaler {
  public:
-  // The one that a successor of this lead, on the same node, begins with: it knows what the cloud has refused.
+  // The autoscaler for the next term that this node leads: keeps what the cloud has refused, and nothing else.
   [[nodiscard]] Autoscaler successor() const;
 
   [[nodiscard]] DemandEstimator& demand() { return demand_; }
@@ -35,46 +35,57 @@
   [[nodiscard]] CloudCapacityTracker& capacity() { return capacity_; }
   [[nodiscard]] const CloudCapacityTracker& capacity() const { return capacity_; }
   [[nodiscard]] TaskPricing pricing(const ClusterState& cluster) const { return {cluster, demand_}; }
-  // Whether the machine is idle, but kept for what may come.
+  // Whether the machine is idle but kept as spare capacity.
   [[nodiscard]] bool is_spare(const MachineId& machine) const { return spare_machines_.contains(machine); }
 
-  // GPUs that are wanted now, and those that there are.
+  // Passes to the demand estimator how many GPUs all jobs want now, and how many usable and booting machines have.
   void record_gpu_demand(const ClusterState& cluster, Instant now);
-  // Works out what is wanted of the cloud from now on. `queue`: the jobs that wait, in their planning order.
+  // Computes which machines to rent and replaces the previous result. `queue`: the waiting jobs in planning order.
   void size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue, const DeadlinePlanner& deadlines,
                   Instant now);
-  // Without machine types nothing is wanted of the cloud.
+  // Wants no machines and keeps no spare ones. For use while no machine types are known.
   void clear_wanted_machines();
 
-  // The request under way, or the next one.
+  // Returns the unanswered request if there is one, otherwise the next one. None if there is nothing to rent or if the
+  // operators' settings forbid scaling out.
   [[nodiscard]] std::optional<wire::ScaleOutRequest> next_scale_out(const ClusterState& cluster, Term term,
                                                                     Instant now);
+  // Handles the cloud's answer to `request`: adds the rented machines to the cluster state. Fewer machines than
+  // requested count as a refusal of the rest.
   void on_scaled_out(ClusterState& cluster, const wire::ScaleOutRequest& request, const std::vector<MachineId>& rented,
                      Instant now);
+  // Handles an answer without any machine.
   void on_scale_out_refused(ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now);
-  // Machines that are to be given back.
+  // The machines to return, at most kMaxScaleInNames.
   [[nodiscard]] static std::vector<MachineId> next_scale_in(const ClusterState& cluster);
-  // Whether there is something to rent or to return.
+  // Whether there are machines to rent or to return.
   [[nodiscard]] bool has_pending_cloud_work(const ClusterState& cluster) const;
 
  private:
-  using MachineShares = std::map<CloudCapacityTracker::Kind, double>;  // machines, of which a task may be a part
+  // Number of machines to rent of each kind. Fractional: a task takes only a share of a machine.
+  using MachineShares = std::map<CloudCapacityTracker::Kind, double>;
 
+  // The offer to rent for the `late` tasks of the job that would start too late.
   [[nodiscard]] std::optional<CloudOffers::Offer> offer_for_late(const CloudOffers& offers, const ClusterState& cluster,
                                                                  const Job& job, const DeadlinePlanner& deadlines,
                                                                  std::uint32_t late, Instant now) const;
+  // Returns how many more tasks like `spec` could start on machines that are up or booting. Marks the cheapest of these
+  // machines that make up `reserve` tasks as spare.
   [[nodiscard]] std::int64_t spare_capacity(const ClusterState& cluster, const wire::JobSpec& spec,
                                             std::int64_t reserve, Instant now);
+  // Returns for how many tasks of the class to keep spare capacity: those expected to arrive while a machine boots.
   [[nodiscard]] std::int64_t wanted_spare_capacity(const ClusterState& cluster, const std::string& job_class,
                                                    const wire::JobSpec& sample, Instant now);
+  // Adds the machines to rent for tasks that would start too late.
   void add_late_tasks(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
                       const DeadlinePlanner& deadlines, MachineShares& shares, Instant now);
+  // Adds the machines that are missing for the spare capacity of urgent classes.
   void add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares, Instant now);
   void record_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now);
 
   DemandEstimator demand_;
   CloudCapacityTracker capacity_;
-  std::set<MachineId> spare_machines_;  // idle, but kept for what may come
+  std::set<MachineId> spare_machines_;  // idle, but not to be scaled in
 };
 
 }  // namespace foxshunt::control
--- a/src/control/cloud_capacity_tracker.cpp
+++ b/src/control/cloud_capacity_tracker.cpp
@@ -12,19 +12,20 @@
   return next;
 }
 
-bool CloudCapacityTracker::is_expected_available(const Kind& kind, const HeldMachines& have) const {
-  const auto known = refusals_.find(kind);
-  const auto held = have.find(kind);
-  return known == refusals_.end() || (held != have.end() && held->second < known->second.held_at_refusal);
+bool CloudCapacityTracker::is_expected_available(const Kind& kind, const HeldMachines& held) const {
+  const auto refusal = refusals_.find(kind);
+  const auto held_now = held.find(kind);
+  return refusal == refusals_.end() || (held_now != held.end() && held_now->second < refusal->second.held_at_refusal);
 }
 
-bool CloudCapacityTracker::is_available(const Kind& kind, const HeldMachines& have, plan::Instant now) const {
-  const auto known = refusals_.find(kind);
-  if (known == refusals_.end()) return true;
-  const auto held_now = have.find(kind);
-  // Below the number at which it refused there is room again; otherwise it is asked after a pause.
-  return now >= known->second.not_before ||
-         (held_now == have.end() ? 0 : held_now->second) < known->second.held_at_refusal;
+bool CloudCapacityTracker::is_available(const Kind& kind, const HeldMachines& held, plan::Instant now) const {
+  const auto refusal = refusals_.find(kind);
+  if (refusal == refusals_.end()) return true;
+  const auto held_now = held.find(kind);
+  // With fewer machines than at the refusal, the cloud is likely to held one again. Otherwise it is asked after the
+  // backoff.
+  return now >= refusal->second.not_before ||
+         (held_now == held.end() ? 0 : held_now->second) < refusal->second.held_at_refusal;
 }
 
 void CloudCapacityTracker::set_wanted(WantedMachines wanted) {
@@ -34,15 +35,15 @@
   count -= std::min(count, pending_request_->count);
 }
 
-const std::optional<wire::ScaleOutRequest>& CloudCapacityTracker::next_request(Term term, const HeldMachines& have,
+const std::optional<wire::ScaleOutRequest>& CloudCapacityTracker::next_request(Term term, const HeldMachines& held,
                                                                                plan::Instant now) {
   if (pending_request_) return pending_request_;
   for (auto entry = wanted_.begin(); entry != wanted_.end(); entry = wanted_.erase(entry)) {
     const auto& [kind, count] = *entry;
-    // The fleet was sized before the latest refusals.
-    if (count == 0 || !is_available(kind, have, now)) continue;
+    // Refusals may held arrived after the wanted machines were computed.
+    if (count == 0 || !is_available(kind, held, now)) continue;
     const auto& [type, zone, spot] = kind;
-    // A request's name is never used again: terms only grow.
+    // The term makes the name unique: terms only increase, and the counter does not repeat within a term.
     pending_request_ = wire::ScaleOutRequest{
         .request = "fox-" + std::to_string(term.number()) + "-" + std::to_string(++request_count_),
         .type = type,
--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -14,7 +14,8 @@
   if (!is_machine_allowed(spec, type.name, zone, spot) || !cluster_.counted_on(zone)) return std::nullopt;
   CloudCapacityTracker::Kind kind{type.name, zone, spot};
   if (!capacity_.is_available(kind, held_, now_)) return std::nullopt;
-  // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
+  // Uses the full capacity, with nothing reserved for GPU jobs: a GPU machine that is rented for other work exceeds the
+  // demand of GPU jobs.
   const std::int64_t tasks_per_machine = task_amounts(spec).count_in(capacity_of(type));
   const double hourly = hourly_price(type, spot);
   return Offer{.kind = std::move(kind),
