--- a/src/control/demand_estimator.cpp
+++ b/src/control/demand_estimator.cpp
@@ -15,7 +15,7 @@
   ClassDemand& demand = classes_[spec.job_class];
   demand.sample = spec;
   demand.arrivals.emplace_back(submitted, spec.tasks);
-  // Nobody asks what most classes expect: what is too old to count must not pile up.
+  // expected_tasks() is never called for most classes, so old arrivals have to be dropped here.
   while (demand.arrivals.front().first < submitted - constants::kDemandWindow) demand.arrivals.pop_front();
   sizes_.learn(spec.job_class, spec.tasks, submitted);
   if (each.of[1] <= 0) return;
@@ -31,7 +31,7 @@
   unclaimed_gpus_ = std::max<plan::Items>(0, available - gpu_peaks_.front().second);
 }
 
-// PAPER 5.4, "expensive resources": X cores are kept free for jobs requesting GPUs.
+// Keeps cores free for jobs that request GPUs (PAPER 5.4, "expensive resources").
 Amounts DemandEstimator::usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type,
                                          const std::vector<wire::MachineType>& types) const {
   Amounts amounts = capacity_of(type);
@@ -40,9 +40,9 @@
     return other.gpus <= 0 && is_type_allowed(spec, other.name) &&
            Amounts::from(spec.cpus, 0, spec.ram_gb).fits(Amounts::from(other.cpus, 0, other.ram_gb));
   });
-  if (!fits_without_gpus) return amounts;  // it can't run without
+  if (!fits_without_gpus) return amounts;  // the job can only run on machines with GPUs
   for (const std::size_t r : {0U, 2U}) {
-    // As long as no task with a GPU was seen, each GPU's share of the machine.
+    // Until a task with a GPU has been seen, the whole amount is reserved.
     const plan::Items reserved = usage_per_gpu_.of[r] > 0 ? usage_per_gpu_.of[r] * amounts.of[1] / 1000 : amounts.of[r];
     amounts.of[r] = std::max<plan::Items>(0, amounts.of[r] - reserved);
   }
@@ -61,11 +61,11 @@
   const double window_s = std::chrono::duration<double>(constants::kDemandWindow).count();
   const double jobs = static_cast<double>(arrivals.size()) / window_s * cover_s;
   const double mean = tasks / static_cast<double>(arrivals.size());
-  // Arrivals scatter like a Poisson process; the reserve covers what comes while a machine boots.
+  // Arrivals are modelled as a Poisson process: the estimate is the mean plus kReserveDeviations standard deviations.
   return static_cast<std::int64_t>(std::ceil((jobs + constants::kReserveDeviations * std::sqrt(jobs)) * mean));
 }
 
-// ---- hints ----
+// ---- hints of a standby controller ----
 
 void DemandEstimator::apply_largest_job_hint(const std::string& job_class, std::uint32_t tasks, plan::Instant now) {
   sizes_.learn(job_class, tasks, now);
@@ -86,7 +86,7 @@
   entry->second.arrivals = std::move(before);
 }
 
-void DemandEstimator::apply_gpu_hint(const GpuPeaks& peaks, plan::Items cpus_beside, plan::Items ram_beside) {
+void DemandEstimator::apply_gpu_hint(const GpuPeaks& peaks, plan::Items cpus_per_gpu, plan::Items ram_per_gpu) {
   GpuPeaks merged;
   for (const GpuPeaks* source : {&peaks, static_cast<const GpuPeaks*>(&gpu_peaks_)}) {
     for (const auto& [when, items] : *source) {
@@ -95,8 +95,8 @@
     }
   }
   gpu_peaks_ = std::move(merged);
-  usage_per_gpu_.of[0] = std::max(usage_per_gpu_.of[0], cpus_beside);
-  usage_per_gpu_.of[2] = std::max(usage_per_gpu_.of[2], ram_beside);
+  usage_per_gpu_.of[0] = std::max(usage_per_gpu_.of[0], cpus_per_gpu);
+  usage_per_gpu_.of[2] = std::max(usage_per_gpu_.of[2], ram_per_gpu);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/demand_estimator.h
+++ b/src/control/demand_estimator.h
@@ -1,4 +1,7 @@
-// What this leader has learnt of the work that comes: classes and their arrivals, sizes, and what GPU work wants. Pure.
+// Estimates the work to expect from what this leader has observed: arrivals and job sizes of each job class, and the
+// demand for GPUs.
+//
+// No I/O: the caller passes in the time. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -14,51 +17,58 @@
 
 namespace foxshunt::control {
 
+// The demand of one job class.
 struct ClassDemand {
-  wire::JobSpec sample;                                          // the newest job of it
-  std::deque<std::pair<plan::Instant, std::uint32_t>> arrivals;  // when, and how many tasks
+  wire::JobSpec sample;                                          // the newest job of the class
+  std::deque<std::pair<plan::Instant, std::uint32_t>> arrivals;  // submission time and number of tasks of each job
 };
 
 class DemandEstimator {
  public:
-  // `each`: what one of its tasks takes.
+  // Records the arrival of a job. `each`: the resources of one of its tasks.
   void record_job(const wire::JobSpec& spec, const plan::Amounts& each, plan::Instant submitted);
-  // GPUs that all jobs want at once, and that machines which are up or booting have.
+  // Records how many GPUs all jobs want now, and how many the machines that are up or booting have.
   void record_gpu_counts(plan::Items wanted, plan::Items available, plan::Instant now);
 
   [[nodiscard]] const std::map<std::string, ClassDemand>& classes() const { return classes_; }
-  // Whether a job of so many tasks is among the largest of its class.
+  // Whether a job of `tasks` tasks is among the largest of its class.
   [[nodiscard]] bool is_among_largest(const std::string& job_class, std::uint32_t tasks) const {
     return sizes_.largest(job_class, tasks);
   }
-  // GPUs that machines have beyond what was wanted at once of late: plain work may take these machines as a whole.
+  // Number of GPUs in excess of the peak demand within kGpuDemandWindow. Jobs without GPUs may use the machines of
+  // these GPUs fully.
   [[nodiscard]] plan::Items unclaimed_gpus() const { return unclaimed_gpus_; }
-  // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
+  // The capacity of a machine of `type` that tasks of the job may use. On GPU machines, jobs without GPUs must leave
+  // the CPUs and memory free that GPU jobs need, unless they fit on no other one of `types`.
   [[nodiscard]] plan::Amounts usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type,
                                               const std::vector<wire::MachineType>& types) const;
-  // How many tasks of the class most likely come within `cover_s`, by what came of late.
+  // Upper estimate of the number of tasks of the class that arrive within `cover_s` seconds, from the arrivals within
+  // kDemandWindow.
   [[nodiscard]] std::int64_t expected_tasks(const std::string& job_class, double cover_s, plan::Instant now);
 
-  // ---- for and by a standby's hints ----
+  // ---- state that is exchanged with standby controllers as hints ----
   using Arrivals = std::deque<std::pair<plan::Instant, std::uint32_t>>;
   using GpuPeaks = std::deque<std::pair<plan::Instant, plan::Items>>;
   [[nodiscard]] std::uint32_t largest_job_size(const std::string& job_class) const { return sizes_.most(job_class); }
   [[nodiscard]] const GpuPeaks& gpu_peaks() const { return gpu_peaks_; }
   [[nodiscard]] const plan::Amounts& usage_per_gpu() const { return usage_per_gpu_; }
   void apply_largest_job_hint(const std::string& job_class, std::uint32_t tasks, plan::Instant now);
-  // Of a class that no job known here is of.
+  // Adds a class of which this leader has seen no job.
   void apply_sample_hint(const wire::JobSpec& sample);
-  // In place of the arrivals up to `taken` that records tell, which are of jobs that are not done yet.
+  // Replaces the arrivals up to `taken_at`, the time of the hint. Those were learnt from records, which only contain
+  // unfinished jobs; `before` also covers the finished ones.
   void apply_arrivals_hint(const std::string& job_class, Arrivals before, plan::Instant taken_at);
-  void apply_gpu_hint(const GpuPeaks& peaks, plan::Items cpus_beside, plan::Items ram_beside);
+  // Merges the peaks of GPU demand, and the CPUs and memory that GPU tasks use per GPU.
+  void apply_gpu_hint(const GpuPeaks& peaks, plan::Items cpus_per_gpu, plan::Items ram_per_gpu);
 
  private:
   std::map<std::string, ClassDemand> classes_;
   aging::JobSizes sizes_;
-  std::deque<std::pair<plan::Instant, plan::Items>>
-      gpu_peaks_;                   // wanted at once, falling: its front is the latest peak
-  plan::Items unclaimed_gpus_ = 0;  // that machines have beyond it
-  plan::Amounts usage_per_gpu_;     // most that tasks take beside each GPU, as far as seen
+  // Maxima of the GPUs wanted at once, in order of time and decreasing; the front is the peak of the window.
+  std::deque<std::pair<plan::Instant, plan::Items>> gpu_peaks_;
+  plan::Items unclaimed_gpus_ = 0;  // GPUs of all machines beyond that peak
+  // Largest CPUs and memory of a GPU task for each of its GPUs; zero until a GPU task has been seen.
+  plan::Amounts usage_per_gpu_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/task_pricing.cpp
+++ b/src/control/task_pricing.cpp
@@ -12,8 +12,8 @@
   return demand_.usable_capacity(spec, type, cluster_.types);
 }
 
-// The longest, as it isn't known yet which kind will be rented: a shorter one would have tasks that wait for a slow
-// kind rent again in every pass until the cloud has no more.
+// Uses the longest boot time because the kind that will be rented is not known yet. With a shorter one, tasks that wait
+// for a slow kind would rent more machines in every pass until the cloud has none left.
 Millis TaskPricing::max_boot_time(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double longest_s = 0;
@@ -24,8 +24,9 @@
   return from_seconds(longest_s) + constants::kCloudCallTimeout;
 }
 
-// What is left of a boot that is late. Most end soon after their time; one that is very late may never end, and is
-// no longer worth waiting for once it has taken as long again.
+// Most late boots finish soon after the expected time, so a quarter of the boot time is assumed to remain. A boot that
+// has taken more than kBootSlackFactor times the boot time may never finish: it is assumed to take as long again, so
+// that waiting for it is no longer worthwhile.
 Millis TaskPricing::remaining_boot_time(const Machine& machine, Instant now) const {
   const wire::MachineType* type = cluster_.type(machine.type);
   const Millis boot = from_seconds(type == nullptr ? 0 : type->boot_s);
@@ -33,7 +34,6 @@
   return elapsed < boot * constants::kBootSlackFactor ? boot / 4 : elapsed;
 }
 
-// From the wish for a machine to a task that runs on it.
 double TaskPricing::shortest_startup_s(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double shortest_s = 0;
@@ -68,9 +68,10 @@
   });
 }
 
-// How long a machine is kept idle. What will come is not known. Keeping it for as long as booting it again would
-// take costs at most twice the lowest possible, as with hired skis; half of that cost less on the deployments known,
-// where the next work mostly finds cheaper machines. Where an aim leaves no time for a boot, it is kept for longer.
+// The next arrival is unknown, as in the ski rental problem. Keeping a machine idle for as long as its next boot would
+// take costs at most twice the optimum. Half of that time (kIdleShareOfBoot) cost less on the known deployments, where
+// the next work mostly finds cheaper machines. Machines for classes whose objective leaves no time for a boot are kept
+// longer.
 Millis TaskPricing::max_idle_time(const Machine& machine) const {
   if (cluster_.settings.operators.idle_return_s > 0) return from_seconds(cluster_.settings.operators.idle_return_s);
   if (serves_urgent_class(machine)) return constants::kIdleBeforeScaleInUrgent;
--- a/src/control/task_pricing.h
+++ b/src/control/task_pricing.h
@@ -1,7 +1,7 @@
-// What machines cost and how long they take until they are up, as seen from one task or one class of jobs.
+// Prices and startup times of machines, from the point of view of a task or a job class.
 //
-// A view for the length of a call: it holds references to the cluster state and to the demand that it was made of, owns
-// nothing, changes nothing, and must not be stored. Pure.
+// A view for a single call: holds references to the cluster state and the demand estimator, and must not be stored.
+// Reads only.
 #pragma once
 
 #include <string>
@@ -12,6 +12,7 @@
 
 namespace foxshunt::control {
 
+// Price per hour of a machine of `type`.
 [[nodiscard]] inline double hourly_price(const wire::MachineType& type, bool spot) {
   return spot ? type.spot_price : type.price;
 }
@@ -20,21 +21,25 @@
  public:
   TaskPricing(const ClusterState& cluster, const DemandEstimator& demand) : cluster_(cluster), demand_(demand) {}
 
-  // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
+  // The capacity of a machine of `type` that tasks of the job may use, see DemandEstimator::usable_capacity().
   [[nodiscard]] Amounts usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type) const;
-  // An hour of the cheapest kind for one task of the job, whether there is one to rent or not.
+  // Lowest price per hour for one task of the job on any allowed machine type, whether available or not. Zero if the
+  // job fits on none.
   [[nodiscard]] double lowest_task_price(const wire::JobSpec& spec) const;
-  // How long tasks of the job wait for a machine that boots rather than for another one to be rented.
+  // Longest boot time of the machine types that the job may use, plus the time of the call to the cloud. Tasks wait
+  // this long for a booting machine before another one is rented.
   [[nodiscard]] Millis max_boot_time(const wire::JobSpec& spec) const;
-  // What is left of a boot that is late.
+  // Estimated remaining boot time of a machine that is not up at the expected time.
   [[nodiscard]] Millis remaining_boot_time(const Machine& machine, Instant now) const;
-  // Whether a class has an objective that leaves no time for a boot.
+  // Whether the job class has an objective that leaves no time to boot a machine. `sample`: a job of the class.
   [[nodiscard]] bool is_urgent_class(const std::string& job_class, const wire::JobSpec& sample) const;
-  // How long a machine is kept idle.
+  // How long the machine may be idle before it is returned.
   [[nodiscard]] Millis max_idle_time(const Machine& machine) const;
 
  private:
+  // Shortest time from the request for a machine until a task of the job runs on it.
   [[nodiscard]] double shortest_startup_s(const wire::JobSpec& spec) const;
+  // Whether the machine can run tasks of an urgent class at an acceptable price.
   [[nodiscard]] bool serves_urgent_class(const Machine& machine) const;
 
   const ClusterState& cluster_;
