--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -27,51 +27,51 @@
   const bool zone_awaited = is_zone_return_awaited(machine, now);
   if (machine.state == MachineState::booting && is_boot_lost(machine, now) && !zone_awaited) {
     machine.state = MachineState::returning;
-    machine.why = "it did not come up";
+    machine.why = "boot timed out";
     return ReviewResult::returning;
   }
   if (machine.state == MachineState::draining) {
     machine.state = MachineState::returning;
     return ReviewResult::returning;
   }
-  // Dead machines stay listed for a while.
+  // A machine whose lease has expired is returned only two lease times after its last heartbeat.
   if (machine.expired && !zone_awaited && now - machine.last_heartbeat > lease_span(cluster_.settings) * 2) {
     machine.state = MachineState::returning;
-    if (machine.why.empty()) machine.why = "it is silent";
+    if (machine.why.empty()) machine.why = "no heartbeats received";
     return ReviewResult::returning;
   }
   return is_deleted(machine, now) ? ReviewResult::deleted : ReviewResult::active;
 }
 
 void MachineHousekeeper::expire_lease(Machine& machine, Instant now) {
-  // Nobody can have renewed its lease since.
+  // is_lease_expired() implies that no controller can have renewed the lease.
   if (machine.expired || machine.state == MachineState::booting || !cluster_.is_lease_expired(machine, now)) return;
   machine.expired = true;
   const std::set<TaskKey> tasks = machine.allocations.copy();
   if (!tasks.empty() || machine.has_reported) {
-    // Of a zone that is gone one line tells, not hundreds.
+    // The loss of a whole zone is logged once for the zone, so its machines are only logged at debug level.
     const bool log_each = cluster_.zones.of(machine.zone) != zone::State::cut;
-    spdlog::log(log_each ? spdlog::level::info : spdlog::level::debug,
-                "machine {} is silent, its lease has ended with {} tasks", machine.id.text(), tasks.size());
+    spdlog::log(log_each ? spdlog::level::info : spdlog::level::debug, "machine_lease_expired machine={} tasks={}",
+                machine.id.text(), tasks.size());
   }
-  for (const TaskKey& key : tasks) tasks_.mark_task_lost(key, "the machine's lease ended", now);
+  for (const TaskKey& key : tasks) tasks_.mark_task_lost(key, "the agent lease expired", now);
 }
 
 void MachineHousekeeper::expire_tasks_of_unreported_machine(Machine& machine, Instant now) {
-  // They count until the lease can't have been renewed.
+  // The tasks count as running until the lease has certainly expired.
   if (machine.state != MachineState::booting || machine.allocations.empty() || !cluster_.is_lease_expired(machine, now))
     return;
   const std::set<TaskKey> tasks = machine.allocations.copy();
   for (const TaskKey& key : tasks) {
     Job& job = cluster_.jobs.at(key.job);
-    tasks_.confirm_terminated(job, key.index, "no leader has heard of its machine", now);
+    tasks_.confirm_terminated(job, key.index, "the machine has never reported", now);
     tasks_.end_gang_attempt(job);
   }
 }
 
 bool MachineHousekeeper::is_boot_lost(const Machine& machine, Instant now) const {
-  // A new leader hears of machines by the list before their agents send it heartbeats: those that are up must not be taken for
-  // lost boots. They have the time in which an agent finds its leader.
+  // A new leader may learn of a running machine from the cloud's list before the agent's first heartbeat. Such a
+  // machine must not count as a lost boot, so agents get time to find the new leader.
   const Millis boot = cluster_.boot_time(machine.type);
   const Millis lease_time = lease_span(cluster_.settings);
   const Millis known_for = now - machine.known;
@@ -81,8 +81,8 @@
 }
 
 bool MachineHousekeeper::is_deleted(const Machine& machine, Instant now) const {
-  // One that is neither heard nor listed no longer exists. The same of one that only a standby's word tells of: it may have
-  // been returned since.
+  // A machine without a known type was only named by a record, one with a hinted state only by a standby controller's
+  // hint. If it neither reports nor is listed, it does not exist any more: it may have been returned since.
   const Millis unlisted_timeout =
       from_seconds(cluster_.settings.cloud_list_delay_s * 3) + constants::kCloudListInterval * 4;
   const bool only_hinted = machine.type.empty() || machine.hinted != inventory::Hinted::no;
@@ -111,9 +111,9 @@
 }
 
 bool MachineHousekeeper::is_idle(const Machine& machine, Instant now) const {
-  // One that a waiting task is booked on is not idle.
+  // A machine with a booking for a waiting task is not idle.
   if (!machine.allocations.empty() || has_bookings(machine) || machine.state != MachineState::up) return false;
-  // A silent one of a zone that is waited for is wanted when it is back, most likely.
+  // A silent machine of a zone that is expected back will most likely be needed when the zone returns.
   return !(is_zone_return_awaited(machine, now) && cluster_.machines.silent(machine, now));
 }
 
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -14,7 +14,7 @@
 using guards::Guard;
 using guards::kept;
 
-// ---- delegations ----
+// ---- delegations of lease renewal ----
 
 bool ZoneCoordinator::has_tasks_to_stop(const Machine& machine) const {
   if (machine.has_unknown_tasks && kept(Guard::grant_strangers)) return true;
@@ -24,10 +24,12 @@
   });
 }
 
-// Machines that only the leader may answer. One with tasks of a withdrawn job: its user was told so before the moment up
-// to which the leader knows all changes, so that the fence's reckoning does not cover it and only a halt does. One with
-// tasks that no record places there, for the same reason. And one that neither this leader nor the holder hears, though
-// the holder is heard: it has most likely died, and its tasks need not wait for the grant's end to start elsewhere.
+// Excluded are:
+// - machines with tasks of a cancelled job. The user was told of the cancellation before the time up to which the
+//   leader knows all changes. The fence does not cover such a task, so only a stop command ends it.
+// - machines with tasks that no record places there, for the same reason.
+// - machines that neither the leader nor the delegate hears, although the delegate itself is heard. They have most
+//   likely failed, and their tasks can start elsewhere without waiting for the end of the delegation.
 std::vector<MachineId> ZoneCoordinator::machines_excluded_from_delegation(const std::string& zone, Instant now) const {
   std::vector<MachineId> excluded;
   for (const auto& [id, machine] : cluster_.machines) {
@@ -47,19 +49,20 @@
   const auto sibling = std::ranges::find(cluster_.settings.siblings, request.node, &config::Sibling::name);
   if (sibling == cluster_.settings.siblings.end()) return std::nullopt;
   const bool older_terms_had_ended = cluster_.delegations.have_older_terms_ended();
-  // First what the word tells: a machine that the sibling has answered is not taken for dead.
+  // The request is processed first: it names the machines that the sibling has answered, which must not be taken for
+  // failed.
   if (!cluster_.delegations.hear(request, leadership_.term(), now)) return std::nullopt;
   std::vector<MachineId> excluded;
-  std::optional<Instant> known;
+  std::optional<Instant> confirmed_until;
   if (cluster_.settings.operators.zone_lease_delegation) {
     excluded = machines_excluded_from_delegation(sibling->zone, now);
-    if (excluded.size() <= constants::kMaxDelegationMachines) known = leadership_.last_confirmed();
+    if (excluded.size() <= constants::kMaxDelegationMachines) confirmed_until = leadership_.last_confirmed();
   }
   if (!older_terms_had_ended && cluster_.delegations.have_older_terms_ended()) {
     cluster_.older_leaders_until = std::min(cluster_.older_leaders_until, now);
-    spdlog::info("every sibling has left older terms");
+    spdlog::info("older_terms_ended reason=\"no other controller can renew leases of an older term\"");
   }
-  return cluster_.delegations.give(request.node, leadership_.term(), known, excluded, now);
+  return cluster_.delegations.give(request.node, leadership_.term(), confirmed_until, excluded, now);
 }
 
 // ---- zone health ----
@@ -92,18 +95,18 @@
   for (const zone::Change& change : cluster_.zones.look(collect_zone_observations(now), now)) {
     spdlog::log(change.to == zone::State::whole || change.to == zone::State::returning ? spdlog::level::info
                                                                                        : spdlog::level::warn,
-                "zone {} is {}, it was {}: {} machines heard, {} silent with {} tasks, {} with ended leases{}",
+                "zone_state_changed zone={} state={} previous={} heard={} silent={} silent_tasks={} expired={}{}",
                 change.zone, zone::name_of(change.to), zone::name_of(change.from), change.seen.heard,
                 change.seen.silent, change.seen.tasks, change.seen.ended,
                 !change.seen.sibling ? ""
                 : !change.seen.sibling_silent
-                    ? ", its controller was never heard"
-                    : ", its controller was heard " + std::to_string(change.seen.sibling_silent->count()) + " ms ago");
+                    ? " controller_last_heard=never"
+                    : " controller_last_heard=\"" + std::to_string(change.seen.sibling_silent->count()) + " ms ago\"");
     cluster_.plan_wanted = true;
   }
 }
 
-// ---- work of zones that are left ----
+// ---- zones out of service ----
 
 void ZoneCoordinator::drain_zones_out_of_service() {
   if (cluster_.settings.operators.zones_out.empty()) return;
--- a/src/control/zone_coordinator.h
+++ b/src/control/zone_coordinator.h
@@ -1,9 +1,9 @@
-// Zones: which of them are there, to which other controllers the right to renew agents' leases is delegated, and services that have
-// to leave a zone.
+// Handles zones: tracks their health, delegates the right to renew agents' leases to other controllers, and drains
+// services from zones that are out of service.
 //
-// The delegations and the view of zones stand in the cluster state; this module alone changes them. Is given the cluster state
-// and leadership, which it asks. Never moves a batch task: where a zone is lost, its tasks start again elsewhere once they are
-// confirmed terminated. Made for the moment of a call and not kept; pure; not thread-safe.
+// The delegation table and the zone health monitor are part of the cluster state and changed only here. Asks
+// leadership. Does not move batch tasks: when a zone is lost, its tasks are started elsewhere once they are confirmed
+// terminated. Constructed for a single call and not kept. No I/O; not thread-safe.
 #pragma once
 
 #include <map>
@@ -23,18 +23,23 @@
  public:
   ZoneCoordinator(ClusterState& cluster, const Leadership& leadership) : cluster_(cluster), leadership_(leadership) {}
 
-  // What another controller that asks is delegated; nothing when it is none of the settings, its request is stale, or nothing
-  // can be delegated now.
+  // Handles another controller's request for a delegation and returns what is delegated. None if this controller does
+  // not lead, the sender is not configured as a sibling, or the request is stale. If nothing can be delegated now, the
+  // returned delegation has already expired and only answers the request.
   [[nodiscard]] std::optional<zone::LeaseDelegation> on_delegation_request(const zone::DelegationRequest& request,
                                                                            Instant now);
-  // Looks at the machines of each zone and logs what has changed.
+  // Updates the health of each zone from its machines' heartbeats and logs changes.
   void observe_zones(Instant now);
-  // Moves services out of zones that are out of service, one machine after the other; all other work runs out.
+  // Drains machines that run only services in zones that are out of service, one machine at a time. Other jobs run to
+  // their end.
   void drain_zones_out_of_service();
 
  private:
+  // The machines of the zone whose leases only the leader may renew.
   [[nodiscard]] std::vector<MachineId> machines_excluded_from_delegation(const std::string& zone, Instant now) const;
+  // Whether the machine has tasks that only a command of the leader stops.
   [[nodiscard]] bool has_tasks_to_stop(const Machine& machine) const;
+  // Counts the machines of each zone by state, and says when each zone's controller was last heard.
   [[nodiscard]] std::map<std::string, zone::ZoneObservation> collect_zone_observations(Instant now) const;
 
   ClusterState& cluster_;
