--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -1,3 +1,4 @@
+// Tests of Autoscaler: what is requested from the cloud for late tasks, and how its answers are processed.
 #include "control/autoscaler.h"
 
 #include "cluster_fixture.h"
@@ -17,7 +18,7 @@
 
 TEST_F(AutoscalerTest, ScalesOutForLateTasks) {
   Job& job = add_job(spec_of("j-000001", 6));
-  job.late_tasks = 6;  // four to a machine
+  job.late_tasks = 6;  // four fit on one machine
   size_fleet({&job});
   const auto request = autoscaler_.next_scale_out(cluster_, kTerm, now_);
   ASSERT_TRUE(request);
@@ -25,23 +26,23 @@
   EXPECT_EQ(request->count, 2U);
 }
 
-TEST_F(AutoscalerTest, NeverScalesOutBeyondTheQuota) {
+TEST_F(AutoscalerTest, DoesNotScaleOutBeyondTheQuota) {
   Job& job = add_job(spec_of("j-000001", 100));
-  job.late_tasks = 100;  // eight fit the quota of 32 CPUs
+  job.late_tasks = 100;  // eight fit into the quota of 32 CPUs, four of them on one machine
   size_fleet({&job});
   const auto request = autoscaler_.next_scale_out(cluster_, kTerm, now_);
   ASSERT_TRUE(request);
   EXPECT_EQ(request->count, 2U);
 }
 
-TEST_F(AutoscalerTest, AsksForNothingWhereNothingIsLate) {
+TEST_F(AutoscalerTest, RequestsNothingIfNoTaskIsLate) {
   Job& job = add_job(spec_of("j-000001", 6));
   size_fleet({&job});
   EXPECT_FALSE(autoscaler_.next_scale_out(cluster_, kTerm, now_));
   EXPECT_FALSE(autoscaler_.has_pending_cloud_work(cluster_));
 }
 
-TEST_F(AutoscalerTest, AsksForNothingWhereTheSettingsForbidIt) {
+TEST_F(AutoscalerTest, RequestsNothingIfSettingsForbidScaleOut) {
   cluster_.settings.operators.can_scale_out = false;
   Job& job = add_job(spec_of("j-000001", 6));
   job.late_tasks = 6;
@@ -49,7 +50,7 @@
   EXPECT_FALSE(autoscaler_.next_scale_out(cluster_, kTerm, now_));
 }
 
-TEST_F(AutoscalerTest, MachinesThatWereGivenAreKnownToBoot) {
+TEST_F(AutoscalerTest, AddsRentedMachinesAsBooting) {
   Job& job = add_job(spec_of("j-000001", 4));
   job.late_tasks = 4;
   size_fleet({&job});
@@ -62,7 +63,7 @@
   EXPECT_TRUE(cluster_.plan_wanted);
 }
 
-TEST_F(AutoscalerTest, ASuccessorKnowsWhatTheCloudRefusedAndNothingElse) {
+TEST_F(AutoscalerTest, SuccessorKeepsOnlyRefusals) {
   Job& job = add_job(spec_of("j-000001", 4));
   job.late_tasks = 4;
   size_fleet({&job});
--- a/tests/unit/demand_and_capacity_test.cpp
+++ b/tests/unit/demand_and_capacity_test.cpp
@@ -1,4 +1,4 @@
-// What the cloud may have, and what the work that comes may want of it.
+// Tests of CloudCapacityTracker (requests to the cloud and its refusals) and DemandEstimator (expected work).
 #include "control/cloud_capacity_tracker.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   CloudCapacityTracker capacity_;
 };
 
-TEST_F(CloudCapacityTrackerTest, TheSameRequestUntilItIsAnswered) {
+TEST_F(CloudCapacityTrackerTest, RepeatsRequestUntilItIsAnswered) {
   EXPECT_FALSE(capacity_.has_wanted_machines());
   capacity_.set_wanted({{kPlain, 3}, {kBig, 1}});
   const auto first = capacity_.next_request(kTerm, {}, now_);
@@ -41,8 +41,8 @@
   EXPECT_FALSE(capacity_.has_wanted_machines());
 }
 
-// What is under way is not asked for once more when the fleet is sized before its machines are booked.
-TEST_F(CloudCapacityTrackerTest, WhatIsUnderWayCounts) {
+// Machines of the pending request must not be requested again when the wanted machines are computed before its answer.
+TEST_F(CloudCapacityTrackerTest, SubtractsPendingRequestFromWantedMachines) {
   capacity_.set_wanted({{kPlain, 3}});
   const auto request = capacity_.next_request(kTerm, {}, now_);
   capacity_.set_wanted({{kPlain, 5}});
@@ -52,14 +52,14 @@
   EXPECT_EQ(rest->count, 2U);
 }
 
-TEST_F(CloudCapacityTrackerTest, ARefusalHoldsUntilThereIsRoomOrItsPauseEnds) {
+TEST_F(CloudCapacityTrackerTest, RefusalHoldsUntilFewerMachinesAreHeldOrBackoffEnds) {
   const Millis pause = capacity_.on_refused(kPlain, 4, now_);
   EXPECT_EQ(pause, constants::kCapacityRefusalBackoff);
   EXPECT_FALSE(capacity_.is_available(kPlain, {{kPlain, 4}}, now_));
   EXPECT_TRUE(capacity_.is_available(kPlain, {{kPlain, 3}}, now_));
   EXPECT_TRUE(capacity_.is_available(kBig, {}, now_));
   EXPECT_TRUE(capacity_.is_available(kPlain, {{kPlain, 4}}, now_ + pause));
-  // Refused again and again, it is asked less and less often, up to a bound.
+  // Each further refusal increases the backoff, up to a limit.
   Millis last = pause;
   for (int time = 0; time < 20; ++time) {
     const Millis next = capacity_.on_refused(kPlain, 4, now_);
@@ -71,7 +71,7 @@
   EXPECT_TRUE(capacity_.is_available(kPlain, {{kPlain, 4}}, now_));
 }
 
-TEST_F(CloudCapacityTrackerTest, ANewLeadKeepsRefusalsAlone) {
+TEST_F(CloudCapacityTrackerTest, SuccessorKeepsOnlyRefusals) {
   capacity_.set_wanted({{kPlain, 3}, {kBig, 1}});
   (void)capacity_.next_request(kTerm, {}, now_);
   capacity_.on_refused(kPlain, 0, now_);
@@ -79,7 +79,8 @@
   EXPECT_FALSE(successor_tracker.has_wanted_machines());
   EXPECT_FALSE(successor_tracker.is_available(kPlain, {}, now_));
   successor_tracker.set_wanted({{kPlain, 3}});
-  EXPECT_FALSE(successor_tracker.next_request(kTerm, {}, now_));  // sized before the refusal
+  EXPECT_FALSE(
+      successor_tracker.next_request(kTerm, {}, now_));  // the wanted machines were computed without the refusal
 }
 
 class DemandEstimatorTest : public testing::Test {
@@ -101,7 +102,7 @@
   DemandEstimator demand_;
 };
 
-TEST_F(DemandEstimatorTest, ExpectsWhatCameOfLate) {
+TEST_F(DemandEstimatorTest, EstimatesExpectedTasksFromRecentArrivals) {
   const wire::JobSpec spec = spec_of("render", 4, 2, 0);
   EXPECT_EQ(demand_.expected_tasks("render", 60, now_), 0);
   for (int job = 0; job < 20; ++job) learn(spec);
@@ -111,8 +112,9 @@
   EXPECT_EQ(demand_.expected_tasks("render", 60, now_), 0);
 }
 
-// A lead lasts for weeks, and of most classes nobody asks what they expect.
-TEST_F(DemandEstimatorTest, ForgetsArrivalsThatNobodyAsksFor) {
+// A term may last for weeks, and expected_tasks() is never called for most classes. Their arrivals must not
+// accumulate.
+TEST_F(DemandEstimatorTest, DropsOldArrivalsOfClassesThatAreNeverQueried) {
   const wire::JobSpec spec = spec_of("render", 4, 2, 0);
   for (int job = 0; job < 1'000; ++job) {
     learn(spec);
@@ -121,28 +123,28 @@
   EXPECT_LE(demand_.classes().at("render").arrivals.size(), 11U);
 }
 
-TEST_F(DemandEstimatorTest, GpusBeyondTheLatestPeakAreSpare) {
+TEST_F(DemandEstimatorTest, GpusBeyondRecentPeakAreUnclaimed) {
   demand_.record_gpu_counts(6, 16, now_);
   EXPECT_EQ(demand_.unclaimed_gpus(), 10);
   demand_.record_gpu_counts(2, 16, now_ + Millis(1'000));
-  EXPECT_EQ(demand_.unclaimed_gpus(), 10);  // they were wanted a moment ago
+  EXPECT_EQ(demand_.unclaimed_gpus(), 10);  // the peak of one second ago still counts
   demand_.record_gpu_counts(2, 16, now_ + constants::kGpuDemandWindow + Millis(500));
   EXPECT_EQ(demand_.unclaimed_gpus(), 14);
   demand_.record_gpu_counts(20, 16, now_ + constants::kGpuDemandWindow + Millis(501));
   EXPECT_EQ(demand_.unclaimed_gpus(), 0);
 }
 
-TEST_F(DemandEstimatorTest, PlainWorkLeavesTheRoomBesideGpus) {
+TEST_F(DemandEstimatorTest, JobsWithoutGpusLeaveCpusForGpuJobs) {
   const std::vector<wire::MachineType> types{{.name = "gpu", .cpus = 32, .gpus = 4, .ram_gb = 128},
                                              {.name = "plain", .cpus = 16, .ram_gb = 64}};
   const wire::JobSpec plain = spec_of("render", 1, 2, 0);
-  EXPECT_EQ(demand_.usable_capacity(plain, types[0], types).of[0], 0);  // nothing was seen of GPU work yet
+  EXPECT_EQ(demand_.usable_capacity(plain, types[0], types).of[0], 0);  // no GPU job has been seen yet
   learn(spec_of("train", 1, 4, 1));
   EXPECT_EQ(demand_.usable_capacity(plain, types[0], types).of[0], 16'000);
   EXPECT_EQ(demand_.usable_capacity(plain, types[1], types).of[0], 16'000);
   EXPECT_EQ(demand_.usable_capacity(spec_of("train", 1, 4, 1), types[0], types).of[0], 32'000);
   wire::JobSpec bound = plain;
-  bound.types = {"gpu"};  // it can't run without
+  bound.types = {"gpu"};  // the job can only run on GPU machines
   EXPECT_EQ(demand_.usable_capacity(bound, types[0], types).of[0], 32'000);
 }
 
--- a/tests/unit/machine_housekeeper_test.cpp
+++ b/tests/unit/machine_housekeeper_test.cpp
@@ -1,3 +1,4 @@
+// Tests of MachineHousekeeper: lease expiry, and the return and removal of machines.
 #include "control/machine_housekeeper.h"
 
 #include "cluster_fixture.h"
@@ -16,7 +17,7 @@
     leadership_.begin_term(Term(7), Revision(1), now_);
   }
 
-  // Lets time pass in which the leader stays confirmed.
+  // Advances the time and confirms leadership at the new time.
   void advance_time(Millis span) {
     now_ += span;
     leadership_.on_lease_confirmed(now_);
@@ -29,7 +30,7 @@
   Machine& machine_;
 };
 
-TEST_F(MachineHousekeeperTest, TasksOfAMachineWhoseLeaseHasEndedAreConfirmedTerminated) {
+TEST_F(MachineHousekeeperTest, ConfirmsTerminationOfTasksAfterLeaseExpiry) {
   Job& job = add_job(spec_of("j-000001", 1));
   place(job, 0, machine_);
   advance_time(lease_span(cluster_.settings) - Millis(1));
@@ -41,18 +42,18 @@
   EXPECT_TRUE(machine_.expired);
 }
 
-TEST_F(MachineHousekeeperTest, ADrainedMachineIsReturnedOnceItIsEmpty) {
+TEST_F(MachineHousekeeperTest, ReturnsDrainedMachineOnceItIsEmpty) {
   Job& job = add_job(spec_of("j-000001", 1));
   place(job, 0, machine_);
   machine_.state = MachineState::draining;
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.state, MachineState::draining);
-  TaskLifecycle(cluster_, leadership_).confirm_terminated(job, 0, "a test says so", now_);
+  TaskLifecycle(cluster_, leadership_).confirm_terminated(job, 0, "requested by the test", now_);
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.state, MachineState::returning);
 }
 
-TEST_F(MachineHousekeeperTest, AMachineThatStaysIdleIsReturned) {
+TEST_F(MachineHousekeeperTest, ReturnsIdleMachine) {
   cluster_.settings.operators.idle_return_s = 5;
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.idle_since, now_);
@@ -62,7 +63,7 @@
   EXPECT_EQ(machine_.why, "it is idle");
 }
 
-TEST_F(MachineHousekeeperTest, AMachineThatOnlyARecordTellsOfIsForgottenWhenNoListNamesIt) {
+TEST_F(MachineHousekeeperTest, ForgetsMachineThatNeitherReportsNorIsListed) {
   cluster_.know_machine(MachineId("m-000002"), now_);
   housekeeper_.review_machines(now_ + Millis(3'600'000));
   EXPECT_FALSE(cluster_.machines.contains(MachineId("m-000002")));
--- a/tests/unit/reconciler_test.cpp
+++ b/tests/unit/reconciler_test.cpp
@@ -1,3 +1,4 @@
+// Tests of Reconciler: which commands answer a heartbeat, and what the job table learns from it.
 #include "control/reconciler.h"
 
 #include "cluster_fixture.h"
@@ -25,7 +26,7 @@
 
   jobs::Allocation& allocation() { return *cluster_.jobs.find_allocation(task_); }
 
-  // A heartbeat of the machine that tells of these tasks.
+  // A new heartbeat of the machine that reports these tasks.
   wire::Heartbeat heartbeat(std::vector<wire::TaskStatus> tasks, AgentIncarnation incarnation = AgentIncarnation(1)) {
     return {.machine = machine_.id,
             .address = "127.0.0.1:1",
@@ -46,19 +47,19 @@
   std::uint64_t sequence_ = 0;
 };
 
-TEST_F(ReconcilerTest, StartsADurableAllocationThatTheHeartbeatDoesNotTellOf) {
+TEST_F(ReconcilerTest, StartsDurableAllocationMissingFromHeartbeat) {
   const auto commands = reconciler_.on_heartbeat(heartbeat({}), now_);
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands.front(), (wire::Command{.kind = CommandKind::run, .task = task_, .attempt = AttemptNumber(1)}));
 }
 
-TEST_F(ReconcilerTest, AHeartbeatThatIsNoNewsTeachesNothing) {
+TEST_F(ReconcilerTest, IgnoresRepeatedHeartbeat) {
   const wire::Heartbeat first = heartbeat({});
   (void)reconciler_.on_heartbeat(first, now_);
   EXPECT_TRUE(reconciler_.on_heartbeat(first, now_).empty());
 }
 
-TEST_F(ReconcilerTest, ATaskThatRunsIsSeenToHaveBegun) {
+TEST_F(ReconcilerTest, RecordsStartOfRunningTask) {
   const auto commands = reconciler_.on_heartbeat(
       heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::running}}), now_);
   EXPECT_TRUE(commands.empty());
@@ -66,7 +67,7 @@
   EXPECT_EQ(allocation().running_since, now_);
 }
 
-TEST_F(ReconcilerTest, ATaskThatWasSeenAndIsGoneIsConfirmedTerminated) {
+TEST_F(ReconcilerTest, ConfirmsTerminationOfTaskNoLongerReported) {
   (void)reconciler_.on_heartbeat(heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::running}}),
                                  now_);
   EXPECT_TRUE(reconciler_.on_heartbeat(heartbeat({}), now_).empty());
@@ -74,15 +75,15 @@
   EXPECT_EQ(job_.done_count, 0U);
 }
 
-TEST_F(ReconcilerTest, AnAgentThatHasNotSeenTheTermConfirmsNothing) {
+TEST_F(ReconcilerTest, ConfirmsNothingIfAgentHasNotSeenTheTerm) {
   allocation().seen = TaskState::running;
-  wire::Heartbeat of_earlier_term = heartbeat({});
-  of_earlier_term.term = Term(6);
-  (void)reconciler_.on_heartbeat(of_earlier_term, now_);
+  wire::Heartbeat old_term_heartbeat = heartbeat({});
+  old_term_heartbeat.term = Term(6);
+  (void)reconciler_.on_heartbeat(old_term_heartbeat, now_);
   EXPECT_EQ(job_.allocation_count, 1U);
 }
 
-TEST_F(ReconcilerTest, ATaskThatEndedWellIsDone) {
+TEST_F(ReconcilerTest, MarksSuccessfulTaskAsDone) {
   (void)reconciler_.on_heartbeat(
       heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::ended, .reason = EndReason::done}}),
       now_);
@@ -90,7 +91,7 @@
   EXPECT_EQ(job_.allocation_count, 0U);
 }
 
-TEST_F(ReconcilerTest, AnUnknownTaskIsKilled) {
+TEST_F(ReconcilerTest, KillsUnknownTask) {
   const TaskKey unknown{JobId("j-000009"), 0};
   const auto commands = reconciler_.on_heartbeat(
       heartbeat({{.task = unknown, .attempt = AttemptNumber(1), .state = TaskState::running}}), now_);
@@ -99,12 +100,12 @@
   EXPECT_TRUE(machine_.has_unknown_tasks);
 }
 
-TEST_F(ReconcilerTest, ALaterIncarnationOfTheAgentHasLostTheTasks) {
+TEST_F(ReconcilerTest, MarksTasksLostAfterAgentRestart) {
   (void)reconciler_.on_heartbeat(heartbeat({}, AgentIncarnation(2)), now_);
   EXPECT_EQ(job_.allocation_count, 0U);
 }
 
-TEST_F(ReconcilerTest, AMachineThatTheCloudTakesIsDrainedAndStartsNothing) {
+TEST_F(ReconcilerTest, DrainsMachineOnEvictionNoticeAndStartsNothing) {
   wire::Heartbeat notice = heartbeat({});
   notice.notice_s = 30;
   EXPECT_TRUE(reconciler_.on_heartbeat(notice, now_).empty());
@@ -112,13 +113,13 @@
   EXPECT_TRUE(allocation().stopping);
 }
 
-TEST_F(ReconcilerTest, AHeartbeatIsDurableWhenAllOfItsMachineIs) {
-  const wire::Heartbeat told = heartbeat({});
-  EXPECT_TRUE(is_heartbeat_durable(cluster_, told));
+TEST_F(ReconcilerTest, HeartbeatIsDurableWhenAllAllocationsOfItsMachineAre) {
+  const wire::Heartbeat empty_heartbeat = heartbeat({});
+  EXPECT_TRUE(is_heartbeat_durable(cluster_, empty_heartbeat));
   tasks_.place_task(job_, 1, AttemptNumber(1), machine_, now_);
-  EXPECT_FALSE(is_heartbeat_durable(cluster_, told));
+  EXPECT_FALSE(is_heartbeat_durable(cluster_, empty_heartbeat));
   write_records();
-  EXPECT_TRUE(is_heartbeat_durable(cluster_, told));
+  EXPECT_TRUE(is_heartbeat_durable(cluster_, empty_heartbeat));
 }
 
 }  // namespace
--- a/tests/unit/task_lifecycle_test.cpp
+++ b/tests/unit/task_lifecycle_test.cpp
@@ -1,3 +1,4 @@
+// Tests of TaskLifecycle: starting, stopping, draining, cancelling and ending tasks, including those of gangs.
 #include "control/task_lifecycle.h"
 
 #include "cluster_fixture.h"
@@ -30,7 +31,7 @@
   Machine& machine_;
 };
 
-TEST_F(TaskLifecycleTest, ATaskMayStartOnceItsAllocationIsDurable) {
+TEST_F(TaskLifecycleTest, TaskCanStartOnceItsAllocationIsDurable) {
   const Job& job = add_placed(spec_of("j-000001", 1), 1);
   jobs::Allocation& allocation = allocation_of(job, 0);
   EXPECT_FALSE(tasks_.can_start(job, allocation, now_));
@@ -39,7 +40,7 @@
   EXPECT_FALSE(tasks_.can_start(job, allocation, now_ + constants::kLeaderLeaseTtl));
 }
 
-TEST_F(TaskLifecycleTest, AMemberOfAGangStartsOnlyWhenAllAreDurable) {
+TEST_F(TaskLifecycleTest, GangMemberCanStartOnlyWhenAllAllocationsAreDurable) {
   Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 1);
   write_records();
   tasks_.place_task(job, 1, AttemptNumber(1), machine_, now_);
@@ -48,7 +49,7 @@
   EXPECT_TRUE(tasks_.can_start(job, allocation_of(job, 0), now_));
 }
 
-TEST_F(TaskLifecycleTest, AStopIsOnlyEverMadeSooner) {
+TEST_F(TaskLifecycleTest, GracePeriodIsOnlyShortened) {
   Job& job = add_placed(spec_of("j-000001", 1), 1);
   tasks_.stop_task(job, 0, 10);
   EXPECT_EQ(allocation_of(job, 0).grace_s, 10);
@@ -58,7 +59,7 @@
   EXPECT_EQ(allocation_of(job, 0).grace_s, 0);
 }
 
-TEST_F(TaskLifecycleTest, AStopThatNoHeartbeatHasTakenAlongIsSentDirectly) {
+TEST_F(TaskLifecycleTest, SendsStopDirectlyIfNoHeartbeatAnswerDeliversIt) {
   Job& job = add_placed(spec_of("j-000001", 1), 1);
   allocation_of(job, 0).seen = wire::TaskState::running;
   tasks_.stop_task(job, 0, 0);
@@ -71,17 +72,17 @@
   EXPECT_EQ(due.front().commands.front().task, (TaskKey{job.spec.id, 0}));
 }
 
-TEST_F(TaskLifecycleTest, WholeCheckpointsSurviveTheEndOfATask) {
+TEST_F(TaskLifecycleTest, KeepsCompleteCheckpointsWhenTaskEnds) {
   wire::JobSpec spec = spec_of("j-000001", 1);
   spec.checkpoint_s = 10;
   Job& job = add_placed(spec, 1);
   allocation_of(job, 0).running_since = now_;
-  tasks_.confirm_terminated(job, 0, "a test says so", now_ + Millis(25'000));
+  tasks_.confirm_terminated(job, 0, "requested by the test", now_ + Millis(25'000));
   EXPECT_EQ(job.allocation_count, 0U);
   EXPECT_EQ(job.saved.at(0), Millis(20'000));
 }
 
-TEST_F(TaskLifecycleTest, ACancelledJobLosesAtOnceWhatWasNeverDurable) {
+TEST_F(TaskLifecycleTest, CancellingDropsAllocationsThatAreNotDurable) {
   Job& job = add_placed(spec_of("j-000001", 2), 1);
   write_records();
   tasks_.place_task(job, 1, AttemptNumber(1), machine_, now_);
@@ -91,23 +92,23 @@
   EXPECT_TRUE(allocation_of(job, 0).stopping);
 }
 
-TEST_F(TaskLifecycleTest, ALostMemberOfAStartedGangEndsTheAttempt) {
+TEST_F(TaskLifecycleTest, LostMemberOfStartedGangEndsTheAttempt) {
   Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 2);
   for (const std::uint32_t index : {0U, 1U}) {
     allocation_of(job, index).seen = wire::TaskState::running;
     allocation_of(job, index).running_since = now_;
   }
-  tasks_.mark_task_lost({job.spec.id, 0}, "a test says so", now_);
+  tasks_.mark_task_lost({job.spec.id, 0}, "requested by the test", now_);
   EXPECT_EQ(job.allocation_count, 1U);
   EXPECT_TRUE(allocation_of(job, 1).stopping);
 }
 
-TEST_F(TaskLifecycleTest, ADrainedMachineHasItsTasksStoppedWithTheirCheckpointsGrace) {
+TEST_F(TaskLifecycleTest, DrainingStopsTasksWithCheckpointGracePeriod) {
   wire::JobSpec spec = spec_of("j-000001", 1);
   spec.checkpoint_s = 10;
   spec.save_s = 5;
   const Job& job = add_placed(spec, 1);
-  tasks_.drain_machine(machine_, "a test wants it");
+  tasks_.drain_machine(machine_, "requested by the test");
   EXPECT_EQ(machine_.state, MachineState::draining);
   EXPECT_TRUE(allocation_of(job, 0).stopping);
   EXPECT_GE(allocation_of(job, 0).grace_s, 5);
