--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -77,9 +77,10 @@
                                 now);
 }
 
-std::optional<CloudOffers::Offer> Autoscaler::offer_for_late(const CloudOffers& offers, const ClusterState& cluster,
-                                                             const Job& job, const DeadlinePlanner& deadlines,
-                                                             std::uint32_t late, Instant now) const {
+std::optional<CloudOffers::Offer> Autoscaler::offer_for_late_tasks(const CloudOffers& offers,
+                                                                   const ClusterState& cluster, const Job& job,
+                                                                   const DeadlinePlanner& deadlines, std::uint32_t late,
+                                                                   Instant now) const {
   if (job.overdue_tasks > 0) {
     // A machine that boots only after the work has to start is useless, however cheap.
     auto in_time = offers.find_cheapest(job.spec, late, constants::kMaxLatePriceFactor,
@@ -101,13 +102,13 @@
     // Does not rent for more tasks than the team's quota lets run at once.
     while (late > 0 && !quota_for(cluster, *job, late)) --late;
     if (late == 0) continue;
-    const auto offer = offer_for_late(offers, cluster, *job, deadlines, late, now);
+    const auto offer = offer_for_late_tasks(offers, cluster, *job, deadlines, late, now);
     if (offer) shares[offer->kind] += static_cast<double>(late) / static_cast<double>(offer->tasks_per_machine);
   }
 }
 
-void Autoscaler::add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares,
-                              Instant now) {
+void Autoscaler::add_spare_capacity(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares,
+                                    Instant now) {
   for (const auto& [name, demand] : demand_.classes()) {
     if (!pricing(cluster).is_urgent_class(name, demand.sample)) continue;
     const std::int64_t reserve = wanted_spare_capacity(cluster, name, demand.sample, now);
@@ -132,7 +133,7 @@
   const CloudOffers offers(cluster, prices, capacity_, held, now);
   MachineShares shares;
   add_late_tasks(offers, cluster, queue, deadlines, shares, now);
-  add_reserves(offers, cluster, shares, now);
+  add_spare_capacity(offers, cluster, shares, now);
   CloudCapacityTracker::WantedMachines wanted;
   for (const auto& [kind, share] : shares) wanted[kind] = static_cast<std::uint64_t>(std::ceil(share));
   capacity_.set_wanted(std::move(wanted));
--- a/src/control/autoscaler.h
+++ b/src/control/autoscaler.h
@@ -66,9 +66,10 @@
   using MachineShares = std::map<CloudCapacityTracker::Kind, double>;
 
   // The offer to rent for the `late` tasks of the job that would start too late.
-  [[nodiscard]] std::optional<CloudOffers::Offer> offer_for_late(const CloudOffers& offers, const ClusterState& cluster,
-                                                                 const Job& job, const DeadlinePlanner& deadlines,
-                                                                 std::uint32_t late, Instant now) const;
+  [[nodiscard]] std::optional<CloudOffers::Offer> offer_for_late_tasks(const CloudOffers& offers,
+                                                                       const ClusterState& cluster, const Job& job,
+                                                                       const DeadlinePlanner& deadlines,
+                                                                       std::uint32_t late, Instant now) const;
   // Returns how many more tasks like `spec` could start on machines that are up or booting. Marks the cheapest of these
   // machines that make up `reserve` tasks as spare.
   [[nodiscard]] std::int64_t spare_capacity(const ClusterState& cluster, const wire::JobSpec& spec,
@@ -80,7 +81,7 @@
   void add_late_tasks(const CloudOffers& offers, const ClusterState& cluster, const std::vector<Job*>& queue,
                       const DeadlinePlanner& deadlines, MachineShares& shares, Instant now);
   // Adds the machines that are missing for the spare capacity of urgent classes.
-  void add_reserves(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares, Instant now);
+  void add_spare_capacity(const CloudOffers& offers, const ClusterState& cluster, MachineShares& shares, Instant now);
   void record_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now);
 
   DemandEstimator demand_;
--- a/src/control/cloud_capacity_tracker.cpp
+++ b/src/control/cloud_capacity_tracker.cpp
@@ -22,7 +22,7 @@
   const auto refusal = refusals_.find(kind);
   if (refusal == refusals_.end()) return true;
   const auto held_now = held.find(kind);
-  // With fewer machines than at the refusal, the cloud is likely to held one again. Otherwise it is asked after the
+  // With fewer machines than at the refusal, the cloud is likely to have one again. Otherwise it is asked after the
   // backoff.
   return now >= refusal->second.not_before ||
          (held_now == held.end() ? 0 : held_now->second) < refusal->second.held_at_refusal;
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -51,7 +51,7 @@
   process_task_statuses(exchange);
   std::vector<Command> starts = process_unreported_tasks(exchange);
   if (heartbeat.notice_s && exchange.machine.state == MachineState::up) {
-    evict(exchange, *heartbeat.notice_s);
+    on_eviction_notice(exchange, *heartbeat.notice_s);
     starts.clear();
   }
   for (const Command& start : starts) {
@@ -242,7 +242,7 @@
   return starts;
 }
 
-void Reconciler::evict(Exchange& exchange, double notice_s) {
+void Reconciler::on_eviction_notice(Exchange& exchange, double notice_s) {
   Machine& machine = exchange.machine;
   tasks_.drain_machine(machine,
                        "the cloud reclaims the machine in " + std::to_string(static_cast<int>(notice_s)) + " s");
--- a/src/control/reconciler.h
+++ b/src/control/reconciler.h
@@ -59,7 +59,7 @@
   [[nodiscard]] std::vector<wire::Command> process_unreported_tasks(Exchange& exchange);
   // Handles the cloud's notice that it will take the machine back in `notice_s` seconds: drains the machine and
   // adds stop commands for its reported tasks to the answer.
-  void evict(Exchange& exchange, double notice_s);
+  void on_eviction_notice(Exchange& exchange, double notice_s);
 
   ClusterState& cluster_;
   const Leadership& leadership_;
--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -43,7 +43,7 @@
   return job.spec.kind != wire::JobKind::gang || !kept(Guard::gang_durable) || jobs::JobTable::all_durable(job);
 }
 
-double TaskLifecycle::checkpoint_grace(const Job& job) const {
+double TaskLifecycle::checkpoint_grace_s(const Job& job) const {
   // 10 ms more than the job's `buryS`, so that decimal rounding cannot make the grace period shorter than that.
   return job.spec.checkpoint_s > 0 && !job.cancelled ? job.spec.save_s + 0.01 : 0;
 }
@@ -69,7 +69,7 @@
   const std::set<TaskKey> tasks = machine.allocations.copy();
   for (const TaskKey& key : tasks) {
     Job& job = cluster_.jobs.at(key.job);
-    const double grace_s = checkpoint_grace(job);
+    const double grace_s = checkpoint_grace_s(job);
     if (job.spec.kind == wire::JobKind::gang) {
       // Gang members are stopped together, so that all of them can write their checkpoints.
       for (JobShard& shard : job.shards) {
--- a/src/control/task_lifecycle.h
+++ b/src/control/task_lifecycle.h
@@ -39,12 +39,12 @@
 
   // The grace period in seconds in which a task of the job can write a checkpoint. Zero for a job without checkpoints
   // and for a cancelled job.
-  [[nodiscard]] double checkpoint_grace(const Job& job) const;
+  [[nodiscard]] double checkpoint_grace_s(const Job& job) const;
   // Stops the task with a grace period of `grace_s` seconds; zero kills it. A stop in progress can be shortened, never
   // extended.
   void stop_task(Job& job, std::uint32_t index, double grace_s);
   // Stops the task in favour of other work, with the grace period for its checkpoint.
-  void preempt_task(Job& job, std::uint32_t index) { stop_task(job, index, checkpoint_grace(job)); }
+  void preempt_task(Job& job, std::uint32_t index) { stop_task(job, index, checkpoint_grace_s(job)); }
   // Drains the machine: it gets no new tasks, and its tasks are stopped with their grace period. If a task belongs to a
   // gang, the whole gang is stopped. `why` is logged and shown to operators.
   void drain_machine(Machine& machine, const std::string& why);
