--- a/src/node/heartbeat_relay.h
+++ b/src/node/heartbeat_relay.h
@@ -6,7 +6,7 @@
 
 #include <map>
 
-#include "control/unreached.h"
+#include "control/relay_policy.h"
 #include "node/context.h"
 #include "node/client_pool.h"
 #include "node/held_delegation.h"
@@ -35,7 +35,7 @@
   Context& context_;
   HeldDelegation& held_delegation_;
   std::mutex mutex_;
-  control::Unreached unreached_;
+  control::RelayPolicy relay_policy_;
   std::map<NodeName, Link> links_;
 };
 
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -16,7 +16,7 @@
 #include "classes/queue.h"
 #include "control/controller.h"
 #include "control/times.h"
-#include "control/unreached.h"
+#include "control/relay_policy.h"
 #include "ledger/jobs.h"
 #include "ledger/ledger.h"
 #include "pools/keeper.h"
@@ -238,7 +238,7 @@
     Revision watch_from;
     NodeName leader_seen;
     Term term_seen;
-    control::Unreached unreached;
+    control::RelayPolicy relay_policy;
     std::string zone;
     zone::DelegatedLease holder;
     std::optional<Instant> leader_answered;
--- a/tests/unit/machine_housekeeper_test.cpp
+++ b/tests/unit/machine_housekeeper_test.cpp
@@ -1,3 +1,4 @@
+// Tests of MachineHousekeeper: lease expiry, and the return and removal of machines.
 #include "control/machine_housekeeper.h"
 
 #include "cluster_fixture.h"
@@ -7,17 +8,17 @@
 namespace foxshunt::control {
 namespace {
 
-class Housekeeping : public ClusterFixture {
+class MachineHousekeeperTest : public ClusterFixture {
  protected:
-  Housekeeping()
+  MachineHousekeeperTest()
       : leadership_(Millis(1'000'000)),
         housekeeper_(cluster_, leadership_, autoscaler_),
         machine_(add_machine("m-000001")) {
-    leadership_.begin(Term(7), Revision(1), now_);
+    leadership_.begin_term(Term(7), Revision(1), now_);
   }
 
-  // Lets time pass in which the leader stays confirmed.
-  void pass(Millis span) {
+  // Advances the time and confirms leadership at the new time.
+  void advance_time(Millis span) {
     now_ += span;
     leadership_.on_lease_confirmed(now_);
     leadership_.on_records_confirmed(now_, cluster_.jobs);
@@ -29,40 +30,40 @@
   Machine& machine_;
 };
 
-TEST_F(Housekeeping, TasksOfAMachineWhoseLeaseHasEndedAreConfirmedTerminated) {
+TEST_F(MachineHousekeeperTest, ConfirmsTerminationOfTasksAfterLeaseExpiry) {
   Job& job = add_job(spec_of("j-000001", 1));
   place(job, 0, machine_);
-  pass(lease_span(cluster_.settings) - Millis(1));
+  advance_time(lease_span(cluster_.settings) - Millis(1));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(job.allocation_count, 1U);
-  pass(Millis(1'000));
+  advance_time(Millis(1'000));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(job.allocation_count, 0U);
   EXPECT_TRUE(machine_.expired);
 }
 
-TEST_F(Housekeeping, ADrainedMachineIsReturnedOnceItIsEmpty) {
+TEST_F(MachineHousekeeperTest, ReturnsDrainedMachineOnceItIsEmpty) {
   Job& job = add_job(spec_of("j-000001", 1));
   place(job, 0, machine_);
   machine_.state = MachineState::draining;
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.state, MachineState::draining);
-  TaskLifecycle(cluster_, leadership_).confirm_terminated(job, 0, "a test says so", now_);
+  TaskLifecycle(cluster_, leadership_).confirm_terminated(job, 0, "requested by the test", now_);
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.state, MachineState::returning);
 }
 
-TEST_F(Housekeeping, AMachineThatStaysIdleIsReturned) {
+TEST_F(MachineHousekeeperTest, ReturnsIdleMachine) {
   cluster_.settings.operators.idle_return_s = 5;
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.idle_since, now_);
-  pass(Millis(5'001));
+  advance_time(Millis(5'001));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.state, MachineState::returning);
   EXPECT_EQ(machine_.why, "it is idle");
 }
 
-TEST_F(Housekeeping, AMachineThatOnlyARecordTellsOfIsForgottenWhenNoListNamesIt) {
+TEST_F(MachineHousekeeperTest, ForgetsMachineThatNeitherReportsNorIsListed) {
   cluster_.know_machine(MachineId("m-000002"), now_);
   housekeeper_.review_machines(now_ + Millis(3'600'000));
   EXPECT_FALSE(cluster_.machines.contains(MachineId("m-000002")));
