--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -25,7 +25,7 @@
   }
   plan::Items there = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster.usable(machine, now)))
+    if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)))
       continue;
     there += machine.planned->info.capacity.of[1];
   }
@@ -44,8 +44,8 @@
   const Amounts each = task_amounts(spec);
   std::vector<Spare> found;
   for (const auto& [id, machine] : cluster.machines) {
-    if (machine.state != MachineState::booting && !cluster.usable(machine, now)) continue;
-    const wire::MachineType* kind = cluster.type(machine.type);
+    if (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)) continue;
+    const wire::MachineType* kind = cluster.find_machine_type(machine.type);
     if (kind == nullptr || machine.planned == nullptr ||
         !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
@@ -70,7 +70,7 @@
                                                const wire::JobSpec& sample, Instant now) {
   const Amounts each = task_amounts(sample);
   double boot_s = 0;
-  for (const wire::MachineType& kind : cluster.types) {
+  for (const wire::MachineType& kind : cluster.machine_types) {
     if (each.count_in(pricing(cluster).offered(sample, kind)) > 0)
       boot_s = boot_s == 0 ? kind.boot_s : std::min(boot_s, kind.boot_s);
   }
@@ -148,16 +148,16 @@
                                const std::vector<MachineId>& rented, Instant now) {
   if (!capacity_.answered(request)) return;
   cluster.pools.answered(request, rented);
-  const wire::MachineType* kind = cluster.type(request.type);
+  const wire::MachineType* kind = cluster.find_machine_type(request.type);
   for (const MachineId& id : rented) {
-    Machine& machine = cluster.know_machine(id, now);
+    Machine& machine = cluster.find_or_add_machine(id, now);
     if (machine.has_reported) continue;
     machine.type = request.type;
     machine.zone = request.zone;
     machine.spot = request.spot;
     machine.since = now;
     machine.ready = now + from_seconds(kind == nullptr ? 0 : kind->boot_s);
-    cluster.refresh_plan_machine(machine);
+    cluster.update_planner_machine(machine);
   }
   if (rented.size() < request.count) {
     note_refusal(cluster, request, now);
@@ -166,14 +166,14 @@
   }
   spdlog::info("rented {} of {} {} in {}{}", rented.size(), request.count, request.type, request.zone,
                request.spot ? ", spot" : "");
-  cluster.plan_wanted = true;
+  cluster.needs_planning = true;
 }
 
 void Autoscaler::on_scale_out_refused(ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
   if (!capacity_.answered(request)) return;
   cluster.pools.answered(request, {});
   note_refusal(cluster, request, now);
-  cluster.plan_wanted = true;
+  cluster.needs_planning = true;
 }
 
 void Autoscaler::note_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -11,7 +11,7 @@
 std::optional<CloudOffers::Offer> CloudOffers::offer_of(const wire::MachineType& kind, const std::string& zone,
                                                         bool spot, const wire::JobSpec& spec,
                                                         std::int64_t tasks) const {
-  if (!is_machine_allowed(spec, kind.name, zone, spot) || !cluster_.counted_on(zone)) return std::nullopt;
+  if (!is_machine_allowed(spec, kind.name, zone, spot) || !cluster_.can_rent_in_zone(zone)) return std::nullopt;
   CloudCapacityTracker::Kind key{kind.name, zone, spot};
   if (!capacity_.is_available(key, have_, now_)) return std::nullopt;
   // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
@@ -27,9 +27,10 @@
                                                         double max_price_ratio, Millis max_startup) const {
   const Amounts each = task_amounts(spec);
   std::optional<Offer> best;
-  for (const wire::MachineType& kind : cluster_.types) {
+  for (const wire::MachineType& kind : cluster_.machine_types) {
     if (each.count_in(capacity_of(kind)) <= 0) continue;
-    if (from_seconds(kind.boot_s) + constants::kCloudCallTimeout + cluster_.fetch_time(spec, kind.name) > max_startup)
+    if (from_seconds(kind.boot_s) + constants::kCloudCallTimeout + cluster_.image_fetch_duration(spec, kind.name) >
+        max_startup)
       continue;
     for (const std::string& zone : kind.zones) {
       for (const bool spot : {true, false}) {
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -29,27 +29,27 @@
   }
 }
 
-Machine& ClusterState::know_machine(const MachineId& id, Instant now) {
+Machine& ClusterState::find_or_add_machine(const MachineId& id, Instant now) {
   const inventory::MachineInventory::Known known = machines.know(id, now);
-  if (known.fresh) know_cache(known.machine);
+  if (known.fresh) register_image_cache(known.machine);
   return known.machine;
 }
 
-void ClusterState::know_cache(Machine& machine) {
+void ClusterState::register_image_cache(Machine& machine) {
   // Before its type is known, its room is not.
-  const wire::MachineType* kind = type(machine.type);
+  const wire::MachineType* kind = find_machine_type(machine.type);
   const auto images = pools.first_seen(machine.id, kind == nullptr ? 0 : kind->cache_gb, machine.images);
   if (images) machine.images = *images;
 }
 
-void ClusterState::know_image(Machine& machine, const wire::JobSpec& spec) {
+void ClusterState::record_cached_image(Machine& machine, const wire::JobSpec& spec) {
   machine.images.insert(spec.image);
   for (const std::string& gone : pools.used(machine.id, spec)) machine.images.erase(gone);
 }
 
-void ClusterState::refresh_plan_machine(Machine& machine) {
+void ClusterState::update_planner_machine(Machine& machine) {
   if (machine.planned != nullptr && machine.planned->info.ready == machine.ready) return;
-  const wire::MachineType* kind = type(machine.type);
+  const wire::MachineType* kind = find_machine_type(machine.type);
   if (kind == nullptr) return;
   planner.set_machine({.id = machine.id,
                        .type = machine.type,
@@ -58,18 +58,18 @@
                        .capacity = Amounts::from(kind->cpus, kind->gpus, kind->ram_gb),
                        .ready = machine.ready});
   machine.planned = planner.node(machine.id);
-  plan_wanted = true;
+  needs_planning = true;
 }
 
 void ClusterState::forget_machine(const MachineId& id) {
   if (!machines.forget(id)) return;
   pools.forget(id);
   planner.remove_machine(id);
-  plan_wanted = true;
+  needs_planning = true;
 }
 
-bool ClusterState::usable(const Machine& machine, Instant now) const {
-  return machines.usable(machine, now) && settings.in_service(machine.zone) && zones.takes_work(machine.zone);
+bool ClusterState::is_schedulable(const Machine& machine, Instant now) const {
+  return machines.usable(machine, now) && settings.in_service(machine.zone) && zone_health.takes_work(machine.zone);
 }
 
 Instant ClusterState::lease_end(const Machine& machine) const {
@@ -80,24 +80,24 @@
   return machines.is_lease_expired(machine, older_leaders_until, delegated_until(delegations, machine), now);
 }
 
-const wire::MachineType* ClusterState::type(const std::string& name) const {
-  const auto found = std::ranges::find(types, name, &wire::MachineType::name);
-  return found == types.end() ? nullptr : &*found;
+const wire::MachineType* ClusterState::find_machine_type(const std::string& name) const {
+  const auto found = std::ranges::find(machine_types, name, &wire::MachineType::name);
+  return found == machine_types.end() ? nullptr : &*found;
 }
 
-Millis ClusterState::fetch_time(const wire::JobSpec& spec, const std::string& machine_type) const {
-  const wire::MachineType* kind = type(machine_type);
+Millis ClusterState::image_fetch_duration(const wire::JobSpec& spec, const std::string& machine_type) const {
+  const wire::MachineType* kind = find_machine_type(machine_type);
   if (kind == nullptr || kind->fetch_gb_per_s <= 0) return Millis(0);
   return from_seconds(spec.image_gb / kind->fetch_gb_per_s);
 }
 
-Millis ClusterState::boot_time(const std::string& type_name) const {
-  const wire::MachineType* kind = type(type_name);
+Millis ClusterState::boot_duration(const std::string& type_name) const {
+  const wire::MachineType* kind = find_machine_type(type_name);
   return from_seconds(kind == nullptr ? 0 : kind->boot_s);
 }
 
-bool ClusterState::counted_on(const std::string& zone) const {
-  return settings.in_service(zone) && zones.trusted(zone);
+bool ClusterState::can_rent_in_zone(const std::string& zone) const {
+  return settings.in_service(zone) && zone_health.trusted(zone);
 }
 
 bool has_bookings(const Machine& machine) {
--- a/src/control/cluster_state.h
+++ b/src/control/cluster_state.h
@@ -40,17 +40,17 @@
 
   // ---- machines ----
   // The machine of that name, added if it is not known yet.
-  Machine& know_machine(const MachineId& id, Instant now);
+  Machine& find_or_add_machine(const MachineId& id, Instant now);
   // Gives the pools the first word of the machine's image cache, and takes back what they believe it to hold.
-  void know_cache(Machine& machine);
+  void register_image_cache(Machine& machine);
   // A task of the job has its image there.
-  void know_image(Machine& machine, const wire::JobSpec& spec);
+  void record_cached_image(Machine& machine, const wire::JobSpec& spec);
   // Tells the planner of the machine, once its type is known, and of changes of the time at which it is ready.
-  void refresh_plan_machine(Machine& machine);
+  void update_planner_machine(Machine& machine);
   // Forgets a machine everywhere, unless something may still run on it.
   void forget_machine(const MachineId& id);
   // Whether it can take work now: it is known to be well, and its zone is in service.
-  [[nodiscard]] bool usable(const Machine& machine, Instant now) const;
+  [[nodiscard]] bool is_schedulable(const Machine& machine, Instant now) const;
   // Up to when its tasks may run on, if nothing more is heard of it.
   [[nodiscard]] Instant lease_end(const Machine& machine) const;
   // Whether that time has certainly passed; it may be known sooner.
@@ -58,24 +58,24 @@
 
   // ---- machine types and zones ----
   // Null if the cloud has told of no such type.
-  [[nodiscard]] const wire::MachineType* type(const std::string& name) const;
+  [[nodiscard]] const wire::MachineType* find_machine_type(const std::string& name) const;
   // How long a machine of the type takes to fetch the job's image; zero if that is not known.
-  [[nodiscard]] Millis fetch_time(const wire::JobSpec& spec, const std::string& machine_type) const;
+  [[nodiscard]] Millis image_fetch_duration(const wire::JobSpec& spec, const std::string& machine_type) const;
   // How long a machine of the type takes to boot; zero if that is not known.
-  [[nodiscard]] Millis boot_time(const std::string& type_name) const;
+  [[nodiscard]] Millis boot_duration(const std::string& type_name) const;
   // Whether machines may be rented in the zone.
-  [[nodiscard]] bool counted_on(const std::string& zone) const;
+  [[nodiscard]] bool can_rent_in_zone(const std::string& zone) const;
 
   config::Settings settings;
   jobs::JobTable jobs;
   inventory::MachineInventory machines;
   plan::Planner planner;
-  std::vector<wire::MachineType> types;
+  std::vector<wire::MachineType> machine_types;
   pools::PoolAdmission pools;
-  zone::ZoneHealthMonitor zones;
+  zone::ZoneHealthMonitor zone_health;
   zone::DelegationTable delegations;  // of the right to renew agents' leases, to the other controllers
   Instant older_leaders_until;        // until then leaders of earlier terms may still renew agents' leases
-  bool plan_wanted = false;           // something has happened since the latest planning pass began
+  bool needs_planning = false;        // something has happened since the latest planning pass began
   Counters counters;
 };
 
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -41,17 +41,17 @@
 // ---- leadership ----
 
 void Controller::become_leader(const FailoverSnapshot& failover, Instant now) {
-  const std::vector<wire::MachineType> types = std::move(cluster_.types);
+  const std::vector<wire::MachineType> types = std::move(cluster_.machine_types);
   Autoscaler autoscaler = autoscaler_.successor();
   pools::PoolAdmission pools = std::move(cluster_.pools);
-  classes::Ranking ranking = std::move(cycle_.queue().ranking());
+  classes::Ranking ranking = std::move(scheduling_cycle_.queue().ranking());
   *this = Controller(std::move(cluster_.settings));
-  cluster_.types = types;
+  cluster_.machine_types = types;
   autoscaler_ = std::move(autoscaler);
   cluster_.pools = std::move(pools);
   cluster_.pools.become_leader(now);
-  cycle_.queue().ranking() = std::move(ranking);
-  cycle_.queue().ranking().tell_time(failover.wall_ms, now);
+  scheduling_cycle_.queue().ranking() = std::move(ranking);
+  scheduling_cycle_.queue().ranking().tell_time(failover.wall_ms, now);
   leadership_.begin(failover.term, failover.term_revision, now);
   cluster_.older_leaders_until = kept(Guard::others_counted) ? failover.older_leaders_until : now;
   cluster_.delegations = zone::DelegationTable(cluster_.settings.siblings, delegation_spans(cluster_.settings));
@@ -83,21 +83,22 @@
   return Reconciler(cluster_, leadership_).on_heartbeat(heartbeat, now);
 }
 
-bool Controller::settled(const wire::Heartbeat& heartbeat) const {
+bool Controller::is_settled(const wire::Heartbeat& heartbeat) const {
   if (!leadership_.is_leader() || !cluster_.machines.contains(heartbeat.machine)) return true;
   const bool any_ended = std::ranges::any_of(
       heartbeat.tasks, [](const wire::TaskStatus& task) { return task.state == wire::TaskState::ended; });
-  if (any_ended && plan_wanted()) return false;
+  if (any_ended && needs_planning()) return false;
   return is_durable(cluster_, heartbeat);
 }
 
-std::optional<std::vector<wire::Command>> Controller::later_commands(const wire::Heartbeat& heartbeat, Instant now) {
+std::optional<std::vector<wire::Command>> Controller::follow_up_commands(const wire::Heartbeat& heartbeat,
+                                                                         Instant now) {
   // An answer renews the agent's lease, so the right to answer is looked at again.
   if (kept(Guard::answer_rechecked) && !leadership_.can_renew_agent_leases(now)) return std::nullopt;
   return Reconciler(cluster_, leadership_).later_commands(heartbeat, now);
 }
 
-std::vector<DirectStop> Controller::due_direct_stops(Instant now) { return tasks().due_direct_stops(now); }
+std::vector<DirectStop> Controller::due_direct_stops(Instant now) { return task_lifecycle().due_direct_stops(now); }
 
 // ---- other controllers ----
 
@@ -124,14 +125,15 @@
 
 // ---- planning ----
 
-bool Controller::plan_portion(Instant now, std::size_t places_most) {
+bool Controller::plan_portion(Instant now, std::size_t max_examined_machines) {
   if (!leadership_.is_leader()) {
-    cycle_.abandon();
+    scheduling_cycle_.abandon();
     return true;
   }
-  TaskLifecycle lifecycle = tasks();
-  return cycle_.plan_portion({cluster_, gangs_, autoscaler_, deadlines_, lifecycle, cluster_.counters}, now,
-                             places_most);
+  TaskLifecycle lifecycle = task_lifecycle();
+  return scheduling_cycle_.plan_portion(
+      {cluster_, gang_coordinator_, autoscaler_, deadline_planner_, lifecycle, cluster_.counters}, now,
+      max_examined_machines);
 }
 
 void Controller::plan_pass(Instant now) {
@@ -140,26 +142,27 @@
 }
 
 void Controller::on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now) {
-  cycle_.queue().ranking().on_catalog(set);
-  cycle_.queue().ranking().tell_time(wall_ms, now);
-  cluster_.plan_wanted = true;
+  scheduling_cycle_.queue().ranking().on_catalog(set);
+  scheduling_cycle_.queue().ranking().tell_time(wall_ms, now);
+  cluster_.needs_planning = true;
 }
 
 void Controller::on_due_jobs(foresight::DueJobs dues) {
-  if (deadlines_.on_due_jobs(std::move(dues))) {
-    cluster_.plan_wanted = true;  // it ranks them
-    cycle_.outdate();             // what was planned before tells nothing of them
+  if (deadline_planner_.on_due_jobs(std::move(dues))) {
+    cluster_.needs_planning = true;  // it ranks them
+    scheduling_cycle_.outdate();     // what was planned before tells nothing of them
   }
-  cycle_.queue().ranking().on_slack(deadlines_.slack());
+  scheduling_cycle_.queue().ranking().on_slack(deadline_planner_.slack());
 }
 
 std::map<JobId, foresight::DeadlineForecast> Controller::deadline_forecasts(Instant now) const {
   // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
-  if (!leadership_.is_leader() || cycle_.under_way() ||
-      cycle_.planned_at() < leadership_.since() + detour_span(cluster_.settings))
+  if (!leadership_.is_leader() || scheduling_cycle_.under_way() ||
+      scheduling_cycle_.planned_at() < leadership_.since() + detour_span(cluster_.settings))
     return {};
-  return deadlines_.deadline_forecasts(
-      {cluster_, autoscaler_.demand(), autoscaler_.capacity(), cycle_.queue().ranking()}, cycle_.planned_at(), now);
+  return deadline_planner_.deadline_forecasts(
+      {cluster_, autoscaler_.demand(), autoscaler_.capacity(), scheduling_cycle_.queue().ranking()},
+      scheduling_cycle_.planned_at(), now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -45,9 +45,9 @@
   std::uint64_t machines_up = 0;
   std::uint64_t machines_booting = 0;
   std::uint64_t machines_leaving = 0;
-  std::uint64_t unwritten = 0;  // records that memory is ahead of
-  Millis unwritten_oldest{};    // for so long
-  Millis fence_left{};          // until workers' reports may no longer be answered
+  std::uint64_t unwritten_records = 0;  // records that memory is ahead of
+  Millis oldest_unwritten_age{};        // for so long
+  Millis fence_remaining{};             // until workers' reports may no longer be answered
 };
 
 class Controller {
@@ -95,16 +95,17 @@
   [[nodiscard]] std::map<JobId, foresight::DeadlineForecast> deadline_forecasts(Instant now) const;
   // When the plan says that other jobs end; those without a booking are left out.
   // The order of the latest pass; empty without classes.
-  [[nodiscard]] const classes::Ranking& ranking() const { return cycle_.queue().ranking(); }
-  [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadlines_.planned_ends(cluster_); }
+  [[nodiscard]] const classes::Ranking& ranking() const { return scheduling_cycle_.queue().ranking(); }
+  [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadline_planner_.planned_ends(cluster_); }
 
   // ---- workers ----
   // The commands to answer with; nothing when this controller may not act for the controllers.
   [[nodiscard]] std::optional<std::vector<wire::Command>> on_heartbeat(const wire::Heartbeat& heartbeat, Instant now);
   // Whether all that the report told is durable and planned, so that nothing better can be answered by waiting.
-  [[nodiscard]] bool settled(const wire::Heartbeat& heartbeat) const;
+  [[nodiscard]] bool is_settled(const wire::Heartbeat& heartbeat) const;
   // What may be answered to the same report later on, besides what it was answered with.
-  [[nodiscard]] std::optional<std::vector<wire::Command>> later_commands(const wire::Heartbeat& heartbeat, Instant now);
+  [[nodiscard]] std::optional<std::vector<wire::Command>> follow_up_commands(const wire::Heartbeat& heartbeat,
+                                                                             Instant now);
   [[nodiscard]] std::vector<DirectStop> due_direct_stops(Instant now);
 
   // ---- zones ----
@@ -112,11 +113,11 @@
   [[nodiscard]] std::optional<zone::LeaseDelegation> on_delegation_request(const zone::DelegationRequest& ask,
                                                                            Instant now);
   [[nodiscard]] const zone::DelegationTable& delegations() const { return cluster_.delegations; }
-  [[nodiscard]] const zone::ZoneHealthMonitor& zones() const { return cluster_.zones; }
+  [[nodiscard]] const zone::ZoneHealthMonitor& zone_health() const { return cluster_.zone_health; }
 
   // ---- cloud ----
-  void on_types(const std::vector<wire::MachineType>& types);
-  [[nodiscard]] const std::vector<wire::MachineType>& types() const { return cluster_.types; }
+  void on_machine_types(const std::vector<wire::MachineType>& types);
+  [[nodiscard]] const std::vector<wire::MachineType>& machine_types() const { return cluster_.machine_types; }
   void on_machine_list(const std::vector<wire::ListedMachine>& machines, Instant now);
   [[nodiscard]] std::optional<wire::ScaleOutRequest> next_scale_out(Instant now);
   void on_scaled_out(const wire::ScaleOutRequest& request, const std::vector<MachineId>& machines, Instant now);
@@ -141,15 +142,15 @@
   void tick(Instant now);
   // Plans what is pending and places what may start now, a portion of it: events are taken between portions. At least
   // one job is planned, and no more once this many places were looked at. True when the pass has ended.
-  bool plan_portion(Instant now, std::size_t places_most);
+  bool plan_portion(Instant now, std::size_t max_examined_machines);
   // A whole pass.
   void plan_pass(Instant now);
-  [[nodiscard]] bool plan_wanted() const { return cluster_.plan_wanted || cycle_.under_way(); }
+  [[nodiscard]] bool needs_planning() const { return cluster_.needs_planning || scheduling_cycle_.under_way(); }
   // Whether a pass is under way: what it has not come to has no booking.
-  [[nodiscard]] bool planning() const { return cycle_.under_way(); }
+  [[nodiscard]] bool is_planning() const { return scheduling_cycle_.under_way(); }
   // Whether there is something to rent or to return.
-  [[nodiscard]] bool cloud_wanted() const;
-  [[nodiscard]] bool writes_wanted() const { return cluster_.jobs.writes_wanted(); }
+  [[nodiscard]] bool needs_scaling() const;
+  [[nodiscard]] bool has_pending_writes() const { return cluster_.jobs.writes_wanted(); }
 
   [[nodiscard]] ClusterSummary cluster_summary(Instant now) const;
   // Why the job's tasks wait and when the next is planned to start, in words; nothing if no such job is known.
@@ -164,16 +165,16 @@
 
  private:
   // Modules that store no state are made for the length of a call.
-  [[nodiscard]] TaskLifecycle tasks() { return {cluster_, leadership_}; }
+  [[nodiscard]] TaskLifecycle task_lifecycle() { return {cluster_, leadership_}; }
   [[nodiscard]] JobIntake job_intake() { return {cluster_, leadership_, autoscaler_.demand()}; }
   [[nodiscard]] ZoneCoordinator zone_coordinator() { return {cluster_, leadership_}; }
 
   ClusterState cluster_;
   Leadership leadership_;
   Autoscaler autoscaler_;
-  GangCoordinator gangs_;
-  SchedulingCycle cycle_;
-  DeadlinePlanner deadlines_;
+  GangCoordinator gang_coordinator_;
+  SchedulingCycle scheduling_cycle_;
+  DeadlinePlanner deadline_planner_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/controller_explain.cpp
+++ b/src/control/controller_explain.cpp
@@ -15,8 +15,8 @@
     cluster_summary.tasks_placed += job.allocation_count;
     for (const JobShard& shard : job.shards) {
       if (job.cancelled || shard.settled()) continue;
-      ++cluster_summary.unwritten;
-      cluster_summary.unwritten_oldest = std::max(cluster_summary.unwritten_oldest, now - shard.dirty_since);
+      ++cluster_summary.unwritten_records;
+      cluster_summary.oldest_unwritten_age = std::max(cluster_summary.oldest_unwritten_age, now - shard.dirty_since);
     }
   }
   for (const auto& [unused, machine] : cluster_.machines) {
@@ -26,13 +26,14 @@
       default: ++cluster_summary.machines_leaving; break;
     }
   }
-  cluster_summary.fence_left = std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
+  cluster_summary.fence_remaining =
+      std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
   return cluster_summary;
 }
 
 std::optional<std::string> Controller::explain(const JobId& id, Instant now) const {
   if (!leadership_.is_leader()) return std::nullopt;
-  return Explanation(cluster_, cycle_.queue().ranking(), autoscaler_.capacity(), leadership_.can_start(now))
+  return Explanation(cluster_, scheduling_cycle_.queue().ranking(), autoscaler_.capacity(), leadership_.can_start(now))
       .of(id, now);
 }
 
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -20,23 +20,23 @@
 
 }  // namespace
 
-void Controller::on_types(const std::vector<wire::MachineType>& types) {
-  cluster_.types = types;
+void Controller::on_machine_types(const std::vector<wire::MachineType>& types) {
+  cluster_.machine_types = types;
   for (auto& [unused, machine] : cluster_.machines) {
-    cluster_.refresh_plan_machine(machine);
-    cluster_.know_cache(machine);
+    cluster_.update_planner_machine(machine);
+    cluster_.register_image_cache(machine);
   }
-  cluster_.plan_wanted = true;
+  cluster_.needs_planning = true;
 }
 
 void Controller::on_machine_list(const std::vector<wire::ListedMachine>& listed, Instant now) {
   if (!leadership_.is_leader()) return;
   for (const wire::ListedMachine& entry : listed) {
-    const auto known = cluster_.machines.list(entry, cluster_.boot_time(entry.type), now);
+    const auto known = cluster_.machines.list(entry, cluster_.boot_duration(entry.type), now);
     if (!known) continue;  // an old list
     Machine& machine = known->machine;
-    if (known->fresh) cluster_.know_cache(machine);
-    if (!machine.has_reported) cluster_.refresh_plan_machine(machine);
+    if (known->fresh) cluster_.register_image_cache(machine);
+    if (!machine.has_reported) cluster_.update_planner_machine(machine);
     if (entry.state == wire::ListedState::failed && machine.state != MachineState::returning) {
       spdlog::info("machine {} has failed", entry.id.text());
       machine.listed.failed = true;
@@ -60,7 +60,7 @@
   autoscaler_.on_scale_out_refused(cluster_, request, now);
 }
 
-bool Controller::cloud_wanted() const { return autoscaler_.cloud_wanted(cluster_); }
+bool Controller::needs_scaling() const { return autoscaler_.cloud_wanted(cluster_); }
 
 std::vector<MachineId> Controller::next_scale_in(Instant now) {
   return leadership_.can_start(now) ? Autoscaler::next_scale_in(cluster_) : std::vector<MachineId>();
@@ -74,7 +74,7 @@
     spdlog::info("machine {} is returned: {}", id.text(), entry->second.why);
     cluster_.machines.on_scaled_in(id);
     const std::set<TaskKey> runs = entry->second.allocations.copy();
-    for (const TaskKey& key : runs) tasks().lose_task(key, "its machine was returned", now);
+    for (const TaskKey& key : runs) task_lifecycle().lose_task(key, "its machine was returned", now);
     cluster_.forget_machine(id);
   }
 }
@@ -83,7 +83,7 @@
   if (!leadership_.is_leader()) return;
   if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no worker reaches it", now);
   cluster_.planner.forget_before(now);
-  cycle_.request_overdue_pass(cluster_, now);
+  scheduling_cycle_.request_overdue_pass(cluster_, now);
   cluster_.delegations.forget_before(now);
   ZoneCoordinator zones = zone_coordinator();
   zones.move_services_out();
--- a/src/control/controller_pools.cpp
+++ b/src/control/controller_pools.cpp
@@ -7,8 +7,8 @@
   const bool was_on = cluster_.pools.on();
   cluster_.pools.take(std::move(directives));
   if (!leadership_.is_leader()) return;
-  for (auto& [unused, machine] : cluster_.machines) cluster_.know_cache(machine);
-  if (cluster_.pools.on() != was_on) cluster_.plan_wanted = true;
+  for (auto& [unused, machine] : cluster_.machines) cluster_.register_image_cache(machine);
+  if (cluster_.pools.on() != was_on) cluster_.needs_planning = true;
 }
 
 pools::FleetObservation Controller::observe_for_pools(Instant now) {
@@ -16,9 +16,9 @@
   if (!leadership_.is_leader()) return seen;
   seen.answers = cluster_.pools.answers();
   seen.can_scale_out = cluster_.settings.operators.can_scale_out;
-  seen.types = cluster_.types;
+  seen.types = cluster_.machine_types;
   for (const std::string& zone : cluster_.settings.zones) {
-    if (!cluster_.counted_on(zone)) seen.left_zones.insert(zone);
+    if (!cluster_.can_rent_in_zone(zone)) seen.left_zones.insert(zone);
   }
   if (!cluster_.pools.on()) return seen;
   seen.settled = cluster_.pools.settled(now);
@@ -29,7 +29,7 @@
     observation.leaving = machine.state == MachineState::draining || machine.state == MachineState::returning;
     const bool booked = has_bookings(machine);
     observation.spare =
-        machine.allocations.empty() && !booked && !autoscaler_.is_spare(id) && cluster_.usable(machine, now);
+        machine.allocations.empty() && !booked && !autoscaler_.is_spare(id) && cluster_.is_schedulable(machine, now);
     for (const TaskKey& key : machine.allocations) {
       const Job& job = cluster_.jobs.at(key.job);
       cluster_.pools.look(observation, job.spec);
--- a/src/control/controller_records.cpp
+++ b/src/control/controller_records.cpp
@@ -14,7 +14,7 @@
 void Controller::on_job_record(const JobId& id, const wire::Value& record, Revision revision, std::int64_t wall_ms,
                                Instant now) {
   if (!leadership_.is_leader()) return;
-  cycle_.queue().ranking().tell_time(wall_ms, now);
+  scheduling_cycle_.queue().ranking().tell_time(wall_ms, now);
   job_intake().on_record(id, record, revision, wall_ms, now);
 }
 
@@ -25,7 +25,7 @@
 bool Controller::on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now) {
   // Read in an earlier lead, it lacks what was accepted since, which would be taken for withdrawn and never run.
   if (!leadership_.is_leader() || (kept(Guard::list_term) && read_in != leadership_.term())) return false;
-  if (!live.empty()) cycle_.queue().ranking().tell_time(wall_ms, now);
+  if (!live.empty()) scheduling_cycle_.queue().ranking().tell_time(wall_ms, now);
   job_intake().on_list(live, wall_ms, now);
   return true;
 }
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -66,7 +66,7 @@
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
                         .boot = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
-                        .fetch = view.cluster.fetch_time(job.spec, kind.name),
+                        .fetch = view.cluster.image_fetch_duration(job.spec, kind.name),
                         .fit = static_cast<std::uint64_t>(fit)};
   bool any = false;
   for (const std::string& zone : kind.zones) {
@@ -74,7 +74,7 @@
       if (!is_machine_allowed(job.spec, kind.name, zone, spot)) continue;
       any = true;
       const double hourly = spot ? kind.spot_price : kind.price;
-      if (!view.cluster.counted_on(zone) || hourly > price_most * static_cast<double>(fit)) continue;
+      if (!view.cluster.can_rent_in_zone(zone) || hourly > price_most * static_cast<double>(fit)) continue;
       found.can_scale_out = found.can_scale_out || view.capacity.counted_on({kind.name, zone, spot}, have);
     }
   }
@@ -96,7 +96,7 @@
   }
   const double price_most =
       TaskPricing(view.cluster, view.demand).lowest_price(job.spec) * constants::kMaxLatePriceFactor;
-  for (const wire::MachineType& kind : view.cluster.types) {
+  for (const wire::MachineType& kind : view.cluster.machine_types) {
     if (auto rentable = rentable_kind(view, job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
   }
   return work;
@@ -143,7 +143,7 @@
                                                                                  Instant planned_at,
                                                                                  Instant now) const {
   std::map<JobId, foresight::DeadlineForecast> deadline_forecasts;
-  if (due_jobs_.empty() || view.cluster.types.empty()) return deadline_forecasts;
+  if (due_jobs_.empty() || view.cluster.machine_types.empty()) return deadline_forecasts;
   const CloudCapacityTracker::Held have = view.cluster.machines.held();
   for (const auto& [id, due] : due_jobs_) {
     const auto entry = view.cluster.jobs.find(id);
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -23,7 +23,7 @@
 
 // How long until the machine has the job's image, if the task is placed there now.
 Millis image_wait(const ClusterState& cluster, const Job& job, const Machine& machine) {
-  return machine.images.contains(job.spec.image) ? Millis(0) : cluster.fetch_time(job.spec, machine.type);
+  return machine.images.contains(job.spec.image) ? Millis(0) : cluster.image_fetch_duration(job.spec, machine.type);
 }
 
 // How long until the placed task has its image, by the machine type's rate and by what was reported; never nothing
@@ -34,7 +34,7 @@
   const bool told = allocation.seen && *allocation.seen == wire::TaskState::fetching;
   if (!told && (allocation.seen || machine->second.images.contains(job.spec.image))) return Millis(0);
   const Millis passed = std::max(Millis(0), now - allocation.placed);
-  const Millis whole = cluster.fetch_time(job.spec, machine->second.type);
+  const Millis whole = cluster.image_fetch_duration(job.spec, machine->second.type);
   // One that is overdue takes as much longer as it has shown already.
   return std::max({whole - passed, passed / constants::kFetchOverdueDivisor, told ? constants::kTick : Millis(0)});
 }
@@ -45,7 +45,7 @@
     for (const auto& [unused, allocation] : shard.allocations) {
       const auto machine = cluster.machines.find(allocation.machine);
       if (machine == cluster.machines.end() || image_left(cluster, job, allocation, now) == Millis(0)) continue;
-      const Millis most = cluster.fetch_time(job.spec, machine->second.type) * constants::kFetchDoubtFactor;
+      const Millis most = cluster.image_fetch_duration(job.spec, machine->second.type) * constants::kFetchDoubtFactor;
       if (now - allocation.placed < most + from_seconds(cluster.settings.gang_wait_s)) return true;
     }
   }
@@ -89,7 +89,7 @@
     job.gather_until = now + barrier_timeout(cluster.settings);
     spdlog::info("job {}: its gang lost a task before its start, another one is to join", job.spec.id.text());
   }
-  cluster.plan_wanted = true;
+  cluster.needs_planning = true;
 }
 
 // PROTOCOL, "Gangs": while the gang has not started the rest keep waiting, and a replacement with the same attempt number
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -20,7 +20,7 @@
   std::size_t allocated = 0;
   for (const auto& [unused, job] : cluster_.jobs) allocated += job.allocation_count;
   resume_jobs(now);
-  cluster_.plan_wanted = true;
+  cluster_.needs_planning = true;
   spdlog::info("leading in term {}: {} jobs, {} placed tasks", failover.term.number(), cluster_.jobs.size(), allocated);
 }
 
@@ -85,13 +85,13 @@
   Job& job = cluster_.jobs.add(record, revision, wall_ms, cluster_.machines, now);
   demand_.learn(job.spec, job.each, job.submitted);
   if (record.whole) book_adopted(job, 0, now);
-  cluster_.plan_wanted = true;
+  cluster_.needs_planning = true;
   return job;
 }
 
 void JobIntake::book_adopted(Job& job, std::uint32_t number, Instant now) {
   for (auto& [unused, allocation] : job.shards[number].allocations) {
-    cluster_.know_cache(cluster_.machines.at(allocation.machine));
+    cluster_.register_image_cache(cluster_.machines.at(allocation.machine));
     allocation.booking = cluster_.planner.book({.machine = allocation.machine,
                                                 .team = job.spec.team,
                                                 .amounts = job.each,
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -162,8 +162,8 @@
 bool JobPlanner::gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const {
   const bool all_fit = std::ranges::all_of(placings, [&](const plan::Placing& placing) {
     const Machine& machine = cluster_.machines.at(placing.machine);
-    return placing.start <= now && cluster_.usable(machine, now) && room_for(cluster_, job, machine, placing.count) &&
-           place_allowed(cluster_, job, machine, placing.count);
+    return placing.start <= now && cluster_.is_schedulable(machine, now) &&
+           room_for(cluster_, job, machine, placing.count) && place_allowed(cluster_, job, machine, placing.count);
   });
   return all_fit && !placings.empty() && quota_for(cluster_, job, job.pending());
 }
@@ -188,7 +188,7 @@
   bool any = false;
   for (const plan::Placing& placing : placings) {
     Machine& machine = cluster_.machines.at(placing.machine);
-    if (placing.start > now || !cluster_.usable(machine, now)) continue;
+    if (placing.start > now || !cluster_.is_schedulable(machine, now)) continue;
     for (const std::uint32_t index : jobs::JobTable::pending_tasks(job, placing.count)) {
       if (!room_for(cluster_, job, machine, 1) || !quota_for(cluster_, job, 1) ||
           !place_allowed(cluster_, job, machine, 1))
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -32,12 +32,12 @@
 
 std::vector<MachineFilter::TypeFit> MachineFilter::type_fits(const Job& job) const {
   std::vector<TypeFit> fits;
-  for (const wire::MachineType& type : cluster_.types) {
+  for (const wire::MachineType& type : cluster_.machine_types) {
     fits.push_back({.type = &type,
                     .allowed = is_type_allowed(job.spec, type.name),
                     .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
                     .offered = pricing_.offered(job.spec, type),
-                    .fetch = cluster_.fetch_time(job.spec, type.name)});
+                    .fetch = cluster_.image_fetch_duration(job.spec, type.name)});
   }
   return fits;
 }
@@ -45,8 +45,8 @@
 // Apart from its type and from what runs there.
 bool MachineFilter::may_plan_on(const Job& job, const Machine& machine, Instant now) const {
   if (machine.planned == nullptr || (machine.spot && !job.spec.spot)) return false;
-  const bool available =
-      machine.state == MachineState::booting ? cluster_.counted_on(machine.zone) : cluster_.usable(machine, now);
+  const bool available = machine.state == MachineState::booting ? cluster_.can_rent_in_zone(machine.zone)
+                                                                : cluster_.is_schedulable(machine, now);
   return available && (job.spec.zone.empty() || job.spec.zone == machine.zone);
 }
 
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -50,7 +50,7 @@
   const std::set<TaskKey> runs = machine.allocations.copy();
   if (!runs.empty() || machine.has_reported) {
     // Of a zone that is gone one line tells, not hundreds.
-    const bool alone = cluster_.zones.of(machine.zone) != zone::State::cut;
+    const bool alone = cluster_.zone_health.of(machine.zone) != zone::State::cut;
     spdlog::log(alone ? spdlog::level::info : spdlog::level::debug,
                 "machine {} is silent, its lease has ended with {} tasks", machine.id.text(), runs.size());
   }
@@ -72,11 +72,11 @@
 bool MachineHousekeeper::is_boot_lost(const Machine& machine, Instant now) const {
   // A new leader hears of machines by the list before their agents send it heartbeats: those that are up must not be taken for
   // lost boots. They have the time in which an agent finds its leader.
-  const Millis boot = cluster_.boot_time(machine.type);
+  const Millis boot = cluster_.boot_duration(machine.type);
   const Millis lease = lease_span(cluster_.settings);
   const Millis known = now - machine.known;
   if (machine.listed.running || machine.hinted == inventory::Hinted::up) return known > lease * 2 + boot;
-  const bool type_known = cluster_.type(machine.type) != nullptr;
+  const bool type_known = cluster_.find_machine_type(machine.type) != nullptr;
   return type_known && known > lease && now - machine.since > boot * constants::kBootLostFactor;
 }
 
@@ -89,7 +89,7 @@
 }
 
 bool MachineHousekeeper::is_zone_awaited(const Machine& machine, Instant now) const {
-  return cluster_.settings.operators.zone_watch && cluster_.zones.keeps(machine.zone, now);
+  return cluster_.settings.operators.zone_watch && cluster_.zone_health.keeps(machine.zone, now);
 }
 
 void MachineHousekeeper::review_idle(Machine& machine, Instant now) {
--- a/src/control/placement_rules.cpp
+++ b/src/control/placement_rules.cpp
@@ -9,7 +9,7 @@
 namespace foxshunt::control {
 
 bool room_for(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
-  const wire::MachineType* kind = cluster.type(machine.type);
+  const wire::MachineType* kind = cluster.find_machine_type(machine.type);
   if (kind == nullptr) return false;
   Amounts used = job.each.times(count);
   for (const TaskKey& key : machine.allocations) used += cluster.jobs.at(key.job).each;
--- a/src/control/readiness.h
+++ b/src/control/readiness.h
@@ -18,10 +18,10 @@
   Revision term_revision;
   std::optional<state::TermRecord> record;  // lead/term as read back with the records, and its revision
   Revision record_revision;
-  Revision records_at;                // up to which the records are known
-  plan::Instant lease_asked;          // when the latest renewal that was confirmed was asked for
-  plan::Instant older_leaders_until;  // until then older leaders may act
-  plan::Instant fence_least;          // what that has to be at least: a fence from when the lead was asked for
+  Revision records_revision;              // up to which the records are known
+  plan::Instant lease_renewal_requested;  // when the latest renewal that was confirmed was asked for
+  plan::Instant older_leaders_until;      // until then older leaders may act
+  plan::Instant min_older_leaders_until;  // what that has to be at least: a fence from when the lead was asked for
 };
 
 // The name of the first that is not so, in this order:
@@ -30,6 +30,6 @@
 //   fences-reckoned  older leaders' fences and grants are counted to their ends
 //   lease-confirmed  the lease was confirmed so lately, by the clock as it is now, that it can't have ended
 // That machines are usable only by a report in this term is Controller::usable's to see, for as long as the lead lasts.
-[[nodiscard]] std::optional<std::string_view> not_ready(const Readiness& found, plan::Instant now);
+[[nodiscard]] std::optional<std::string_view> first_unmet_condition(const Readiness& found, plan::Instant now);
 
 }  // namespace foxshunt::control
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -63,9 +63,9 @@
 }
 
 Machine& Reconciler::learn_machine(const wire::Heartbeat& heartbeat, Instant now) {
-  Machine& machine = cluster_.know_machine(heartbeat.machine, now);
-  if (cluster_.machines.hear(machine, heartbeat, leadership_.term(), now)) cluster_.plan_wanted = true;
-  cluster_.refresh_plan_machine(machine);
+  Machine& machine = cluster_.find_or_add_machine(heartbeat.machine, now);
+  if (cluster_.machines.hear(machine, heartbeat, leadership_.term(), now)) cluster_.needs_planning = true;
+  cluster_.update_planner_machine(machine);
   return machine;
 }
 
@@ -129,7 +129,8 @@
 void Reconciler::on_task_active(Exchange& exchange, Job& job, Allocation& allocation, const wire::TaskStatus& status) {
   Machine& machine = exchange.machine;
   if (status.state != TaskState::fetching) {
-    if (allocation.seen.value_or(TaskState::fetching) == TaskState::fetching) cluster_.know_image(machine, job.spec);
+    if (allocation.seen.value_or(TaskState::fetching) == TaskState::fetching)
+      cluster_.record_cached_image(machine, job.spec);
   } else if (allocation.seen && cluster_.pools.on()) {
     // Told twice, it is not only on its way: what was believed to be there is not.
     machine.images.erase(job.spec.image);
@@ -139,7 +140,7 @@
     on_task_began(job, machine, allocation, status.task.index, exchange.now);
   }
   // Who waits for the last image is due.
-  if (allocation.seen != status.state && job.gather_until) cluster_.plan_wanted = true;
+  if (allocation.seen != status.state && job.gather_until) cluster_.needs_planning = true;
   allocation.seen = status.state;
   if (allocation.stopping) exchange.commands.push_back(stop_command(status.task, status.attempt, allocation.grace_s));
 }
@@ -170,7 +171,7 @@
   const std::uint32_t index = status.task.index;
   // What was reckoned of its fetches was wrong: the next attempt waits for the heartbeats.
   if (status.reason == EndReason::alone) job.in_stages = true;
-  if (ended_with_image(status, allocation)) cluster_.know_image(exchange.machine, job.spec);
+  if (ended_with_image(status, allocation)) cluster_.record_cached_image(exchange.machine, job.spec);
   switch (status.reason) {
     case EndReason::done:
       exchange.machine.errors = 0;
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -35,7 +35,7 @@
   if (!cluster.settings.operators.zone_evacuation) return;
   for (auto& [unused, job] : cluster.jobs) job.stranded = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.allocations.empty() || machine.expired || !cluster.zones.leaves(machine.zone)) continue;
+    if (machine.allocations.empty() || machine.expired || !cluster.zone_health.leaves(machine.zone)) continue;
     const Instant until = cluster.lease_end(machine);
     for (const TaskKey& key : machine.allocations) {
       Job& job = cluster.jobs.at(key.job);
@@ -50,7 +50,7 @@
 
 void SchedulingCycle::begin_pass(const PassContext& context, Instant now) {
   ClusterState& cluster = context.cluster;
-  cluster.plan_wanted = false;
+  cluster.needs_planning = false;
   planned_ = now;
   ++context.counters.passes;
   cluster.planner.forget_before(now);
@@ -67,7 +67,7 @@
 }
 
 void SchedulingCycle::end_pass(const PassContext& context, Instant now) {
-  if (context.cluster.types.empty()) {
+  if (context.cluster.machine_types.empty()) {
     context.autoscaler.want_nothing();
   } else {
     context.autoscaler.size_fleet(context.cluster,
@@ -80,7 +80,7 @@
   if (now - planned_ < constants::kReplanInterval) return;
   const bool any_pending = std::ranges::any_of(
       cluster.jobs, [](const auto& entry) { return !entry.second.cancelled && entry.second.pending() > 0; });
-  if (any_pending) cluster.plan_wanted = true;
+  if (any_pending) cluster.needs_planning = true;
 }
 
 bool SchedulingCycle::plan_portion(const PassContext& context, Instant now, std::size_t places_most) {
@@ -102,7 +102,7 @@
     }
     if (job.stranded > 0) places += planner.plan_stranded(job, now);
   }
-  context.counters.places_seen += places;
+  context.counters.machines_examined += places;
   if (!pass_->empty()) return false;
   pass_.reset();
   end_pass(context, now);
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -192,7 +192,7 @@
 void SoftState::apply_machine(const std::string& name, const standby::Machine& told, Instant now) {
   const MachineId id(name);
   if (id.empty() || told.type.empty() || cluster_.machines.gone(id)) return;
-  Machine& machine = cluster_.know_machine(id, now);
+  Machine& machine = cluster_.find_or_add_machine(id, now);
   // What reports don't tell. A wrong guess costs a fetch.
   machine.images.insert(told.images.begin(), told.images.end());
   machine.errors = std::max(machine.errors,
@@ -211,7 +211,7 @@
   }
   if (told.up) {
     // It reports within an interval, most likely. After a while it is no longer waited for.
-    const Millis boot = cluster_.boot_time(machine.type);
+    const Millis boot = cluster_.boot_duration(machine.type);
     const auto slack = std::chrono::ceil<Millis>(boot * constants::kBootSlackFactor);
     machine.since = now - std::max(Millis(0), slack - constants::kStandbyUnansweredTimeout);
     machine.ready = now + from_seconds(cluster_.settings.heartbeat_interval_s);
@@ -219,7 +219,7 @@
     machine.since = std::min(told.since, now);
     machine.ready = std::min(told.ready, now + constants::kPlanHorizon);
   }
-  cluster_.refresh_plan_machine(machine);
+  cluster_.update_planner_machine(machine);
 }
 
 void SoftState::apply_task(const Key& key, const standby::Task& told, Instant now) {
@@ -304,7 +304,7 @@
     }
   }
   for (const auto& [name, sums] : arrivals) demand_.hint_arrivals(name, spread(sums, now), snapshot.taken);
-  cluster_.plan_wanted = true;
+  cluster_.needs_planning = true;
   spdlog::info("standby: hints of term {} taken: facts={} machines={} tasks={} age_s={:.1f}", snapshot.term.number(),
                snapshot.entries.size(), snapshot.count(Kind::machine), snapshot.count(Kind::task),
                to_seconds(now - snapshot.taken));
--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -25,7 +25,7 @@
   }
   const bool found = machine.images.contains(job.spec.image);
   cluster_.pools.placed({job.spec.id, index}, job.spec, found);
-  if (!found) left += cluster_.fetch_time(job.spec, machine.type);
+  if (!found) left += cluster_.image_fetch_duration(job.spec, machine.type);
   Allocation& allocation = cluster_.jobs.place(job, index, attempt, machine, now);
   allocation.booking = cluster_.planner.book(
       {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + left});
@@ -78,7 +78,7 @@
       stop(job, key.index, grace_s);
     }
   }
-  cluster_.plan_wanted = true;
+  cluster_.needs_planning = true;
 }
 
 void TaskLifecycle::cancel(Job& job, Instant now) {
@@ -91,7 +91,7 @@
     }
   }
   for (const std::uint32_t index : cluster_.jobs.cancel(job)) confirm_terminated(job, index, "never started", now);
-  cluster_.plan_wanted = true;
+  cluster_.needs_planning = true;
 }
 
 std::vector<DirectStop> TaskLifecycle::due_direct_stops(Instant now) {
@@ -136,7 +136,7 @@
     Millis& saved = job.saved[index];
     saved += std::max(Millis(0), now - *allocation->running_since) / step * step;
   }
-  cluster_.plan_wanted = true;
+  cluster_.needs_planning = true;
 }
 
 void TaskLifecycle::finish(Job& job, std::uint32_t index, Instant now) {
--- a/src/control/task_pricing.cpp
+++ b/src/control/task_pricing.cpp
@@ -9,7 +9,7 @@
 namespace foxshunt::control {
 
 Amounts TaskPricing::offered(const wire::JobSpec& spec, const wire::MachineType& kind) const {
-  return demand_.offered(spec, kind, cluster_.types);
+  return demand_.offered(spec, kind, cluster_.machine_types);
 }
 
 // The longest, as it isn't known yet which kind will be rented: a shorter one would have tasks that wait for a slow
@@ -17,7 +17,7 @@
 Millis TaskPricing::longest_boot(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double longest_s = 0;
-  for (const wire::MachineType& kind : cluster_.types) {
+  for (const wire::MachineType& kind : cluster_.machine_types) {
     if (is_type_allowed(spec, kind.name) && each.count_in(offered(spec, kind)) > 0)
       longest_s = std::max(longest_s, kind.boot_s);
   }
@@ -27,7 +27,7 @@
 // What is left of a boot that is late. Most end soon after their time; one that is very late may never end, and is
 // no longer worth waiting for once it has taken as long again.
 Millis TaskPricing::remaining_boot(const Machine& machine, Instant now) const {
-  const wire::MachineType* kind = cluster_.type(machine.type);
+  const wire::MachineType* kind = cluster_.find_machine_type(machine.type);
   const Millis boot = from_seconds(kind == nullptr ? 0 : kind->boot_s);
   const Millis taken = now - machine.since;
   return taken < boot * constants::kBootSlackFactor ? boot / 4 : taken;
@@ -37,9 +37,10 @@
 double TaskPricing::shortest_startup_s(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double cover_s = 0;
-  for (const wire::MachineType& kind : cluster_.types) {
+  for (const wire::MachineType& kind : cluster_.machine_types) {
     if (each.count_in(offered(spec, kind)) <= 0) continue;
-    const double kind_s = kind.boot_s * constants::kBootSlackFactor + to_seconds(cluster_.fetch_time(spec, kind.name)) +
+    const double kind_s = kind.boot_s * constants::kBootSlackFactor +
+                          to_seconds(cluster_.image_fetch_duration(spec, kind.name)) +
                           cluster_.settings.heartbeat_interval_s;
     cover_s = cover_s == 0 ? kind_s : std::min(cover_s, kind_s);
   }
@@ -55,7 +56,7 @@
 }
 
 bool TaskPricing::serves_urgent_class(const Machine& machine) const {
-  const wire::MachineType* kind = cluster_.type(machine.type);
+  const wire::MachineType* kind = cluster_.find_machine_type(machine.type);
   if (kind == nullptr) return false;
   return std::ranges::any_of(demand_.classes(), [&](const auto& entry) {
     const wire::JobSpec& spec = entry.second.sample;
@@ -73,7 +74,7 @@
 Millis TaskPricing::max_idle(const Machine& machine) const {
   if (cluster_.settings.operators.idle_return_s > 0) return from_seconds(cluster_.settings.operators.idle_return_s);
   if (serves_urgent_class(machine)) return constants::kIdleBeforeScaleInUrgent;
-  const wire::MachineType* kind = cluster_.type(machine.type);
+  const wire::MachineType* kind = cluster_.find_machine_type(machine.type);
   const double boot_s = kind == nullptr ? 0 : kind->boot_s;
   return std::max(constants::kMinIdleBeforeScaleIn, from_seconds(boot_s * constants::kIdleShareOfBoot));
 }
@@ -81,7 +82,7 @@
 double TaskPricing::lowest_price(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double least = 0;
-  for (const wire::MachineType& kind : cluster_.types) {
+  for (const wire::MachineType& kind : cluster_.machine_types) {
     const std::int64_t fit = each.count_in(offered(spec, kind));
     if (fit <= 0 || !is_type_allowed(spec, kind.name)) continue;
     const double price = (spec.spot ? std::min(kind.spot_price, kind.price) : kind.price) / static_cast<double>(fit);
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -88,7 +88,7 @@
 }
 
 void ZoneCoordinator::observe_zones(Instant now) {
-  for (const zone::Change& change : cluster_.zones.look(sight_zones(now), now)) {
+  for (const zone::Change& change : cluster_.zone_health.look(sight_zones(now), now)) {
     spdlog::log(change.to == zone::State::whole || change.to == zone::State::returning ? spdlog::level::info
                                                                                        : spdlog::level::warn,
                 "zone {} is {}, it was {}: {} machines heard, {} silent with {} tasks, {} with ended leases{}",
@@ -98,7 +98,7 @@
                 : !change.seen.sibling_silent
                     ? ", its controller was never heard"
                     : ", its controller was heard " + std::to_string(change.seen.sibling_silent->count()) + " ms ago");
-    cluster_.plan_wanted = true;
+    cluster_.needs_planning = true;
   }
 }
 
--- a/src/node/cloud_loop.cpp
+++ b/src/node/cloud_loop.cpp
@@ -63,7 +63,7 @@
     context_.cluster_view.types = types;
   }
   const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
-  context_.control_state.controller.on_types(types);
+  context_.control_state.controller.on_machine_types(types);
   controller_knows_types_ = !types.empty();
 }
 
@@ -158,7 +158,7 @@
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::cloud));
       is_leader = context_.control_state.controller.is_leader();
-      wanted = is_leader && context_.control_state.controller.cloud_wanted();
+      wanted = is_leader && context_.control_state.controller.needs_scaling();
     }
     if (!is_leader && known) {
       if (!context_.wait_until_leader(stop)) return;
--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -207,18 +207,19 @@
 bool LeaderElector::is_ready(const AcquiredTerm& acquired, const SharedRecords::Snapshot& snapshot,
                              plan::Instant older_leaders_until, plan::Instant renewed, plan::Instant at) const {
   const bool first_leader = acquired.older_leaders_until_wall_ms == 0;
-  const control::Readiness found{.self = context_.settings.name,
-                                 .term = acquired.term,
-                                 .term_revision = acquired.term_revision,
-                                 .record = state::term_from(snapshot.term->data),
-                                 .record_revision = snapshot.term->revision,
-                                 .records_at = snapshot.revision,
-                                 .lease_asked = renewed,
-                                 .older_leaders_until = older_leaders_until,
-                                 .fence_least = first_leader ? plan::Instant{}
-                                                             : acquired.asked + control::fence_span(context_.settings) -
-                                                                   constants::kClockRounding};
-  const auto missing = control::not_ready(found, at);
+  const control::Readiness found{
+      .self = context_.settings.name,
+      .term = acquired.term,
+      .term_revision = acquired.term_revision,
+      .record = state::term_from(snapshot.term->data),
+      .record_revision = snapshot.term->revision,
+      .records_revision = snapshot.revision,
+      .lease_renewal_requested = renewed,
+      .older_leaders_until = older_leaders_until,
+      .min_older_leaders_until =
+          first_leader ? plan::Instant{}
+                       : acquired.asked + control::fence_span(context_.settings) - constants::kClockRounding};
+  const auto missing = control::first_unmet_condition(found, at);
   if (!missing) return true;
   spdlog::warn("failover_given_up term={} check={}", acquired.term.number(), *missing);
   return false;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -197,8 +197,8 @@
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::heartbeats));
       commands = context_.control_state.controller.on_heartbeat(heartbeat, now());
       term = context_.control_state.controller.term();
-      plan = context_.control_state.controller.plan_wanted();
-      writes = context_.control_state.controller.writes_wanted();
+      plan = context_.control_state.controller.needs_planning();
+      writes = context_.control_state.controller.has_pending_writes();
     }
     if (!commands) return relayed ? send_to({}) : relay_.answer(heartbeat, body);
     if (writes) context_.wakeups.record_writer.signal();
@@ -207,11 +207,11 @@
     // report the machine would have been idle for a whole interval.
     if (writes || plan) {
       std::unique_lock lock(context_.control_state.mutex.handle(LockPriority::heartbeats));
-      if (!context_.control_state.controller.settled(heartbeat)) {
+      if (!context_.control_state.controller.is_settled(heartbeat)) {
         context_.control_state.progress_made.wait_for(lock, constants::kHeartbeatSettleTimeout, [&] {
-          return context_.control_state.controller.settled(heartbeat);
+          return context_.control_state.controller.is_settled(heartbeat);
         });
-        const auto later = context_.control_state.controller.later_commands(heartbeat, now());
+        const auto later = context_.control_state.controller.follow_up_commands(heartbeat, now());
         if (!later || (guards::kept(guards::Guard::answer_term) && context_.control_state.controller.term() != term))
           return retry_later("it may not act for the controllers now");
         for (const wire::Command& command : *later) {
--- a/src/node/operator_requests.cpp
+++ b/src/node/operator_requests.cpp
@@ -100,15 +100,15 @@
     const control::ClusterSummary cluster_summary = controller.cluster_summary(at);
     const control::Counters& done = controller.counters();
     body.emplace_back("term", controller.term().number());
-    body.emplace_back("fence_left_ms", count_ms(cluster_summary.fence_left));
+    body.emplace_back("fence_left_ms", count_ms(cluster_summary.fence_remaining));
     body.emplace_back("jobs", cluster_summary.jobs);
     body.emplace_back("tasks_waiting", cluster_summary.tasks_waiting);
     body.emplace_back("tasks_placed", cluster_summary.tasks_placed);
     body.emplace_back("machines_up", cluster_summary.machines_up);
     body.emplace_back("machines_booting", cluster_summary.machines_booting);
     body.emplace_back("machines_leaving", cluster_summary.machines_leaving);
-    body.emplace_back("unwritten", cluster_summary.unwritten);
-    body.emplace_back("unwritten_oldest_ms", count_ms(cluster_summary.unwritten_oldest));
+    body.emplace_back("unwritten", cluster_summary.unwritten_records);
+    body.emplace_back("unwritten_oldest_ms", count_ms(cluster_summary.oldest_unwritten_age));
     body.emplace_back("writes", done.writes);
     body.emplace_back("writes_failed", done.writes_failed);
     body.emplace_back("passes", done.passes);
--- a/src/node/record_controller_loop.cpp
+++ b/src/node/record_controller_loop.cpp
@@ -70,7 +70,7 @@
   {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::metrics));
     context_.control_state.controller.on_due_jobs(std::move(dues));
-    if (context_.control_state.controller.planning()) return;
+    if (context_.control_state.controller.is_planning()) return;
     ends = context_.control_state.controller.planned_ends();
     deadline_forecasts = context_.control_state.controller.deadline_forecasts(moment.at);
   }
--- a/src/node/scheduler_loop.cpp
+++ b/src/node/scheduler_loop.cpp
@@ -18,7 +18,7 @@
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::scheduling));
       context_.control_state.controller.tick(now());
-      wanted = context_.control_state.controller.plan_wanted();
+      wanted = context_.control_state.controller.needs_planning();
       if (!context_.control_state.controller.is_leader()) context_.wakeups.leader_elector.signal();
     }
     // Reports, records and the lease take their turn between portions.
@@ -34,8 +34,8 @@
     control::ClusterSummary cluster_summary;
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::scheduling));
-      writes = context_.control_state.controller.writes_wanted();
-      cloud = context_.control_state.controller.cloud_wanted();
+      writes = context_.control_state.controller.has_pending_writes();
+      cloud = context_.control_state.controller.needs_scaling();
       std::ranges::move(context_.control_state.controller.due_direct_stops(now()),
                         std::back_inserter(context_.control_state.direct_stops));
       direct_stops = !context_.control_state.direct_stops.empty();
@@ -47,9 +47,10 @@
       if (placed) context_.standby.on_phase_reached(standby::Phase::placed);
     }
     context_.standby.log_takeover();
-    if (cluster_summary.unwritten_oldest > constants::kBehindThreshold && late_write_.should_log(net::Clock::now())) {
-      spdlog::warn("writes_behind records={} oldest_s={:.1f}", cluster_summary.unwritten,
-                   control::to_seconds(cluster_summary.unwritten_oldest));
+    if (cluster_summary.oldest_unwritten_age > constants::kBehindThreshold &&
+        late_write_.should_log(net::Clock::now())) {
+      spdlog::warn("writes_behind records={} oldest_s={:.1f}", cluster_summary.unwritten_records,
+                   control::to_seconds(cluster_summary.oldest_unwritten_age));
     }
     if (writes) context_.wakeups.record_writer.signal();
     if (cloud) context_.wakeups.cloud_loop.signal();
--- a/src/node/warm_pool_loop.cpp
+++ b/src/node/warm_pool_loop.cpp
@@ -55,8 +55,8 @@
     if (directives) controller.set_pool_directives(std::move(*directives));
     if (controller.is_leader()) {
       seen = controller.observe_for_pools(now());
-      plan = controller.plan_wanted();
-      cloud = controller.cloud_wanted();
+      plan = controller.needs_planning();
+      cloud = controller.needs_scaling();
     }
   }
   if (plan) context_.wakeups.scheduler.signal();
--- a/src/node/zone_requests.cpp
+++ b/src/node/zone_requests.cpp
@@ -36,7 +36,7 @@
   if (!context.control_state.controller.is_leader())
     return {.status = 200, .body = wire::encode(body), .retry_after_s = {}};
   Value::List zones;
-  for (const auto& [name, standing] : context.control_state.controller.zones().standings()) {
+  for (const auto& [name, standing] : context.control_state.controller.zone_health().standings()) {
     zones.push_back(Value::Map{{"zone", name},
                                {"state", context.settings.in_service(name) ? zone::name_of(standing.state)
                                                                            : std::string_view("out of service")},
--- a/tests/bench/busy_fleet.cpp
+++ b/tests/bench/busy_fleet.cpp
@@ -40,25 +40,25 @@
 }  // namespace
 
 BusyFleet::BusyFleet(std::size_t machines, std::size_t gangs, std::size_t arrays) : controller_(settings()) {
-  controller_.on_types({{.name = "plain",
-                         .cpus = 32,
-                         .ram_gb = 256,
-                         .cache_gb = 60,
-                         .fetch_gb_per_s = 0.5,
-                         .price = 2.8,
-                         .spot_price = 1.3,
-                         .boot_s = 20,
-                         .zones = {"a", "b", "c"}},
-                        {.name = "gpu",
-                         .cpus = 48,
-                         .gpus = 8,
-                         .ram_gb = 288,
-                         .cache_gb = 60,
-                         .fetch_gb_per_s = 0.3,
-                         .price = 29,
-                         .spot_price = 13,
-                         .boot_s = 40,
-                         .zones = {"a", "b", "c"}}});
+  controller_.on_machine_types({{.name = "plain",
+                                 .cpus = 32,
+                                 .ram_gb = 256,
+                                 .cache_gb = 60,
+                                 .fetch_gb_per_s = 0.5,
+                                 .price = 2.8,
+                                 .spot_price = 1.3,
+                                 .boot_s = 20,
+                                 .zones = {"a", "b", "c"}},
+                                {.name = "gpu",
+                                 .cpus = 48,
+                                 .gpus = 8,
+                                 .ram_gb = 288,
+                                 .cache_gb = 60,
+                                 .fetch_gb_per_s = 0.3,
+                                 .price = 29,
+                                 .spot_price = 13,
+                                 .boot_s = 40,
+                                 .zones = {"a", "b", "c"}}});
   control::FailoverSnapshot failover;
   failover.term = Term(1);
   failover.term_revision = Revision(1);
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -96,7 +96,7 @@
     }
     if (!controller.is_leader()) continue;
     out << term(controller.term()) << (controller.term_revision() == mark_now(state::kTermKey)) << away(node.lease_at)
-        << away(node.read_at) << away(node.older_leaders_until) << controller.plan_wanted();
+        << away(node.read_at) << away(node.older_leaders_until) << controller.needs_planning();
     for (const kv::Event& event : store_.watch(state::kActiveJobPrefix, node.watch_from).events)
       event.data ? data(event.key, *event.data) : void(out << event.key << "gone");
     for (const auto& [id, job] : controller.jobs()) {
--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -146,7 +146,7 @@
 Model::Node Model::new_node(std::size_t node, std::uint64_t life) const {
   const config::Settings settings = settings_of(node);
   Node made{control::Controller(settings)};
-  made.controller.on_types({type()});
+  made.controller.on_machine_types({type()});
   made.life = life;
   made.holder = zone::DelegatedLease(settings.name, settings.zone, life, control::delegation_spans(settings));
   return made;
@@ -453,13 +453,13 @@
       .term_revision = taking.revision,
       .record = state::term_from(term.entry.data),
       .record_revision = term.entry.revision,
-      .records_at = live.revision,
-      .lease_asked = taking.asked,
+      .records_revision = live.revision,
+      .lease_renewal_requested = taking.asked,
       .older_leaders_until = failover.older_leaders_until,
-      .fence_least = taking.until_wall_ms == 0
-                         ? Instant{}
-                         : taking.asked + control::fence_span(settings_of(node)) - constants::kClockRounding};
-  if (control::not_ready(found, now_)) return store_.revoke(std::exchange(self.lease, {}));
+      .min_older_leaders_until = taking.until_wall_ms == 0 ? Instant{}
+                                                           : taking.asked + control::fence_span(settings_of(node)) -
+                                                                 constants::kClockRounding};
+  if (control::first_unmet_condition(found, now_)) return store_.revoke(std::exchange(self.lease, {}));
   self.controller.become_leader(failover, taking.asked);
   self.watch_from = live.revision;
   self.writing = false;
@@ -490,7 +490,7 @@
   Node& self = nodes_[node];
   if (!self.controller.is_leader()) return;
   self.controller.tick(now_);
-  if (self.controller.plan_wanted()) self.controller.plan_pass(now_);
+  if (self.controller.needs_planning()) self.controller.plan_pass(now_);
   if (const std::vector<MachineId> names = self.controller.next_scale_in(now_); !names.empty()) {
     std::vector<std::string> zones;
     for (Machine& machine : machines_) {
@@ -675,11 +675,11 @@
   Node& self = nodes_[message.node];
   if (self.frozen || self.life != message.life) return;
   auto commands = message.commands;
-  if (!self.controller.settled(message.heartbeat)) {
+  if (!self.controller.is_settled(message.heartbeat)) {
     plan_turn(message.node);
     write_turn(message.node);
   }
-  const auto later = self.controller.later_commands(message.heartbeat, now_);
+  const auto later = self.controller.follow_up_commands(message.heartbeat, now_);
   if (!later || (guards::kept(guards::Guard::answer_term) && self.controller.term() != message.term)) {
     return deliver_answer(message.machine, {}, {}, message.heartbeat.incarnation, message.sent);
   }
--- a/tests/standins/world.cpp
+++ b/tests/standins/world.cpp
@@ -71,7 +71,7 @@
   self.holder = zone::DelegatedLease(own.name, own.zone, static_cast<std::uint64_t>(wall_ms()),
                                      control::delegation_spans(settings_));
   self.controller = std::make_unique<control::Controller>(own);
-  self.controller->on_types(types());
+  self.controller->on_machine_types(types());
   self.finals = std::make_unique<user_api::FinalStates>();
   self.publisher = std::make_unique<standby::Publisher>(self.life * 100 + node + 1);
   self.subscriber = std::make_unique<standby::Subscriber>(own.name);
--- a/tests/standins/world_cloud.cpp
+++ b/tests/standins/world_cloud.cpp
@@ -79,7 +79,7 @@
   }
   std::erase_if(supplies_, [&type](const Supply& supply) { return supply.type.name == type; });
   rules_.on_types(types());
-  for (const Node& node : nodes_) node.controller->on_types(types());
+  for (const Node& node : nodes_) node.controller->on_machine_types(types());
 }
 
 void World::start_up(const std::string& type, const std::string& zone, std::size_t count) {
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -40,7 +40,7 @@
     if (!late(node, Duty::planning)) {
       self.controller->tick(time_of(node));
       // A step may fall between two portions of a pass.
-      if (self.controller->plan_wanted()) (void)self.controller->plan_portion(time_of(node), places_per_step_);
+      if (self.controller->needs_planning()) (void)self.controller->plan_portion(time_of(node), places_per_step_);
     }
     if (!late(node, Duty::records)) follow_duty(node);
     if (!late(node, Duty::writes)) write_duty(node);
--- a/tests/standins/world_records.cpp
+++ b/tests/standins/world_records.cpp
@@ -95,12 +95,12 @@
 void World::calendar_duty(std::size_t node) {
   Node& self = nodes_[node];
   if (self.calling_calendar || now_ < self.next_calendar || !self.controller->can_start_tasks(time_of(node))) return;
-  if (self.controller->planning() && now_ < self.next_calendar + constants::kRecordControllerInterval) return;
+  if (self.controller->is_planning() && now_ < self.next_calendar + constants::kRecordControllerInterval) return;
   if (!self.record_cache->whole() || self.record_cache->revision() < self.controller->term_revision()) return;
   self.next_calendar = now_ + constants::kRecordControllerInterval;
   const calendar::Both moment{.at = time_of(node), .wall_ms = wall_ms()};
   self.controller->on_due_jobs(calendar::dues_of(*self.calendar, moment));
-  if (!self.controller->planning()) {
+  if (!self.controller->is_planning()) {
     self.calendar->planned(calendar::plans_of(self.controller->planned_ends(),
                                               self.controller->deadline_forecasts(time_of(node)), moment));
   }
--- a/tests/standins/world_users.cpp
+++ b/tests/standins/world_users.cpp
@@ -79,7 +79,7 @@
 user_api::Known World::known(std::size_t node) {
   return {.settings = settings_,
           .finals = *nodes_[node].finals,
-          .types = nodes_[node].controller->types(),
+          .types = nodes_[node].controller->machine_types(),
           .wall_ms = wall_ms()};
 }
 
--- a/tests/standins/world_workers.cpp
+++ b/tests/standins/world_workers.cpp
@@ -166,14 +166,14 @@
                           std::size_t node, std::uint64_t life, std::size_t via) {
   if (!nodes_[node].alive || nodes_[node].life != life) return;
   control::Controller& controller = *nodes_[node].controller;
-  if (commands && !controller.settled(heartbeat) && now_ - came < constants::kHeartbeatSettleTimeout) {
+  if (commands && !controller.is_settled(heartbeat) && now_ - came < constants::kHeartbeatSettleTimeout) {
     after(Millis(20), [this, id, heartbeat, commands, sent, came, node, life, via] {
       answer_report(id, heartbeat, commands, sent, came, node, life, via);
     });
     return;
   }
   if (commands && now_ > came) {
-    if (const auto later = controller.later_commands(heartbeat, time_of(node))) {
+    if (const auto later = controller.follow_up_commands(heartbeat, time_of(node))) {
       for (const wire::Command& command : *later) {
         if (std::ranges::find(*commands, command) == commands->end()) commands->push_back(command);
       }
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -59,7 +59,7 @@
   const Machine& machine = cluster_.machines.at(MachineId("m-000009"));
   EXPECT_EQ(machine.type, "plain");
   EXPECT_EQ(machine.ready, now_ + Millis(10'000));
-  EXPECT_TRUE(cluster_.plan_wanted);
+  EXPECT_TRUE(cluster_.needs_planning);
 }
 
 TEST_F(Autoscaling, ASuccessorKnowsWhatTheCloudRefusedAndNothingElse) {
--- a/tests/unit/cluster_fixture.h
+++ b/tests/unit/cluster_fixture.h
@@ -12,7 +12,8 @@
 class ClusterFixture : public testing::Test {
  protected:
   ClusterFixture() : cluster_(settings()) {
-    cluster_.types = {{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}};
+    cluster_.machine_types = {
+        {.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}};
   }
 
   static config::Settings settings() {
@@ -56,7 +57,7 @@
 
   // One that is up and has just been heard.
   Machine& add_machine(const std::string& id, const std::string& zone = "a") {
-    Machine& machine = cluster_.know_machine(MachineId(id), now_);
+    Machine& machine = cluster_.find_or_add_machine(MachineId(id), now_);
     machine.type = "plain";
     machine.zone = zone;
     machine.state = MachineState::up;
@@ -64,7 +65,7 @@
     machine.last_heartbeat = now_;
     machine.ready = now_;
     machine.images.insert("img");
-    cluster_.refresh_plan_machine(machine);
+    cluster_.update_planner_machine(machine);
     return machine;
   }
 
--- a/tests/unit/concurrent_faults_test.cpp
+++ b/tests/unit/concurrent_faults_test.cpp
@@ -50,7 +50,8 @@
 class ConcurrentFaults : public testing::Test {
  protected:
   ConcurrentFaults() : controller_(settings()) {
-    controller_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
+    controller_.on_machine_types(
+        {{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
   void become_leader(Term term, Revision revision, std::vector<kv::Entry> live = {},
@@ -179,7 +180,7 @@
 // Leaders, users and a state service that carries a transaction out when the test says so.
 class ConcurrentFaultsAtTheStore : public ConcurrentFaults {
  protected:
-  ConcurrentFaultsAtTheStore() : next_(settings()) { next_.on_types(controller_.types()); }
+  ConcurrentFaultsAtTheStore() : next_(settings()) { next_.on_machine_types(controller_.machine_types()); }
 
   void acquire_leadership(Controller& controller, const NodeName& node) {
     const state::LeadershipView view =
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -49,7 +49,8 @@
 class Leading : public testing::Test {
  protected:
   Leading() : controller_(settings()) {
-    controller_.on_types({{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
+    controller_.on_machine_types(
+        {{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
   void become_leader(std::vector<kv::Entry> live = {}, std::vector<kv::Entry> linger = {}) {
@@ -147,9 +148,9 @@
 TEST_F(Leading, StartsAGangOnceAllItsPartsAreDurable) {
   config::Settings one_change = settings();
   one_change.state_txn_ops = 1;
-  const std::vector<wire::MachineType> types = controller_.types();
+  const std::vector<wire::MachineType> types = controller_.machine_types();
   controller_ = Controller(one_change);
-  controller_.on_types(types);
+  controller_.on_machine_types(types);
   become_leader();
   (void)heartbeat(kFirst, 1, Term(7));
   wire::JobSpec gang = job_of(constants::kTasksPerShard + 2);
@@ -373,9 +374,9 @@
   (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
   EXPECT_FALSE(has(heartbeat(kFirst, 2, Term(7)), CommandKind::run));
-  EXPECT_FALSE(has(controller_.later_commands(last_, now_), CommandKind::run));
+  EXPECT_FALSE(has(controller_.follow_up_commands(last_, now_), CommandKind::run));
   ASSERT_TRUE(write(kv::Answer::none));
-  EXPECT_FALSE(has(controller_.later_commands(last_, now_), CommandKind::run));
+  EXPECT_FALSE(has(controller_.follow_up_commands(last_, now_), CommandKind::run));
   EXPECT_FALSE(has(heartbeat(kFirst, 3, Term(7)), CommandKind::run));
   ASSERT_TRUE(write());
   EXPECT_TRUE(has(heartbeat(kFirst, 4, Term(7)), CommandKind::run));
@@ -445,15 +446,15 @@
 TEST_F(Leading, AnAnswerThatWaitedNeedsTheRightOnceMore) {
   become_leader();
   ASSERT_TRUE(heartbeat(kFirst, 1, Term(7)));
-  EXPECT_TRUE(controller_.later_commands(last_, now_));
+  EXPECT_TRUE(controller_.follow_up_commands(last_, now_));
   now_ += Millis(28'100);  // as above
-  EXPECT_FALSE(controller_.later_commands(last_, now_)) << "it stood still";
+  EXPECT_FALSE(controller_.follow_up_commands(last_, now_)) << "it stood still";
   controller_.on_leader_lease_renewed(now_);
-  EXPECT_FALSE(controller_.later_commands(last_, now_)) << "the lease alone tells nothing of cancellations";
+  EXPECT_FALSE(controller_.follow_up_commands(last_, now_)) << "the lease alone tells nothing of cancellations";
   controller_.on_records_confirmed(now_);
-  EXPECT_TRUE(controller_.later_commands(last_, now_));
+  EXPECT_TRUE(controller_.follow_up_commands(last_, now_));
   controller_.observe_term(Term(8));
-  EXPECT_FALSE(controller_.later_commands(last_, now_)) << "another one leads";
+  EXPECT_FALSE(controller_.follow_up_commands(last_, now_)) << "another one leads";
 }
 
 // Invariant 7: a team's limit counts what is placed, whatever the plan says. A pass in portions may outlive the booking
@@ -503,7 +504,7 @@
 
 TEST_F(Leading, CountsWhatIsNotWrittenYetAndSinceWhen) {
   become_leader();
-  EXPECT_EQ(controller_.cluster_summary(now_).unwritten, 0U);
+  EXPECT_EQ(controller_.cluster_summary(now_).unwritten_records, 0U);
   submit(job_of(2));
   (void)heartbeat(kFirst, 1, Term(7));
   controller_.plan_pass(now_);
@@ -511,16 +512,16 @@
   control::ClusterSummary cluster_summary = controller_.cluster_summary(now_);
   EXPECT_EQ(cluster_summary.tasks_placed, 2U);
   EXPECT_EQ(cluster_summary.machines_up, 1U);
-  EXPECT_EQ(cluster_summary.unwritten, 1U);
-  EXPECT_EQ(cluster_summary.unwritten_oldest, Millis(700));
+  EXPECT_EQ(cluster_summary.unwritten_records, 1U);
+  EXPECT_EQ(cluster_summary.oldest_unwritten_age, Millis(700));
   ASSERT_TRUE(write(kv::Answer::none));  // it may be written, or not
   now_ += Millis(300);
-  EXPECT_EQ(controller_.cluster_summary(now_).unwritten_oldest, Millis(1000));
+  EXPECT_EQ(controller_.cluster_summary(now_).oldest_unwritten_age, Millis(1000));
   ASSERT_TRUE(write());
   cluster_summary = controller_.cluster_summary(now_);
-  EXPECT_EQ(cluster_summary.unwritten, 0U);
-  EXPECT_EQ(cluster_summary.unwritten_oldest, Millis(0));
-  EXPECT_GT(cluster_summary.fence_left, Millis(0));
+  EXPECT_EQ(cluster_summary.unwritten_records, 0U);
+  EXPECT_EQ(cluster_summary.oldest_unwritten_age, Millis(0));
+  EXPECT_GT(cluster_summary.fence_remaining, Millis(0));
 }
 
 // ---- hints of a standby ----
--- a/tests/unit/gang_coordinator_test.cpp
+++ b/tests/unit/gang_coordinator_test.cpp
@@ -33,7 +33,7 @@
   place_two(TaskState::waiting);
   EXPECT_TRUE(GangCoordinator::survives_loss(cluster_, job_, false, now_));
   EXPECT_TRUE(job_.gather_until.has_value());
-  EXPECT_TRUE(cluster_.plan_wanted);
+  EXPECT_TRUE(cluster_.needs_planning);
   EXPECT_EQ(GangCoordinator::missing_members(cluster_, job_, now_), MissingMembers::replace);
 }
 
--- a/tests/unit/machine_housekeeper_test.cpp
+++ b/tests/unit/machine_housekeeper_test.cpp
@@ -63,7 +63,7 @@
 }
 
 TEST_F(Housekeeping, AMachineThatOnlyARecordTellsOfIsForgottenWhenNoListNamesIt) {
-  cluster_.know_machine(MachineId("m-000002"), now_);
+  cluster_.find_or_add_machine(MachineId("m-000002"), now_);
   housekeeper_.review_machines(now_ + Millis(3'600'000));
   EXPECT_FALSE(cluster_.machines.contains(MachineId("m-000002")));
 }
--- a/tests/unit/takeover_test.cpp
+++ b/tests/unit/takeover_test.cpp
@@ -20,46 +20,46 @@
           .term_revision = Revision(77),
           .record = state::TermRecord{.term = Term(4), .leader = NodeName("node-1")},
           .record_revision = Revision(77),
-          .records_at = Revision(80),
-          .lease_asked = kNow - Millis(500),
+          .records_revision = Revision(80),
+          .lease_renewal_requested = kNow - Millis(500),
           .older_leaders_until = kNow + Millis(9000),
-          .fence_least = kNow + Millis(9000)};
+          .min_older_leaders_until = kNow + Millis(9000)};
 }
 
-TEST(Readiness, NothingIsMissing) { EXPECT_FALSE(control::not_ready(ready(), kNow)); }
+TEST(Readiness, NothingIsMissing) { EXPECT_FALSE(control::first_unmet_condition(ready(), kNow)); }
 
 TEST(Readiness, TheTermRecordReadBackIsOurs) {
   control::Readiness found = ready();
   found.record.reset();
-  EXPECT_EQ(control::not_ready(found, kNow), "term-read-back");
+  EXPECT_EQ(control::first_unmet_condition(found, kNow), "term-read-back");
   found = ready();
   found.record->leader = NodeName("node-2");
-  EXPECT_EQ(control::not_ready(found, kNow), "term-read-back");
+  EXPECT_EQ(control::first_unmet_condition(found, kNow), "term-read-back");
   found = ready();
   found.record->term = Term(5);
-  EXPECT_EQ(control::not_ready(found, kNow), "term-read-back");
+  EXPECT_EQ(control::first_unmet_condition(found, kNow), "term-read-back");
   // An earlier life of the same name took the same term by another write.
   found = ready();
   found.record_revision = Revision(76);
-  EXPECT_EQ(control::not_ready(found, kNow), "term-read-back");
+  EXPECT_EQ(control::first_unmet_condition(found, kNow), "term-read-back");
 }
 
 TEST(Readiness, TheRecordsReachTheTerm) {
   control::Readiness found = ready();
-  found.records_at = Revision(76);
-  EXPECT_EQ(control::not_ready(found, kNow), "records-at-term");
+  found.records_revision = Revision(76);
+  EXPECT_EQ(control::first_unmet_condition(found, kNow), "records-at-term");
 }
 
 // The time of day was set ahead during the takeover: the older fence would be taken for over too soon.
 TEST(Readiness, OlderFencesAreReckoned) {
   control::Readiness found = ready();
   found.older_leaders_until -= Millis(1);
-  EXPECT_EQ(control::not_ready(found, kNow), "fences-reckoned");
+  EXPECT_EQ(control::first_unmet_condition(found, kNow), "fences-reckoned");
 }
 
 // The process stood still between the lease's confirmation and now.
 TEST(Readiness, TheLeaseIsConfirmedByTheClockAsItIsNow) {
-  EXPECT_EQ(control::not_ready(ready(), kNow + constants::kLeaderLeaseTtl), "lease-confirmed");
+  EXPECT_EQ(control::first_unmet_condition(ready(), kNow + constants::kLeaderLeaseTtl), "lease-confirmed");
 }
 
 TEST(FailoverTimeline, AreReckonedFromTheLastSignOfLife) {
--- a/tests/unit/work_test.cpp
+++ b/tests/unit/work_test.cpp
@@ -25,7 +25,7 @@
   const control::Counters& done = fleet.controller().counters();
   EXPECT_EQ(done.passes, 1U);
   EXPECT_EQ(done.jobs_planned, 2 * kQueue);
-  EXPECT_LE(done.places_seen, done.jobs_planned * kMachines);
+  EXPECT_LE(done.machines_examined, done.jobs_planned * kMachines);
   EXPECT_GT(done.placed, 0U);
 }
 
@@ -47,14 +47,14 @@
   std::size_t portions = 0;
   for (bool ended = false; !ended; ++portions) {
     ended = fleet.controller().plan_portion(fleet.now(), kMost);
-    EXPECT_TRUE(ended || fleet.controller().plan_wanted());
-    const std::uint64_t now_seen = fleet.controller().counters().places_seen;
+    EXPECT_TRUE(ended || fleet.controller().needs_planning());
+    const std::uint64_t now_seen = fleet.controller().counters().machines_examined;
     EXPECT_LT(now_seen - seen, kMost + kMachines);  // the last job began before the bound
     seen = now_seen;
   }
   EXPECT_GT(portions, 5U);
   EXPECT_EQ(fleet.controller().counters().passes, 1U);
-  EXPECT_FALSE(fleet.controller().plan_wanted());
+  EXPECT_FALSE(fleet.controller().needs_planning());
 }
 
 TEST_F(Work, PortionsDecideAsAWholePassDoes) {
@@ -99,7 +99,7 @@
   ASSERT_TRUE(batch);
   fleet.controller().end_write(*batch, {.answer = kv::Answer::ok, .revision = Revision(100'000), .failed = {}},
                                fleet.now());
-  EXPECT_FALSE(fleet.controller().plan_wanted());
+  EXPECT_FALSE(fleet.controller().needs_planning());
 }
 
 TEST_F(Work, AReportThatTellsNothingNewLeavesNothingToDo) {
@@ -117,8 +117,8 @@
   EXPECT_LE(allocations() - before, 2 * heartbeat.tasks.size());  // a set of the tasks that it names, and their ids
   ASSERT_TRUE(commands);
   EXPECT_TRUE(commands->empty());
-  EXPECT_FALSE(fleet.controller().plan_wanted());
-  EXPECT_FALSE(fleet.controller().writes_wanted());
+  EXPECT_FALSE(fleet.controller().needs_planning());
+  EXPECT_FALSE(fleet.controller().has_pending_writes());
 }
 
 }  // namespace
