--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Up to when the holder of a delegation may renew the machine's lease. A machine that only another controller's word places in
-// a zone may stand in any: all delegations count.
+// Returns until when the holder of a delegation may renew the machine's lease. If the machine's zone is known only from
+// another controller's soft state, the machine may be in any zone, so that all delegations count.
 Instant delegated_until(const zone::DelegationTable& delegations, const Machine& machine) {
   const std::string zone = guards::kept(guards::Guard::lease_zone_seen) ? machine.seen_zone() : machine.zone;
   return delegations.renewed_until(zone, machine.id);
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-ClusterState::ClusterState(config::Settings made_from)
-    : settings(std::move(made_from)),
+ClusterState::ClusterState(config::Settings cluster_settings)
+    : settings(std::move(cluster_settings)),
       machines({.lease = lease_span(settings), .silence = silence_span(settings), .detour = detour_span(settings)}) {}
 
 void ClusterState::rebind_planned_nodes() {
@@ -36,27 +36,29 @@
 }
 
 void ClusterState::register_image_cache(Machine& machine) {
-  // Before its type is known, its room is not.
-  const wire::MachineType* kind = find_machine_type(machine.type);
-  const auto images = pools.first_seen(machine.id, kind == nullptr ? 0 : kind->cache_gb, machine.images);
+  // The cache size is unknown until the machine type is known; zero is passed until then.
+  const wire::MachineType* machine_type_info = find_machine_type(machine.type);
+  const auto images =
+      pools.first_seen(machine.id, machine_type_info == nullptr ? 0 : machine_type_info->cache_gb, machine.images);
   if (images) machine.images = *images;
 }
 
 void ClusterState::record_cached_image(Machine& machine, const wire::JobSpec& spec) {
   machine.images.insert(spec.image);
-  for (const std::string& gone : pools.used(machine.id, spec)) machine.images.erase(gone);
+  for (const std::string& evicted : pools.used(machine.id, spec)) machine.images.erase(evicted);
 }
 
 void ClusterState::update_planner_machine(Machine& machine) {
   if (machine.planned != nullptr && machine.planned->info.ready == machine.ready) return;
-  const wire::MachineType* kind = find_machine_type(machine.type);
-  if (kind == nullptr) return;
-  planner.set_machine({.id = machine.id,
-                       .type = machine.type,
-                       .zone = machine.zone,
-                       .spot = machine.spot,
-                       .capacity = Amounts::from(kind->cpus, kind->gpus, kind->ram_gb),
-                       .ready = machine.ready});
+  const wire::MachineType* machine_type_info = find_machine_type(machine.type);
+  if (machine_type_info == nullptr) return;
+  planner.set_machine(
+      {.id = machine.id,
+       .type = machine.type,
+       .zone = machine.zone,
+       .spot = machine.spot,
+       .capacity = Amounts::from(machine_type_info->cpus, machine_type_info->gpus, machine_type_info->ram_gb),
+       .ready = machine.ready});
   machine.planned = planner.node(machine.id);
   needs_planning = true;
 }
@@ -86,14 +88,14 @@
 }
 
 Millis ClusterState::image_fetch_duration(const wire::JobSpec& spec, const std::string& machine_type) const {
-  const wire::MachineType* kind = find_machine_type(machine_type);
-  if (kind == nullptr || kind->fetch_gb_per_s <= 0) return Millis(0);
-  return from_seconds(spec.image_gb / kind->fetch_gb_per_s);
+  const wire::MachineType* machine_type_info = find_machine_type(machine_type);
+  if (machine_type_info == nullptr || machine_type_info->fetch_gb_per_s <= 0) return Millis(0);
+  return from_seconds(spec.image_gb / machine_type_info->fetch_gb_per_s);
 }
 
 Millis ClusterState::boot_duration(const std::string& type_name) const {
-  const wire::MachineType* kind = find_machine_type(type_name);
-  return from_seconds(kind == nullptr ? 0 : kind->boot_s);
+  const wire::MachineType* machine_type_info = find_machine_type(type_name);
+  return from_seconds(machine_type_info == nullptr ? 0 : machine_type_info->boot_s);
 }
 
 bool ClusterState::can_rent_in_zone(const std::string& zone) const {
--- a/src/control/cluster_state.h
+++ b/src/control/cluster_state.h
@@ -1,9 +1,10 @@
-// The state of the cluster that the modules of `control` share: the job table, the machine inventory, the planner, machine
-// types, settings, and what is known of zones and of leases that others may renew.
+// Cluster state shared by the modules of `control`: the job table, the machine inventory, the planner, machine types,
+// settings, zone health, and the leases that other controllers may renew.
 //
-// Owns all of these. Modules read and change them through a reference that they are given; each member says itself what it
-// guarantees (JobTable, MachineInventory, Planner). The helpers here are those that more than one module needs.
-// Never decides anything: it places, stops and returns nothing. Pure, with the time passed in; not thread-safe.
+// ClusterState owns these members. Modules read and change them by reference. The invariants of each member are
+// documented in its own class (JobTable, MachineInventory, Planner). The functions here are helpers that several
+// modules need. ClusterState makes no scheduling decisions: it places and stops no tasks and returns no machines. It
+// does no I/O, and callers pass in the current time. Not thread-safe.
 #pragma once
 
 #include <string>
@@ -35,35 +36,37 @@
 
 struct ClusterState {
   explicit ClusterState(config::Settings settings);
-  // After a copy: points the machines at the nodes of this planner instead of the original's.
+  // Must be called after copying: makes the machines point to this object's planner nodes instead of the original's.
   void rebind_planned_nodes();
 
   // ---- machines ----
-  // The machine of that name, added if it is not known yet.
+  // Returns the machine with this id, and adds it to the inventory if it is not known yet.
   Machine& find_or_add_machine(const MachineId& id, Instant now);
-  // Gives the pools the first word of the machine's image cache, and takes back what they believe it to hold.
+  // Registers the machine's image cache with the warm pools on first sight. The machine's images are then replaced by
+  // those that the pools expect in the cache. For a registered machine, only a missing cache size is set. Without
+  // pools, this has no effect.
   void register_image_cache(Machine& machine);
-  // A task of the job has its image there.
+  // Records that the job's image is in the machine's cache, and removes the images that were evicted for it.
   void record_cached_image(Machine& machine, const wire::JobSpec& spec);
-  // Tells the planner of the machine, once its type is known, and of changes of the time at which it is ready.
+  // Adds the machine to the planner, or updates the time at which it is ready. Does nothing while its type is unknown.
   void update_planner_machine(Machine& machine);
-  // Forgets a machine everywhere, unless something may still run on it.
+  // Removes the machine from the inventory, the pools and the planner, unless tasks may still run on it.
   void forget_machine(const MachineId& id);
-  // Whether it can take work now: it is known to be well, and its zone is in service.
+  // Returns whether tasks can be placed on the machine now: the machine is healthy and its zone is in service.
   [[nodiscard]] bool is_schedulable(const Machine& machine, Instant now) const;
-  // Up to when its tasks may run on, if nothing more is heard of it.
+  // Returns the latest time until which the machine's tasks may keep running if it sends no more heartbeats.
   [[nodiscard]] Instant lease_end(const Machine& machine) const;
-  // Whether that time has certainly passed; it may be known sooner.
+  // Returns whether the machine's lease has certainly expired. This may be known before lease_end().
   [[nodiscard]] bool is_lease_expired(const Machine& machine, Instant now) const;
 
   // ---- machine types and zones ----
-  // Null if the cloud has told of no such type.
+  // Returns null if the cloud has listed no machine type with this name.
   [[nodiscard]] const wire::MachineType* find_machine_type(const std::string& name) const;
-  // How long a machine of the type takes to fetch the job's image; zero if that is not known.
+  // Returns the expected time that a machine of this type needs to fetch the job's image; zero if unknown.
   [[nodiscard]] Millis image_fetch_duration(const wire::JobSpec& spec, const std::string& machine_type) const;
-  // How long a machine of the type takes to boot; zero if that is not known.
+  // Returns the expected boot time of a machine of this type; zero if unknown.
   [[nodiscard]] Millis boot_duration(const std::string& type_name) const;
-  // Whether machines may be rented in the zone.
+  // Returns whether machines may be rented in the zone: it is in service, and the zone health monitor trusts it.
   [[nodiscard]] bool can_rent_in_zone(const std::string& zone) const;
 
   config::Settings settings;
@@ -73,13 +76,13 @@
   std::vector<wire::MachineType> machine_types;
   pools::PoolAdmission pools;
   zone::ZoneHealthMonitor zone_health;
-  zone::DelegationTable delegations;  // of the right to renew agents' leases, to the other controllers
-  Instant older_leaders_until;        // until then leaders of earlier terms may still renew agents' leases
-  bool needs_planning = false;        // something has happened since the latest planning pass began
+  zone::DelegationTable delegations;  // agent lease renewal delegated to other controllers
+  Instant older_leaders_until;        // leaders of earlier terms may renew agent leases until then
+  bool needs_planning = false;        // state has changed since the latest planning pass began
   Counters counters;
 };
 
-// Whether the plan has anything for the machine, of what is placed there or is to be.
+// Returns whether the planner has bookings on the machine, for placed or for planned tasks.
 [[nodiscard]] bool has_bookings(const Machine& machine);
 
 }  // namespace foxshunt::control
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -18,9 +18,10 @@
 
 namespace {
 
+// Sets the teams' limits in the planner. A configured maximum of zero means no limit.
 void set_team_quotas(ClusterState& cluster) {
-  const auto limit = [](double most) {
-    return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
+  const auto limit = [](double max_amount) {
+    return max_amount > 0 ? std::optional<plan::Items>(Amounts::from(max_amount, 0, 0).of[0]) : std::nullopt;
   };
   for (const config::Team& team : cluster.settings.teams) {
     cluster.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
@@ -33,14 +34,16 @@
     : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
 
 Controller Controller::copy() const {
-  Controller made = *this;
-  made.cluster_.rebind_planned_nodes();
-  return made;
+  Controller result = *this;
+  result.cluster_.rebind_planned_nodes();
+  return result;
 }
 
 // ---- leadership ----
 
 void Controller::become_leader(const FailoverSnapshot& failover, Instant now) {
+  // Machine types, learned demand, pool state and the job ranking outlive a leadership term. All other state is rebuilt
+  // from the records.
   const std::vector<wire::MachineType> types = std::move(cluster_.machine_types);
   Autoscaler autoscaler = autoscaler_.successor();
   pools::PoolAdmission pools = std::move(cluster_.pools);
@@ -63,7 +66,7 @@
 
 void Controller::on_term_conflict(Revision term_revision) { leadership_.on_term_conflict(term_revision); }
 
-void Controller::observe_term(Term term) { leadership_.observe_term(term, "a sibling knows of"); }
+void Controller::observe_term(Term term) { leadership_.observe_term(term, "another controller reported"); }
 
 void Controller::on_leader_lease_renewed(Instant when) { leadership_.on_lease_confirmed(when); }
 
@@ -77,7 +80,7 @@
 
 std::optional<std::vector<wire::Command>> Controller::on_heartbeat(const wire::Heartbeat& heartbeat, Instant now) {
   if (!leadership_.is_leader()) return std::nullopt;
-  leadership_.observe_term(heartbeat.term, "a worker has seen");
+  leadership_.observe_term(heartbeat.term, "an agent reported");
   if (!leadership_.can_renew_agent_leases(now)) return std::nullopt;
   ++cluster_.counters.heartbeats;
   return Reconciler(cluster_, leadership_).on_heartbeat(heartbeat, now);
@@ -93,7 +96,8 @@
 
 std::optional<std::vector<wire::Command>> Controller::follow_up_commands(const wire::Heartbeat& heartbeat,
                                                                          Instant now) {
-  // An answer renews the agent's lease, so the right to answer is looked at again.
+  // A reply renews the agent's lease. The controller may have lost the right to renew leases since the heartbeat
+  // arrived.
   if (kept(Guard::answer_rechecked) && !leadership_.can_renew_agent_leases(now)) return std::nullopt;
   return Reconciler(cluster_, leadership_).later_commands(heartbeat, now);
 }
@@ -114,13 +118,13 @@
   for (const auto& [name, of_class] : demand.classes()) {
     if (pricing.is_urgent_class(name, of_class.sample)) urgent_classes.insert(name);
   }
-  return soft_state_snapshot(
-      {.cluster = cluster_, .demand = demand, .supply = autoscaler_.capacity(), .urgent_classes = urgent_classes},
+  return make_soft_state_snapshot(
+      {.cluster = cluster_, .demand = demand, .capacity = autoscaler_.capacity(), .urgent_classes = urgent_classes},
       leadership_.term(), now);
 }
 
 void Controller::apply_soft_state(const standby::SoftStateSnapshot& snapshot, Instant now) {
-  SoftState(cluster_, leadership_, autoscaler_.demand(), autoscaler_.capacity()).apply(snapshot, now);
+  SoftStateRestorer(cluster_, leadership_, autoscaler_.demand(), autoscaler_.capacity()).apply(snapshot, now);
 }
 
 // ---- planning ----
@@ -149,14 +153,15 @@
 
 void Controller::on_due_jobs(foresight::DueJobs dues) {
   if (deadline_planner_.on_due_jobs(std::move(dues))) {
-    cluster_.needs_planning = true;  // it ranks them
-    scheduling_cycle_.outdate();     // what was planned before tells nothing of them
+    cluster_.needs_planning = true;  // deadlines affect the job order
+    scheduling_cycle_.outdate();     // the previous plan did not consider these deadlines
   }
   scheduling_cycle_.queue().ranking().on_slack(deadline_planner_.slack());
 }
 
 std::map<JobId, foresight::DeadlineForecast> Controller::deadline_forecasts(Instant now) const {
-  // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
+  // A forecast requires a complete pass over all machines. A new leader does not know all machines before their agents
+  // have had time to report, directly or through another controller.
   if (!leadership_.is_leader() || scheduling_cycle_.under_way() ||
       scheduling_cycle_.planned_at() < leadership_.since() + detour_span(cluster_.settings))
     return {};
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -1,8 +1,10 @@
-// The controller: takes events, calls the modules of this package in order, and hands out the actions that they decide on.
+// The cluster controller: accepts events, dispatches them to the modules of this package and returns the actions they
+// decide.
 //
-// Owns the cluster state and the modules that have state of their own (leadership, autoscaler, gang coordinator, scheduling cycle,
-// deadline planner); the others are made for the length of a call. Is told events and the time. Never does I/O, holds no lock and
-// starts no thread: `node` does, and calls it under a mutex. Not thread-safe.
+// The controller owns the cluster state and the stateful modules (leadership, autoscaler, gang coordinator, scheduling
+// cycle, deadline planner). Stateless modules are constructed per call. All events and the current time are passed in.
+// The controller does no I/O, takes no lock and starts no thread; `node` does these, and calls the controller under a
+// mutex. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -37,7 +39,7 @@
 
 namespace foxshunt::control {
 
-// What there is now.
+// Totals of the current cluster state, for operators.
 struct ClusterSummary {
   std::uint64_t jobs = 0;
   std::uint64_t tasks_waiting = 0;
@@ -45,71 +47,80 @@
   std::uint64_t machines_up = 0;
   std::uint64_t machines_booting = 0;
   std::uint64_t machines_leaving = 0;
-  std::uint64_t unwritten_records = 0;  // records that memory is ahead of
-  Millis oldest_unwritten_age{};        // for so long
-  Millis fence_remaining{};             // until workers' reports may no longer be answered
+  std::uint64_t unwritten_records = 0;  // job records whose in-memory state is newer than the stored one
+  Millis oldest_unwritten_age{};        // how long the oldest of them has been unwritten
+  Millis fence_remaining{};             // time until heartbeats may no longer be answered, without a new confirmation
 };
 
 class Controller {
  public:
   explicit Controller(config::Settings settings);
-  // Another one that goes on from the same moment, for tests that try several orders.
+  // Returns an independent copy of the current state. Tests use copies to try several orders of events.
   [[nodiscard]] Controller copy() const;
 
   // ---- leadership ----
   void become_leader(const FailoverSnapshot& failover, Instant now);
   void step_down(const std::string& why);
-  // A write failed by its condition on this revision of the term's record: ends the lead that the write was of, and no other.
+  // Handles a write that failed its condition on this revision of the term record. Steps down only if the current
+  // leadership term has that revision; a write of an earlier leadership term has no effect.
   void on_term_conflict(Revision term_revision);
   [[nodiscard]] bool is_leader() const { return leadership_.is_leader(); }
-  // Whether it left the lead to others so recently that they go first.
+  // Returns whether this controller stepped down in favour of other nodes so recently that it must not campaign yet.
   [[nodiscard]] bool should_yield_leadership(Instant now) const { return leadership_.should_yield(now); }
   [[nodiscard]] Term term() const { return leadership_.term(); }
   [[nodiscard]] Revision term_revision() const { return leadership_.term_revision(); }
-  // Word of a term from a sibling: a higher one ends this lead.
+  // Handles a term that another controller reported. Steps down if the term is higher than its own.
   void observe_term(Term term);
-  // The lease was confirmed / all changes of records were known at that moment.
+  // The leader lease was valid at `when`.
   void on_leader_lease_renewed(Instant when);
+  // All record changes made before `when` have been applied.
   void on_records_confirmed(Instant when);
-  // Whether workers' reports may be answered with 200, and whether anything may be started.
+  // Returns whether heartbeats may be answered with status 200, which renews the agents' leases.
   [[nodiscard]] bool can_renew_agent_leases(Instant now) const;
+  // Returns whether tasks may be started or preempted, records written, and machines rented or returned.
   [[nodiscard]] bool can_start_tasks(Instant now) const;
 
-  // ---- records ----
+  // ---- job records ----
+  // `wall_ms`: the current wall-clock time in milliseconds since the epoch.
   void on_job_record(const JobId& job, const wire::Value& record, Revision revision, std::int64_t wall_ms, Instant now);
   void on_job_removed(const JobId& job, Instant now);
-  // All of live/, as a read found it that began in that term. False if this lead is another one: it knows better.
+  // Applies a complete listing of live/. `read_in` is the term in which the read began. Returns false, and changes
+  // nothing, if this controller does not lead in that term: the listing may lack jobs that were accepted since.
   [[nodiscard]] bool on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now);
   [[nodiscard]] std::optional<jobs::Reload> next_reload() const { return cluster_.jobs.next_reload(); }
-  // What a fresh read of the record found.
+  // Applies the result of rereading a record; no revision means that the record does not exist.
   void on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now);
   [[nodiscard]] std::optional<WriteBatch> begin_write(Instant now);
   void end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
 
   // ---- catalog ----
-  // The set in force, and the time of day.
+  // Applies the catalog set in force. `wall_ms`: the current wall-clock time in milliseconds since the epoch.
   void on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now);
-  // What the calendar's records ask of jobs.
+  // Replaces the deadlines that the calendar records set for jobs.
   void on_due_jobs(foresight::DueJobs dues);
-  // What becomes of these by the plan, and what lacks.
+  // Forecasts, from the current plan, whether jobs meet their deadlines and which resources are missing. Empty until a
+  // whole pass has been planned after all agents had time to report to this leader.
   [[nodiscard]] std::map<JobId, foresight::DeadlineForecast> deadline_forecasts(Instant now) const;
-  // When the plan says that other jobs end; those without a booking are left out.
-  // The order of the latest pass; empty without classes.
+  // The job order of the latest planning pass; empty if no job classes are defined.
   [[nodiscard]] const classes::Ranking& ranking() const { return scheduling_cycle_.queue().ranking(); }
+  // Planned end times of jobs; jobs without a booking are omitted.
   [[nodiscard]] std::map<JobId, Instant> planned_ends() const { return deadline_planner_.planned_ends(cluster_); }
 
-  // ---- workers ----
-  // The commands to answer with; nothing when this controller may not act for the controllers.
+  // ---- agents ----
+  // Returns the commands for the reply. Returns nullopt if this controller does not lead or may not renew agent leases.
   [[nodiscard]] std::optional<std::vector<wire::Command>> on_heartbeat(const wire::Heartbeat& heartbeat, Instant now);
-  // Whether all that the report told is durable and planned, so that nothing better can be answered by waiting.
+  // Returns whether everything the heartbeat reported is durable and planned. If so, delaying the reply adds no
+  // commands.
   [[nodiscard]] bool is_settled(const wire::Heartbeat& heartbeat) const;
-  // What may be answered to the same report later on, besides what it was answered with.
+  // Returns commands for the same heartbeat that became available after on_heartbeat(). Returns nullopt if the right to
+  // answer has been lost since.
   [[nodiscard]] std::optional<std::vector<wire::Command>> follow_up_commands(const wire::Heartbeat& heartbeat,
                                                                              Instant now);
+  // Returns stop commands to send to agents directly, because no heartbeat reply has delivered them in time.
   [[nodiscard]] std::vector<DirectStop> due_direct_stops(Instant now);
 
-  // ---- zones ----
-  // What a sibling that asks is granted; nothing when it is no sibling, its word is stale, or nothing can be granted now.
+  // ---- zones ---- Returns the lease delegation for another controller. Returns nullopt if the sender is not in
+  // `settings.siblings`, its request is stale, or nothing can be delegated now.
   [[nodiscard]] std::optional<zone::LeaseDelegation> on_delegation_request(const zone::DelegationRequest& ask,
                                                                            Instant now);
   [[nodiscard]] const zone::DelegationTable& delegations() const { return cluster_.delegations; }
@@ -126,45 +137,49 @@
   void on_scaled_in(const std::vector<MachineId>& machines, Instant now);
 
   // ---- pools ----
-  // What the pools want of it, at any time; and what it sees, for them.
+  // Replaces the directives of the warm pools. May be called at any time, also while not leading.
   void set_pool_directives(pools::PoolDirectives directives);
+  // Returns the fleet state that the warm pool controller works on.
   [[nodiscard]] pools::FleetObservation observe_for_pools(Instant now);
 
   // ---- standby ----
-  // What no record tells, for siblings.
+  // Returns the state that is not stored in records, for the standby controllers.
   [[nodiscard]] standby::SoftStateSnapshot soft_state(Instant now) const;
-  // What an earlier term's leader knew: steers plans and renting, and is taken back by what is seen. It proves nothing,
-  // and makes no machine usable. Comes at any time of a lead.
+  // Applies the soft state of an earlier term's leader. It only influences planning and renting, and is replaced by
+  // reported state. It confirms no task as terminated and makes no machine schedulable. May arrive at any time while
+  // leading.
   void apply_soft_state(const standby::SoftStateSnapshot& snapshot, Instant now);
 
   // ---- time ----
-  // Housekeeping: expiries, overdue allocations, idle machines; ends a lead that no worker reaches.
+  // Periodic maintenance: expired leases, overdue allocations, idle machines. Steps down if no agent reaches this node.
   void tick(Instant now);
-  // Plans what is pending and places what may start now, a portion of it: events are taken between portions. At least
-  // one job is planned, and no more once this many places were looked at. True when the pass has ended.
+  // Plans a portion of the pending jobs and places tasks that can start now. Events may be handled between portions.
+  // Plans at least one job, and stops once `max_examined_machines` machines have been examined. Returns true at the end
+  // of the pass.
   bool plan_portion(Instant now, std::size_t max_examined_machines);
-  // A whole pass.
+  // Runs portions up to the end of a pass.
   void plan_pass(Instant now);
   [[nodiscard]] bool needs_planning() const { return cluster_.needs_planning || scheduling_cycle_.under_way(); }
-  // Whether a pass is under way: what it has not come to has no booking.
+  // Returns whether a pass is in progress. Jobs that the pass has not reached yet have no booking.
   [[nodiscard]] bool is_planning() const { return scheduling_cycle_.under_way(); }
-  // Whether there is something to rent or to return.
+  // Returns whether machines are to be rented or returned.
   [[nodiscard]] bool needs_scaling() const;
   [[nodiscard]] bool has_pending_writes() const { return cluster_.jobs.writes_wanted(); }
 
   [[nodiscard]] ClusterSummary cluster_summary(Instant now) const;
-  // Why the job's tasks wait and when the next is planned to start, in words; nothing if no such job is known.
+  // Explains in words why the job's tasks wait and when the next one is planned to start. Returns nullopt if the job is
+  // unknown or this controller does not lead.
   [[nodiscard]] std::optional<std::string> explain(const JobId& job, Instant now) const;
   [[nodiscard]] const Counters& counters() const { return cluster_.counters; }
   [[nodiscard]] const std::map<JobId, Job>& jobs() const { return cluster_.jobs.all(); }
   [[nodiscard]] const std::map<MachineId, Machine>& machines() const { return cluster_.machines.all(); }
-  // Whether jobs, runs and machines agree, for tests: what does not, in words.
+  // For tests: describes the first inconsistency between jobs, allocations and machines, if any.
   [[nodiscard]] std::optional<std::string> find_inconsistency() const {
     return cluster_.jobs.find_inconsistency(cluster_.machines);
   }
 
  private:
-  // Modules that store no state are made for the length of a call.
+  // Stateless modules, constructed for the duration of a call.
   [[nodiscard]] TaskLifecycle task_lifecycle() { return {cluster_, leadership_}; }
   [[nodiscard]] JobIntake job_intake() { return {cluster_, leadership_, autoscaler_.demand()}; }
   [[nodiscard]] ZoneCoordinator zone_coordinator() { return {cluster_, leadership_}; }
--- a/src/control/controller_explain.cpp
+++ b/src/control/controller_explain.cpp
@@ -1,4 +1,4 @@
-// What operators are told of the leader's state.
+// Controller: cluster totals and job explanations for operators.
 #include <algorithm>
 
 #include "control/controller.h"
@@ -8,33 +8,32 @@
 namespace foxshunt::control {
 
 ClusterSummary Controller::cluster_summary(Instant now) const {
-  ClusterSummary cluster_summary;
-  cluster_summary.jobs = cluster_.jobs.size();
+  ClusterSummary summary;
+  summary.jobs = cluster_.jobs.size();
   for (const auto& [unused, job] : cluster_.jobs) {
-    if (!job.cancelled) cluster_summary.tasks_waiting += job.pending();
-    cluster_summary.tasks_placed += job.allocation_count;
+    if (!job.cancelled) summary.tasks_waiting += job.pending();
+    summary.tasks_placed += job.allocation_count;
     for (const JobShard& shard : job.shards) {
       if (job.cancelled || shard.settled()) continue;
-      ++cluster_summary.unwritten_records;
-      cluster_summary.oldest_unwritten_age = std::max(cluster_summary.oldest_unwritten_age, now - shard.dirty_since);
+      ++summary.unwritten_records;
+      summary.oldest_unwritten_age = std::max(summary.oldest_unwritten_age, now - shard.dirty_since);
     }
   }
   for (const auto& [unused, machine] : cluster_.machines) {
     switch (machine.state) {
-      case MachineState::up: ++cluster_summary.machines_up; break;
-      case MachineState::booting: ++cluster_summary.machines_booting; break;
-      default: ++cluster_summary.machines_leaving; break;
+      case MachineState::up: ++summary.machines_up; break;
+      case MachineState::booting: ++summary.machines_booting; break;
+      default: ++summary.machines_leaving; break;
     }
   }
-  cluster_summary.fence_remaining =
-      std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
-  return cluster_summary;
+  summary.fence_remaining = std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
+  return summary;
 }
 
 std::optional<std::string> Controller::explain(const JobId& id, Instant now) const {
   if (!leadership_.is_leader()) return std::nullopt;
   return Explanation(cluster_, scheduling_cycle_.queue().ranking(), autoscaler_.capacity(), leadership_.can_start(now))
-      .of(id, now);
+      .describe(id, now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -1,4 +1,4 @@
-// Machines, as the cloud tells of them and as time passes.
+// Controller: machine types, machine lists, scaling and periodic maintenance.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -11,8 +11,9 @@
 
 namespace {
 
-// Whether no agent reaches this node, and no other controller passes heartbeats on: the agents' leases end soon, whoever leads,
-// and another node may hear them. Only while the state service answers, without which nobody could take the lead.
+// Returns whether no agent reaches this node, neither directly nor through another controller. The agents' leases then
+// expire soon under this leader, while another node may still receive their heartbeats. Always false while the state
+// service does not answer, because no other controller could become leader then.
 bool is_unreachable(const ClusterState& cluster, const Leadership& leadership, Instant now) {
   return cluster.machines.unheard(now) >= constants::kMinUnreachableMachines && cluster.settings.nodes > 1 &&
          leadership.can_start(now);
@@ -33,15 +34,15 @@
   if (!leadership_.is_leader()) return;
   for (const wire::ListedMachine& entry : listed) {
     const auto known = cluster_.machines.list(entry, cluster_.boot_duration(entry.type), now);
-    if (!known) continue;  // an old list
+    if (!known) continue;  // the entry is from an outdated list
     Machine& machine = known->machine;
     if (known->fresh) cluster_.register_image_cache(machine);
     if (!machine.has_reported) cluster_.update_planner_machine(machine);
     if (entry.state == wire::ListedState::failed && machine.state != MachineState::returning) {
-      spdlog::info("machine {} has failed", entry.id.text());
+      spdlog::info("machine_failed machine={}", entry.id.text());
       machine.listed.failed = true;
       machine.state = MachineState::returning;
-      machine.why = "it has failed";
+      machine.why = "the cloud lists it as failed";
     }
   }
 }
@@ -66,22 +67,23 @@
   return leadership_.can_start(now) ? Autoscaler::next_scale_in(cluster_) : std::vector<MachineId>();
 }
 
-void Controller::on_scaled_in(const std::vector<MachineId>& names, Instant now) {
+void Controller::on_scaled_in(const std::vector<MachineId>& returned, Instant now) {
   if (!leadership_.is_leader()) return;
-  for (const MachineId& id : names) {
+  for (const MachineId& id : returned) {
     const auto entry = cluster_.machines.find(id);
     if (entry == cluster_.machines.end()) continue;
-    spdlog::info("machine {} is returned: {}", id.text(), entry->second.why);
+    spdlog::info("machine_returned machine={} reason=\"{}\"", id.text(), entry->second.why);
     cluster_.machines.on_scaled_in(id);
-    const std::set<TaskKey> runs = entry->second.allocations.copy();
-    for (const TaskKey& key : runs) task_lifecycle().lose_task(key, "its machine was returned", now);
+    const std::set<TaskKey> allocations = entry->second.allocations.copy();
+    for (const TaskKey& key : allocations)
+      task_lifecycle().lose_task(key, "its machine was returned to the cloud", now);
     cluster_.forget_machine(id);
   }
 }
 
 void Controller::tick(Instant now) {
   if (!leadership_.is_leader()) return;
-  if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no worker reaches it", now);
+  if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no agent can reach this node", now);
   cluster_.planner.forget_before(now);
   scheduling_cycle_.request_overdue_pass(cluster_, now);
   cluster_.delegations.forget_before(now);
--- a/src/control/controller_pools.cpp
+++ b/src/control/controller_pools.cpp
@@ -1,4 +1,4 @@
-// What the controller does for warm pools: it tells what it sees and keeps to what they want.
+// Controller: interface to the warm pools. Accepts their directives and reports the fleet state to them.
 #include "control/controller.h"
 
 namespace foxshunt::control {
@@ -12,17 +12,17 @@
 }
 
 pools::FleetObservation Controller::observe_for_pools(Instant now) {
-  pools::FleetObservation seen;
-  if (!leadership_.is_leader()) return seen;
-  seen.answers = cluster_.pools.answers();
-  seen.can_scale_out = cluster_.settings.operators.can_scale_out;
-  seen.types = cluster_.machine_types;
+  pools::FleetObservation fleet;
+  if (!leadership_.is_leader()) return fleet;
+  fleet.answers = cluster_.pools.answers();
+  fleet.can_scale_out = cluster_.settings.operators.can_scale_out;
+  fleet.types = cluster_.machine_types;
   for (const std::string& zone : cluster_.settings.zones) {
-    if (!cluster_.can_rent_in_zone(zone)) seen.left_zones.insert(zone);
+    if (!cluster_.can_rent_in_zone(zone)) fleet.left_zones.insert(zone);
   }
-  if (!cluster_.pools.on()) return seen;
-  seen.settled = cluster_.pools.settled(now);
-  seen.starts = cluster_.pools.take_starts();
+  if (!cluster_.pools.on()) return fleet;
+  fleet.settled = cluster_.pools.settled(now);
+  fleet.starts = cluster_.pools.take_starts();
   for (const auto& [id, machine] : cluster_.machines) {
     if (machine.type.empty()) continue;
     pools::MachineObservation observation{.id = id, .type = machine.type, .zone = machine.zone, .spot = machine.spot};
@@ -36,12 +36,12 @@
     }
     const pools::Cache* const cache = cluster_.pools.cache(id);
     if (cache != nullptr && cluster_.pools.of_interest(*cache)) observation.images = cache->images();
-    seen.machines.push_back(std::move(observation));
+    fleet.machines.push_back(std::move(observation));
   }
   for (const auto& [id, unused] : cluster_.pools.members()) {
-    if (cluster_.machines.gone(id)) seen.gone.insert(id);
+    if (cluster_.machines.gone(id)) fleet.gone.insert(id);
   }
-  return seen;
+  return fleet;
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller_records.cpp
+++ b/src/control/controller_records.cpp
@@ -1,4 +1,4 @@
-// Records: what is durable, and what of it is on its way.
+// Controller: changes of job records, and the writes that make the job table durable.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -23,7 +23,8 @@
 }
 
 bool Controller::on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now) {
-  // Read in an earlier lead, it lacks what was accepted since, which would be taken for withdrawn and never run.
+  // A listing read in an earlier term lacks the jobs accepted since. These would be treated as cancelled and would
+  // never run.
   if (!leadership_.is_leader() || (kept(Guard::list_term) && read_in != leadership_.term())) return false;
   if (!live.empty()) scheduling_cycle_.queue().ranking().tell_time(wall_ms, now);
   job_intake().on_list(live, wall_ms, now);
@@ -40,8 +41,8 @@
 }
 
 void Controller::end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now) {
-  // The answer to an earlier lead's write tells nothing of this one: that its condition on the term failed is no reason to
-  // give this lead up, and the job table that it was built from is gone.
+  // The result of a write of an earlier leadership term is ignored. Its failed condition on the term is no reason to
+  // step down now, and the job table that the write was built from no longer exists.
   if (!leadership_.is_leader() ||
       (kept(Guard::write_earlier_lead) && batch.term_revision != leadership_.term_revision()))
     return;
--- a/src/control/explanation.h
+++ b/src/control/explanation.h
@@ -1,7 +1,7 @@
-// Why a job's tasks wait and when the next is planned to start, in words for operators and users.
+// Explains in words, for operators and users, why a job's tasks wait and when the next one is planned to start.
 //
-// A view for the length of a call: it holds references to what it was made of, owns nothing, changes nothing, and must not be
-// stored. Pure.
+// Explanation is a read-only view for the duration of a call. It holds references to its arguments and must not be
+// stored.
 #pragma once
 
 #include <optional>
@@ -15,21 +15,21 @@
 
 class Explanation {
  public:
-  // `can_start`: whether the controller may start anything now.
+  // `can_start`: whether the controller may start tasks now.
   Explanation(const ClusterState& cluster, const classes::Ranking& ranking, const CloudCapacityTracker& capacity,
               bool can_start)
       : cluster_(cluster), ranking_(ranking), capacity_(capacity), can_start_(can_start) {}
 
-  // Nothing if no such job is known.
-  [[nodiscard]] std::optional<std::string> of(const JobId& job, Instant now) const;
+  // Returns nullopt if the job is unknown.
+  [[nodiscard]] std::optional<std::string> describe(const JobId& job, Instant now) const;
 
  private:
-  // Each gives the text that follows, if any.
-  [[nodiscard]] std::optional<std::string> hold(const Job& job, Instant now) const;
-  [[nodiscard]] std::optional<std::string> wait(const Job& job) const;
-  [[nodiscard]] std::string rank(const Job& job) const;
-  [[nodiscard]] std::string plan(const Job& job, Instant now) const;
-  [[nodiscard]] std::string renting() const;
+  // Parts of the text, each beginning with its separator; empty or nullopt if there is nothing to say.
+  [[nodiscard]] std::optional<std::string> planning_blocker(const Job& job, Instant now) const;
+  [[nodiscard]] std::optional<std::string> placement_blocker(const Job& job) const;
+  [[nodiscard]] std::string rank_text(const Job& job) const;
+  [[nodiscard]] std::string plan_text(const Job& job, Instant now) const;
+  [[nodiscard]] std::string renting_text() const;
 
   const ClusterState& cluster_;
   const classes::Ranking& ranking_;
--- a/src/control/failover.h
+++ b/src/control/failover.h
@@ -1,4 +1,4 @@
-// What a controller that begins to lead takes over from earlier leaders.
+// The records and bounds that a new leader takes over from the leaders of earlier terms.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 struct FailoverSnapshot {
   Term term;
   Revision term_revision;
-  plan::Instant older_leaders_until;  // until then older leaders may still renew agents' leases
+  plan::Instant older_leaders_until;  // leaders of earlier terms may renew agent leases until then
   std::vector<kv::Entry> active_jobs;
   std::vector<kv::Entry> terminating_jobs;
   std::vector<kv::Entry> shards;
-  std::int64_t wall_ms = 0;  // now, by the time of day
+  std::int64_t wall_ms = 0;  // current wall-clock time, milliseconds since the epoch
 };
 
 }  // namespace foxshunt::control
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -13,7 +13,7 @@
 using guards::Guard;
 using guards::kept;
 
-// ---- taken over from earlier leaders ----
+// ---- restoring the records of earlier leaders ----
 
 void JobIntake::restore(const FailoverSnapshot& failover, Instant now) {
   restore_jobs(failover, now);
@@ -21,12 +21,14 @@
   for (const auto& [unused, job] : cluster_.jobs) allocated += job.allocation_count;
   resume_jobs(now);
   cluster_.needs_planning = true;
-  spdlog::info("leading in term {}: {} jobs, {} placed tasks", failover.term.number(), cluster_.jobs.size(), allocated);
+  spdlog::info("leadership_started term={} jobs={} allocations={}", failover.term.number(), cluster_.jobs.size(),
+               allocated);
 }
 
 void JobIntake::restore_jobs(const FailoverSnapshot& failover, Instant now) {
-  // What lingers is read last, and a job that its user cancels meanwhile is in both: taken in twice its tasks would
-  // count twice for the team's quota, and once more than they can be confirmed terminated.
+  // Terminating jobs are listed after active ones, so that a job cancelled between the two reads is in both listings.
+  // If both entries were restored, the job's tasks would count twice for the team's quota but could be confirmed
+  // terminated only once.
   for (const kv::Entry& entry : failover.terminating_jobs) {
     if (Job* job = restore_job(entry, failover.wall_ms, now); job != nullptr) job->cancelled = true;
   }
@@ -35,19 +37,19 @@
     if (kept(Guard::adopted_once) && id && cluster_.jobs.find(*id) != cluster_.jobs.end()) continue;
     restore_job(entry, failover.wall_ms, now);
   }
-  for (const kv::Entry& entry : failover.shards) restore_part(entry, now);
+  for (const kv::Entry& entry : failover.shards) restore_shard(entry, now);
 }
 
 Job* JobIntake::restore_job(const kv::Entry& entry, std::int64_t wall_ms, Instant now) {
   try {
     return &add_job(state::job_from(entry.data), entry.revision, wall_ms, now);
   } catch (const wire::Malformed& error) {
-    spdlog::error("record {} cannot be read: {}", entry.key, error.what());
+    spdlog::error("job_record_unreadable key={} error=\"{}\"", entry.key, error.what());
     return nullptr;
   }
 }
 
-void JobIntake::restore_part(const kv::Entry& entry, Instant now) {
+void JobIntake::restore_shard(const kv::Entry& entry, Instant now) {
   const auto id = state::job_of_key(entry.key);
   const auto number = state::shard_of_key(entry.key);
   const auto known = id ? cluster_.jobs.find(*id) : cluster_.jobs.end();
@@ -59,17 +61,18 @@
     cluster_.jobs.adopt_shard(job, *number,
                               state::job_shard_from(entry.data, state::shard_size(job.spec.tasks, *number)),
                               cluster_.machines, now);
-    book_adopted(job, *number, now);
+    book_restored_allocations(job, *number, now);
   } catch (const wire::Malformed& error) {
-    spdlog::error("record {} cannot be read: {}", entry.key, error.what());
+    spdlog::error("job_shard_record_unreadable key={} error=\"{}\"", entry.key, error.what());
   }
 }
 
 void JobIntake::resume_jobs(Instant now) {
   std::vector<JobId> cancelled;
   for (auto& [id, job] : cluster_.jobs) {
-    // That a gang lost a task and waits for another, or that the rest is to be stopped, only the earlier leader knew: unless
-    // another task joins them, those that wait would keep their places until they give up by themselves.
+    // Only the earlier leader knew whether a partly placed gang waits for a replacement task or is to be stopped. The
+    // start barrier limits the wait. Without it, the gang's waiting tasks would keep their allocations until their own
+    // timeouts unless another task joined them.
     const bool incomplete_gang = job.spec.kind == wire::JobKind::gang && job.allocation_count > 0 && job.pending() > 0;
     if (incomplete_gang) GangCoordinator::hold_start_barrier(cluster_, job, now);
     if (job.cancelled) cancelled.push_back(id);
@@ -84,12 +87,12 @@
 Job& JobIntake::add_job(const state::JobRecord& record, Revision revision, std::int64_t wall_ms, Instant now) {
   Job& job = cluster_.jobs.add(record, revision, wall_ms, cluster_.machines, now);
   demand_.learn(job.spec, job.each, job.submitted);
-  if (record.whole) book_adopted(job, 0, now);
+  if (record.whole) book_restored_allocations(job, 0, now);
   cluster_.needs_planning = true;
   return job;
 }
 
-void JobIntake::book_adopted(Job& job, std::uint32_t number, Instant now) {
+void JobIntake::book_restored_allocations(Job& job, std::uint32_t number, Instant now) {
   for (auto& [unused, allocation] : job.shards[number].allocations) {
     cluster_.register_image_cache(cluster_.machines.at(allocation.machine));
     allocation.booking = cluster_.planner.book({.machine = allocation.machine,
@@ -107,38 +110,38 @@
   if (!cluster_.jobs.on_record(id, revision)) return;
   try {
     const Job& job = add_job(state::job_from(record), revision, wall_ms, now);
-    spdlog::info("job {} of team {}: {} tasks of class {}", id.text(), job.spec.team, job.spec.tasks,
+    spdlog::info("job_accepted job={} team={} tasks={} class={}", id.text(), job.spec.team, job.spec.tasks,
                  job.spec.job_class);
   } catch (const wire::Malformed& error) {
-    spdlog::error("record of job {} cannot be read: {}", id.text(), error.what());
+    spdlog::error("job_record_unreadable job={} error=\"{}\"", id.text(), error.what());
   }
 }
 
 void JobIntake::on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now) {
   Job* job = cluster_.jobs.on_reloaded(reload, revision);
   if (job == nullptr) return;
-  spdlog::info("job {}: its record is gone, {} tasks to stop", reload.job.text(), job->allocation_count);
+  spdlog::info("job_record_missing job={} tasks_to_stop={}", reload.job.text(), job->allocation_count);
   tasks_.cancel(*job, now);
 }
 
 void JobIntake::on_removed(const JobId& id, Instant now) {
   Job* job = cluster_.jobs.on_removed(id);
   if (job == nullptr) return;
-  spdlog::info("job {}: withdrawn, {} tasks to stop", id.text(), job->allocation_count);
+  spdlog::info("job_cancelled job={} tasks_to_stop={}", id.text(), job->allocation_count);
   tasks_.cancel(*job, now);
 }
 
 void JobIntake::on_list(const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now) {
-  std::set<JobId> there;
+  std::set<JobId> listed;
   for (const kv::Entry& entry : live) {
     const auto id = state::job_of_key(entry.key);
     if (!id) continue;
-    there.insert(*id);
+    listed.insert(*id);
     on_record(*id, entry.data, entry.revision, wall_ms, now);
   }
   std::vector<JobId> removed;
   for (const auto& [id, job] : cluster_.jobs.all()) {
-    if (!job.cancelled && !there.contains(id)) removed.push_back(id);
+    if (!job.cancelled && !listed.contains(id)) removed.push_back(id);
   }
   for (const JobId& id : removed) on_removed(id, now);
 }
--- a/src/control/job_intake.h
+++ b/src/control/job_intake.h
@@ -1,9 +1,9 @@
-// Takes the records of jobs into the job table: all of them when a lead begins, and their changes from then on.
+// Loads job records into the job table: all of them when leadership begins, and their changes afterwards.
 //
-// Owns no state of its own. Is given the cluster state, which it changes, the life cycle by which it ends cancelled jobs, and the
-// demand, which learns of each job. Whether this controller leads is the controller's to ask first. Never writes a record and never
-// places a task; what a record places is booked in the plan. Made for the length of a call and not stored; pure; not
-// thread-safe.
+// JobIntake has no state of its own. It changes the cluster state, stops the tasks of cancelled jobs through
+// TaskLifecycle and reports each job to the demand estimator. Callers must check first that this controller leads.
+// JobIntake writes no records and places no tasks; allocations that a record holds are booked in the planner.
+// Constructed per call and not stored. Does no I/O; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -27,23 +27,25 @@
   JobIntake(ClusterState& cluster, const Leadership& leadership, DemandEstimator& demand)
       : cluster_(cluster), tasks_(cluster, leadership), demand_(demand) {}
 
-  // Takes in what earlier leaders have recorded, and goes on with gangs and cancellations that they have left half done.
+  // Loads the records of earlier leaders, and resumes gang starts and cancellations that they left unfinished.
   void restore(const FailoverSnapshot& failover, Instant now);
+  // Handle a change, and the removal, of an active job's record.
   void on_record(const JobId& id, const wire::Value& record, Revision revision, std::int64_t wall_ms, Instant now);
   void on_removed(const JobId& id, Instant now);
-  // All records of active jobs: jobs without one are cancelled.
+  // Applies a complete listing of the active jobs' records. Known jobs that are not listed are cancelled.
   void on_list(const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now);
-  // What a fresh read of the record found.
+  // Applies the result of rereading a record; no revision means that the record does not exist.
   void on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now);
 
  private:
   void restore_jobs(const FailoverSnapshot& failover, Instant now);
   Job* restore_job(const kv::Entry& entry, std::int64_t wall_ms, Instant now);
-  void restore_part(const kv::Entry& entry, Instant now);
+  void restore_shard(const kv::Entry& entry, Instant now);
   void resume_jobs(Instant now);
   Job& add_job(const state::JobRecord& record, Revision revision, std::int64_t wall_ms, Instant now);
-  // What a record places there is believed to run for its estimate from now on.
-  void book_adopted(Job& job, std::uint32_t shard, Instant now);
+  // Books the shard's restored allocations in the planner. Each is assumed to run for the estimated duration from now
+  // on.
+  void book_restored_allocations(Job& job, std::uint32_t shard, Instant now);
 
   ClusterState& cluster_;
   TaskLifecycle tasks_;
--- a/src/control/readiness.cpp
+++ b/src/control/readiness.cpp
@@ -16,7 +16,7 @@
   }
   if (kept(Guard::ready_records) && found.records_revision < found.term_revision) return "records-at-term";
   if (kept(Guard::ready_fences) && found.older_leaders_until < found.min_older_leaders_until) return "fences-reckoned";
-  // The lease may have ended while this process stood still.
+  // The lease may have expired while this process was suspended.
   if (kept(Guard::ready_lease) && now - found.lease_renewal_requested >= constants::kLeaderLeaseTtl)
     return "lease-confirmed";
   return std::nullopt;
--- a/src/control/readiness.h
+++ b/src/control/readiness.h
@@ -1,5 +1,5 @@
-// What has to be true before a new leader decides anything, by name and in one place. Each is looked at when the lead begins;
-// docs/design/standby.md names the test of each.
+// Readiness conditions that a new leader must meet before it makes any decision. All are checked when leadership
+// begins; docs/design/standby.md names the test of each condition.
 #pragma once
 
 #include <optional>
@@ -11,25 +11,27 @@
 
 namespace foxshunt::control {
 
-// As it was found when the records were in hand, after the last call and the last wait.
+// The state observed by a new leader after it has read all records, that is, after its last remote call and its last
+// wait.
 struct Readiness {
   NodeName self;
-  Term term;  // that was taken, at this revision
-  Revision term_revision;
-  std::optional<state::TermRecord> record;  // lead/term as read back with the records, and its revision
-  Revision record_revision;
-  Revision records_revision;              // up to which the records are known
-  plan::Instant lease_renewal_requested;  // when the latest renewal that was confirmed was asked for
-  plan::Instant older_leaders_until;      // until then older leaders may act
-  plan::Instant min_older_leaders_until;  // what that has to be at least: a fence from when the lead was asked for
+  Term term;                                // the term that this node acquired
+  Revision term_revision;                   // revision of the write that acquired it
+  std::optional<state::TermRecord> record;  // lead/term as read back with the job records
+  Revision record_revision;                 // of `record`
+  Revision records_revision;                // the job records are known up to this revision
+  plan::Instant lease_renewal_requested;    // when the latest confirmed lease renewal was requested
+  plan::Instant older_leaders_until;        // leaders of earlier terms may act until then, as computed
+  plan::Instant min_older_leaders_until;    // lower bound of it: request for leadership + fence
 };
 
-// The name of the first that is not so, in this order:
-//   term-read-back   the term record says that this node leads in this term, by this very write
-//   records-at-term  the records are known up to the term's revision, after which no older leader can write
-//   fences-reckoned  older leaders' fences and grants are counted to their ends
-//   lease-confirmed  the lease was confirmed so lately, by the clock as it is now, that it can't have ended
-// That machines are usable only by a report in this term is Controller::usable's to see, for as long as the lead lasts.
+// Returns the name of the first condition that is not met, or nullopt if all are met. The conditions, in this order:
+//   term-read-back   the term record names this node and this term, and was written by this node's own acquisition
+//   records-at-term  the records are known at least up to the term's revision; older leaders cannot write after it
+//   fences-reckoned  the fences and lease delegations of older leaders are taken into account in full
+//   lease-confirmed  the latest confirmed lease renewal is recent enough that the lease cannot have expired by now
+// That a machine is schedulable only after a heartbeat in this term is not checked here: ClusterState::is_schedulable
+// checks it during the whole leadership term.
 [[nodiscard]] std::optional<std::string_view> first_unmet_condition(const Readiness& found, plan::Instant now);
 
 }  // namespace foxshunt::control
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -17,12 +17,14 @@
 
 namespace {
 
-std::uint32_t bucket_of(Instant when) {
+// Number of the arrival bucket, of length kStandbyArrivals, that contains the time.
+std::uint32_t arrival_bucket(Instant when) {
   return static_cast<std::uint32_t>(when.time_since_epoch() / constants::kStandbyArrivals);
 }
 
+// The first kMaxStandbyList elements.
 template <typename Ids>
-std::vector<typename Ids::value_type> first_of(const Ids& ids) {
+std::vector<typename Ids::value_type> first_elements(const Ids& ids) {
   std::vector<typename Ids::value_type> list;
   for (const auto& id : ids) {
     if (list.size() == constants::kMaxStandbyList) break;
@@ -31,13 +33,14 @@
   return list;
 }
 
-void add(std::vector<SoftStateEntry>& entries, Kind kind, const std::string& name, std::uint32_t number,
-         standby::EntryValue what) {
+void add_entry(std::vector<SoftStateEntry>& entries, Kind kind, const std::string& name, std::uint32_t number,
+               standby::EntryValue what) {
   entries.push_back({.key = {.kind = kind, .name = name, .number = number}, .what = std::move(what)});
 }
 
-// Jobs of a class as they came, as far as sums tell.
-DemandEstimator::Arrivals spread(const std::vector<standby::Arrivals>& sums, Instant now) {
+// Reconstructs single job arrivals of a class from their sums. The tasks of a bucket are divided evenly among its jobs,
+// and all its jobs get the middle of the bucket as their arrival time.
+DemandEstimator::Arrivals expand_arrivals(const std::vector<standby::Arrivals>& sums, Instant now) {
   DemandEstimator::Arrivals jobs;
   for (const standby::Arrivals& sum : sums) {
     if (sum.from > now || sum.from < now - constants::kDemandWindow - constants::kStandbyArrivals) continue;
@@ -51,46 +54,49 @@
   return jobs;
 }
 
+// Conversions between planner amounts and counts of a snapshot. Counts of a snapshot are limited to 2^40 items.
 plan::Items items_of(std::uint64_t count) {
   return static_cast<plan::Items>(std::min<std::uint64_t>(count, std::uint64_t{1} << 40));
 }
 
 std::uint64_t count_of(plan::Items items) { return static_cast<std::uint64_t>(std::max<plan::Items>(0, items)); }
 
+// Adds the machines that boot or are up. A machine counts as up if it has reported, the soft state of an earlier leader
+// says so, or the cloud lists it as running.
 void add_machines(std::vector<SoftStateEntry>& entries, const ClusterState& cluster) {
   for (const auto& [id, machine] : cluster.machines) {
-    const bool there = machine.state == MachineState::booting || machine.state == MachineState::up;
-    if (!there || machine.type.empty() || machine.listed.failed || machine.expired) continue;
+    const bool is_active = machine.state == MachineState::booting || machine.state == MachineState::up;
+    if (!is_active || machine.type.empty() || machine.listed.failed || machine.expired) continue;
     const bool up =
         machine.state == MachineState::up || machine.hinted == inventory::Hinted::up || machine.listed.running;
-    add(entries, Kind::machine, id.text(), 0,
-        standby::Shared(standby::Machine{.address = machine.address,
-                                         .type = machine.type,
-                                         .zone = machine.zone,
-                                         .spot = machine.spot,
-                                         .up = up,
-                                         .incarnation = machine.incarnation,
-                                         .since = machine.since,
-                                         .ready = machine.ready,
-                                         .errors = static_cast<std::uint64_t>(machine.errors),
-                                         .images = first_of(machine.images)}));
+    add_entry(entries, Kind::machine, id.text(), 0,
+              standby::Shared(standby::Machine{.address = machine.address,
+                                               .type = machine.type,
+                                               .zone = machine.zone,
+                                               .spot = machine.spot,
+                                               .up = up,
+                                               .incarnation = machine.incarnation,
+                                               .since = machine.since,
+                                               .ready = machine.ready,
+                                               .errors = static_cast<std::uint64_t>(machine.errors),
+                                               .images = first_elements(machine.images)}));
   }
 }
 
-// The job's tasks that have begun or have saved progress, by their index.
+// Returns the job's tasks that have started or have saved progress, by task index.
 std::map<std::uint32_t, standby::Task> tasks_of(const Job& job) {
-  std::map<std::uint32_t, standby::Task> told;
-  for (const auto& [index, saved] : job.saved) told[index].saved = saved;
+  std::map<std::uint32_t, standby::Task> tasks;
+  for (const auto& [index, saved] : job.saved) tasks[index].saved = saved;
   for (const JobShard& shard : job.shards) {
     for (const auto& [index, allocation] : shard.allocations) {
       const auto began = allocation.running_since ? allocation.running_since : allocation.told_began;
       if (!began) continue;
-      standby::Task& task = told[index];
+      standby::Task& task = tasks[index];
       task.attempt = allocation.attempt;
       task.began = began;
     }
   }
-  return told;
+  return tasks;
 }
 
 void add_tasks(std::vector<SoftStateEntry>& entries, const ClusterState& cluster) {
@@ -99,7 +105,7 @@
     if (job.cancelled) continue;
     for (const auto& [index, task] : tasks_of(job)) {
       if (++tasks > constants::kMaxStandbyTasks) break;
-      add(entries, Kind::task, id.text(), index, task);
+      add_entry(entries, Kind::task, id.text(), index, task);
     }
   }
 }
@@ -107,31 +113,35 @@
 void add_failures(std::vector<SoftStateEntry>& entries, const ClusterState& cluster) {
   for (const auto& [id, job] : cluster.jobs) {
     if (job.cancelled || (job.errors == 0 && job.failed_on.empty())) continue;
-    add(entries, Kind::trouble, id.text(), 0,
-        standby::Shared(standby::JobFailures{.errors = static_cast<std::uint64_t>(job.errors),
-                                             .not_before = job.not_before,
-                                             .failed_on = first_of(job.failed_on)}));
+    add_entry(entries, Kind::trouble, id.text(), 0,
+              standby::Shared(standby::JobFailures{.errors = static_cast<std::uint64_t>(job.errors),
+                                                   .not_before = job.not_before,
+                                                   .failed_on = first_elements(job.failed_on)}));
   }
 }
 
+// Adds the cloud's capacity refusals. The entry's number encodes zone and spot: 2 * zone index + (spot ? 1 : 0).
 void add_refusals(std::vector<SoftStateEntry>& entries, const ClusterState& cluster,
                   const CloudCapacityTracker& capacity) {
-  for (const auto& [key, supply] : capacity.refused()) {
+  for (const auto& [key, refusal] : capacity.refused()) {
     const auto& [type_name, zone, spot] = key;
-    const auto place = std::ranges::find(cluster.settings.zones, zone) - cluster.settings.zones.begin();
-    add(entries, Kind::refusal, type_name, static_cast<std::uint32_t>(place) * 2 + (spot ? 1U : 0U),
-        standby::Shared(standby::Refusal{
-            .zone = zone, .spot = spot, .not_before = supply.not_before, .pause = supply.pause, .most = supply.most}));
+    const auto zone_index = std::ranges::find(cluster.settings.zones, zone) - cluster.settings.zones.begin();
+    add_entry(entries, Kind::refusal, type_name, static_cast<std::uint32_t>(zone_index) * 2 + (spot ? 1U : 0U),
+              standby::Shared(standby::Refusal{.zone = zone,
+                                               .spot = spot,
+                                               .not_before = refusal.not_before,
+                                               .pause = refusal.pause,
+                                               .most = refusal.most}));
   }
 }
 
-// Sums of the arrivals of late, by the number of their span of time.
-std::map<std::uint32_t, standby::Arrivals> sums_of(const DemandEstimator::Arrivals& arrivals, Instant now) {
+// Sums the arrivals within kDemandWindow, by bucket number.
+std::map<std::uint32_t, standby::Arrivals> sum_arrivals(const DemandEstimator::Arrivals& arrivals, Instant now) {
   std::map<std::uint32_t, standby::Arrivals> sums;
   for (const auto& [when, count] : arrivals) {
     if (when < now - constants::kDemandWindow) continue;
-    standby::Arrivals& sum = sums[bucket_of(when)];
-    sum.from = Instant(constants::kStandbyArrivals * bucket_of(when));
+    standby::Arrivals& sum = sums[arrival_bucket(when)];
+    sum.from = Instant(constants::kStandbyArrivals * arrival_bucket(when));
     ++sum.jobs;
     sum.tasks += count;
   }
@@ -141,12 +151,13 @@
 void add_arrivals(std::vector<SoftStateEntry>& entries, const SoftStateSources& sources, Instant now) {
   for (const auto& [name, demand] : sources.demand.classes()) {
     if (!sources.urgent_classes.contains(name)) continue;
-    for (const auto& [number, sum] : sums_of(demand.arrivals, now)) {
-      add(entries, Kind::arrivals, name, number, sum);
+    for (const auto& [number, sum] : sum_arrivals(demand.arrivals, now)) {
+      add_entry(entries, Kind::arrivals, name, number, sum);
     }
   }
 }
 
+// Adds the largest recent job of each class. For urgent classes, adds also the resources that their jobs need.
 void add_samples(std::vector<SoftStateEntry>& entries, const SoftStateSources& sources) {
   for (const auto& [name, demand] : sources.demand.classes()) {
     standby::Sample sample{.largest = sources.demand.most(name)};
@@ -159,10 +170,11 @@
                 .spot = spec.spot,
                 .largest = sample.largest};
     }
-    add(entries, Kind::sample, name, 0, standby::Shared(sample));
+    add_entry(entries, Kind::sample, name, 0, standby::Shared(sample));
   }
 }
 
+// Adds the recent peaks of GPU demand and the CPU and memory use beside GPUs.
 void add_gpu_demand(std::vector<SoftStateEntry>& entries, const DemandEstimator& demand) {
   standby::GpuDemand gpus{.peaks = {},
                           .cpus_beside = count_of(demand.beside_gpu().of[0]),
@@ -171,122 +183,123 @@
     if (gpus.peaks.size() < constants::kMaxStandbyList / 2) gpus.peaks.emplace_back(when, count_of(items));
   }
   if (!gpus.peaks.empty()) {
-    add(entries, Kind::gpus, std::string(), 0, standby::Shared(std::move(gpus)));
+    add_entry(entries, Kind::gpus, std::string(), 0, standby::Shared(std::move(gpus)));
   }
 }
 
 }  // namespace
 
-standby::SoftStateSnapshot soft_state_snapshot(const SoftStateSources& sources, Term term, Instant now) {
+standby::SoftStateSnapshot make_soft_state_snapshot(const SoftStateSources& sources, Term term, Instant now) {
   standby::SoftStateSnapshot snapshot{.term = term, .taken = now, .starts_s = 0, .entries = {}};
   add_machines(snapshot.entries, sources.cluster);
   add_tasks(snapshot.entries, sources.cluster);
   add_failures(snapshot.entries, sources.cluster);
-  add_refusals(snapshot.entries, sources.cluster, sources.supply);
+  add_refusals(snapshot.entries, sources.cluster, sources.capacity);
   add_arrivals(snapshot.entries, sources, now);
   add_samples(snapshot.entries, sources);
   add_gpu_demand(snapshot.entries, sources.demand);
   return snapshot;
 }
 
-void SoftState::apply_machine(const std::string& name, const standby::Machine& told, Instant now) {
+void SoftStateRestorer::apply_machine(const std::string& name, const standby::Machine& hint, Instant now) {
   const MachineId id(name);
-  if (id.empty() || told.type.empty() || cluster_.machines.gone(id)) return;
+  if (id.empty() || hint.type.empty() || cluster_.machines.gone(id)) return;
   Machine& machine = cluster_.find_or_add_machine(id, now);
-  // What reports don't tell. A wrong guess costs a fetch.
-  machine.images.insert(told.images.begin(), told.images.end());
+  // Heartbeats do not list cached images. A wrong entry costs only an image fetch.
+  machine.images.insert(hint.images.begin(), hint.images.end());
   machine.errors = std::max(machine.errors,
-                            static_cast<int>(std::min<std::uint64_t>(told.errors, constants::kMaxMachineErrors - 1)));
+                            static_cast<int>(std::min<std::uint64_t>(hint.errors, constants::kMaxMachineErrors - 1)));
   if (machine.has_reported || machine.state != MachineState::booting || machine.hinted != inventory::Hinted::no) return;
-  expect_machine(machine, told, now);
+  set_expected_ready(machine, hint, now);
 }
 
-void SoftState::expect_machine(Machine& machine, const standby::Machine& told, Instant now) {
-  if (machine.type.empty()) {  // not listed yet
-    machine.hinted = told.up ? inventory::Hinted::up : inventory::Hinted::boots;
-    machine.address = told.address;
-    machine.type = told.type;
-    machine.zone = told.zone;
-    machine.spot = told.spot;
+void SoftStateRestorer::set_expected_ready(Machine& machine, const standby::Machine& hint, Instant now) {
+  if (machine.type.empty()) {  // the cloud has not listed it to this leader yet
+    machine.hinted = hint.up ? inventory::Hinted::up : inventory::Hinted::boots;
+    machine.address = hint.address;
+    machine.type = hint.type;
+    machine.zone = hint.zone;
+    machine.spot = hint.spot;
   }
-  if (told.up) {
-    // It reports within an interval, most likely. After a while it is no longer waited for.
+  if (hint.up) {
+    // The agent most likely reports within one heartbeat interval. `since` is set back so that the boot timeout ends
+    // the wait after kStandbyUnansweredTimeout.
     const Millis boot = cluster_.boot_duration(machine.type);
     const auto slack = std::chrono::ceil<Millis>(boot * constants::kBootSlackFactor);
     machine.since = now - std::max(Millis(0), slack - constants::kStandbyUnansweredTimeout);
     machine.ready = now + from_seconds(cluster_.settings.heartbeat_interval_s);
   } else {
-    machine.since = std::min(told.since, now);
-    machine.ready = std::min(told.ready, now + constants::kPlanHorizon);
+    machine.since = std::min(hint.since, now);
+    machine.ready = std::min(hint.ready, now + constants::kPlanHorizon);
   }
   cluster_.update_planner_machine(machine);
 }
 
-void SoftState::apply_task(const Key& key, const standby::Task& told, Instant now) {
+void SoftStateRestorer::apply_task(const Key& key, const standby::Task& hint, Instant now) {
   const auto entry = cluster_.jobs.find(JobId(key.name));
   if (entry == cluster_.jobs.end() || key.number >= entry->second.spec.tasks) return;
   Job& job = entry->second;
   const Millis estimated = estimate(job);
-  if (told.saved > Millis(0)) {
+  if (hint.saved > Millis(0)) {
     Millis& saved = job.saved[key.number];
-    saved = std::max(saved, std::min(told.saved, estimated));
+    saved = std::max(saved, std::min(hint.saved, estimated));
   }
   Allocation* allocation = cluster_.jobs.find_allocation({job.spec.id, key.number});
-  if (allocation == nullptr || !told.began || allocation->attempt != told.attempt || !allocation->adopted ||
+  if (allocation == nullptr || !hint.began || allocation->attempt != hint.attempt || !allocation->adopted ||
       allocation->running_since)
     return;
-  allocation->told_began = std::min(*told.began, now);
-  Millis left = estimated - (now - *allocation->told_began);
-  if (const auto saved = job.saved.find(key.number); saved != job.saved.end()) left -= saved->second;
+  allocation->told_began = std::min(*hint.began, now);
+  Millis remaining = estimated - (now - *allocation->told_began);
+  if (const auto saved = job.saved.find(key.number); saved != job.saved.end()) remaining -= saved->second;
   cluster_.planner.revoke(allocation->booking);
   allocation->booking = cluster_.planner.book({.machine = allocation->machine,
                                                .team = job.spec.team,
                                                .amounts = job.each,
                                                .start = now,
-                                               .stop = now + std::max(left, constants::kStartTimeout)});
+                                               .stop = now + std::max(remaining, constants::kStartTimeout)});
 }
 
-void SoftState::apply_failures(const JobId& id, const standby::JobFailures& told, Instant now) {
+void SoftStateRestorer::apply_failures(const JobId& id, const standby::JobFailures& hint, Instant now) {
   const auto job = cluster_.jobs.find(id);
   if (job == cluster_.jobs.end()) return;
-  job->second.errors = std::max(job->second.errors, static_cast<int>(std::min<std::uint64_t>(told.errors, 99)));
+  job->second.errors = std::max(job->second.errors, static_cast<int>(std::min<std::uint64_t>(hint.errors, 99)));
   job->second.not_before =
-      std::max(job->second.not_before, std::min(told.not_before, now + constants::kMaxTaskErrorBackoff));
-  job->second.failed_on.insert(told.failed_on.begin(), told.failed_on.end());
+      std::max(job->second.not_before, std::min(hint.not_before, now + constants::kMaxTaskErrorBackoff));
+  job->second.failed_on.insert(hint.failed_on.begin(), hint.failed_on.end());
 }
 
-void SoftState::apply_refusal(const std::string& type, const standby::Refusal& told, Instant now) {
-  supply_.hint(
-      {type, told.zone, told.spot},
-      {.not_before = std::min(told.not_before, now + constants::kMaxCapacityRefusalBackoff),
-       .pause = std::clamp(told.pause, constants::kCapacityRefusalBackoff, constants::kMaxCapacityRefusalBackoff),
-       .most = told.most.value_or(0)});
+void SoftStateRestorer::apply_refusal(const std::string& type, const standby::Refusal& hint, Instant now) {
+  capacity_.hint(
+      {type, hint.zone, hint.spot},
+      {.not_before = std::min(hint.not_before, now + constants::kMaxCapacityRefusalBackoff),
+       .pause = std::clamp(hint.pause, constants::kCapacityRefusalBackoff, constants::kMaxCapacityRefusalBackoff),
+       .most = hint.most.value_or(0)});
 }
 
-void SoftState::apply_sample(const std::string& job_class, const standby::Sample& told, Instant now) {
-  demand_.hint_largest(job_class, static_cast<std::uint32_t>(told.largest), now);
-  if (told.estimate_s <= 0) return;
+void SoftStateRestorer::apply_sample(const std::string& job_class, const standby::Sample& hint, Instant now) {
+  demand_.hint_largest(job_class, static_cast<std::uint32_t>(hint.largest), now);
+  if (hint.estimate_s <= 0) return;
   wire::JobSpec sample;
   sample.job_class = job_class;
-  sample.cpus = told.cpus;
-  sample.gpus = told.gpus;
-  sample.ram_gb = told.ram_gb;
-  sample.image_gb = told.image_gb;
-  sample.estimate_s = told.estimate_s;
-  sample.spot = told.spot;
+  sample.cpus = hint.cpus;
+  sample.gpus = hint.gpus;
+  sample.ram_gb = hint.ram_gb;
+  sample.image_gb = hint.image_gb;
+  sample.estimate_s = hint.estimate_s;
+  sample.spot = hint.spot;
   demand_.hint_sample(sample);
 }
 
-void SoftState::apply_gpu_demand(const standby::GpuDemand& told, Instant now) {
+void SoftStateRestorer::apply_gpu_demand(const standby::GpuDemand& hint, Instant now) {
   DemandEstimator::GpuPeaks peaks;
-  for (const auto& [when, items] : told.peaks) {
+  for (const auto& [when, items] : hint.peaks) {
     if (when <= now && when >= now - constants::kGpuDemandWindow) peaks.emplace_back(when, items_of(items));
   }
-  demand_.hint_gpus(peaks, items_of(told.cpus_beside), items_of(told.ram_beside));
+  demand_.hint_gpus(peaks, items_of(hint.cpus_beside), items_of(hint.ram_beside));
 }
 
-void SoftState::apply(const standby::SoftStateSnapshot& snapshot, Instant now) {
-  // Of its own term it knows more than any standby.
+void SoftStateRestorer::apply(const standby::SoftStateSnapshot& snapshot, Instant now) {
+  // For its own term, this leader's state is newer than any standby's.
   if (!leadership_.is_leader() || snapshot.term >= leadership_.term()) return;
   if (now - snapshot.taken > constants::kMaxSoftStateAge) return;
   std::map<std::string, std::vector<standby::Arrivals>> arrivals;
@@ -303,9 +316,9 @@
       case Kind::gpus: apply_gpu_demand(*std::get<standby::Shared<standby::GpuDemand>>(what), now); break;
     }
   }
-  for (const auto& [name, sums] : arrivals) demand_.hint_arrivals(name, spread(sums, now), snapshot.taken);
+  for (const auto& [name, sums] : arrivals) demand_.hint_arrivals(name, expand_arrivals(sums, now), snapshot.taken);
   cluster_.needs_planning = true;
-  spdlog::info("standby: hints of term {} taken: facts={} machines={} tasks={} age_s={:.1f}", snapshot.term.number(),
+  spdlog::info("soft_state_applied term={} entries={} machines={} tasks={} age_s={:.1f}", snapshot.term.number(),
                snapshot.entries.size(), snapshot.count(Kind::machine), snapshot.count(Kind::task),
                to_seconds(now - snapshot.taken));
 }
