--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -25,7 +25,7 @@
   }
   plan::Items available = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster.usable(machine, now)))
+    if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)))
       continue;
     available += machine.planned->info.capacity.of[1];
   }
@@ -42,8 +42,8 @@
   const Amounts each = task_amounts(spec);
   std::vector<Spare> candidates;
   for (const auto& [id, machine] : cluster.machines) {
-    if (machine.state != MachineState::booting && !cluster.usable(machine, now)) continue;
-    const wire::MachineType* type = cluster.type(machine.type);
+    if (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)) continue;
+    const wire::MachineType* type = cluster.find_machine_type(machine.type);
     if (type == nullptr || machine.planned == nullptr ||
         !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
@@ -69,7 +69,7 @@
                                                const wire::JobSpec& sample, Instant now) {
   const Amounts each = task_amounts(sample);
   double boot_s = 0;
-  for (const wire::MachineType& type : cluster.types) {
+  for (const wire::MachineType& type : cluster.machine_types) {
     if (each.count_in(pricing(cluster).usable_capacity(sample, type)) > 0)
       boot_s = boot_s == 0 ? type.boot_s : std::min(boot_s, type.boot_s);
   }
@@ -151,16 +151,16 @@
                                const std::vector<MachineId>& rented, Instant now) {
   if (!capacity_.complete_request(request)) return;
   cluster.pools.answered(request, rented);
-  const wire::MachineType* type = cluster.type(request.type);
+  const wire::MachineType* type = cluster.find_machine_type(request.type);
   for (const MachineId& id : rented) {
-    Machine& machine = cluster.know_machine(id, now);
+    Machine& machine = cluster.find_or_add_machine(id, now);
     if (machine.has_reported) continue;
     machine.type = request.type;
     machine.zone = request.zone;
     machine.spot = request.spot;
     machine.since = now;
     machine.ready = now + from_seconds(type == nullptr ? 0 : type->boot_s);
-    cluster.refresh_plan_machine(machine);
+    cluster.update_planner_machine(machine);
   }
   if (rented.size() < request.count) {
     record_refusal(cluster, request, now);
@@ -169,14 +169,14 @@
   }
   spdlog::info("machines_rented rented={} requested={} type={} zone={}{}", rented.size(), request.count, request.type,
                request.zone, request.spot ? " spot=true" : "");
-  cluster.plan_wanted = true;
+  cluster.needs_planning = true;
 }
 
 void Autoscaler::on_scale_out_refused(ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
   if (!capacity_.complete_request(request)) return;
   cluster.pools.answered(request, {});
   record_refusal(cluster, request, now);
-  cluster.plan_wanted = true;
+  cluster.needs_planning = true;
 }
 
 void Autoscaler::record_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -11,7 +11,7 @@
 std::optional<CloudOffers::Offer> CloudOffers::make_offer(const wire::MachineType& type, const std::string& zone,
                                                           bool spot, const wire::JobSpec& spec,
                                                           std::int64_t tasks) const {
-  if (!is_machine_allowed(spec, type.name, zone, spot) || !cluster_.counted_on(zone)) return std::nullopt;
+  if (!is_machine_allowed(spec, type.name, zone, spot) || !cluster_.can_rent_in_zone(zone)) return std::nullopt;
   CloudCapacityTracker::Kind kind{type.name, zone, spot};
   if (!capacity_.is_available(kind, held_, now_)) return std::nullopt;
   // Uses the full capacity, with nothing reserved for GPU jobs: a GPU machine that is rented for other work exceeds the
@@ -28,9 +28,10 @@
                                                              double max_price_ratio, Millis max_startup) const {
   const Amounts each = task_amounts(spec);
   std::optional<Offer> best;
-  for (const wire::MachineType& type : cluster_.types) {
+  for (const wire::MachineType& type : cluster_.machine_types) {
     if (each.count_in(capacity_of(type)) <= 0) continue;
-    if (from_seconds(type.boot_s) + constants::kCloudCallTimeout + cluster_.fetch_time(spec, type.name) > max_startup)
+    if (from_seconds(type.boot_s) + constants::kCloudCallTimeout + cluster_.image_fetch_duration(spec, type.name) >
+        max_startup)
       continue;
     for (const std::string& zone : type.zones) {
       for (const bool spot : {true, false}) {
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Up to when the holder of a delegation may renew the machine's lease. A machine that only another controller's word places in
-// a zone may stand in any: all delegations count.
+// Returns until when the holder of a delegation may renew the machine's lease. If the machine's zone is known only from
+// another controller's soft state, the machine may be in any zone, so that all delegations count.
 Instant delegated_until(const zone::DelegationTable& delegations, const Machine& machine) {
   const std::string zone = guards::kept(guards::Guard::lease_zone_seen) ? machine.seen_zone() : machine.zone;
   return delegations.renewed_until(zone, machine.id);
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-ClusterState::ClusterState(config::Settings made_from)
-    : settings(std::move(made_from)),
+ClusterState::ClusterState(config::Settings cluster_settings)
+    : settings(std::move(cluster_settings)),
       machines({.lease = lease_span(settings), .silence = silence_span(settings), .detour = detour_span(settings)}) {}
 
 void ClusterState::rebind_planned_nodes() {
@@ -29,47 +29,49 @@
   }
 }
 
-Machine& ClusterState::know_machine(const MachineId& id, Instant now) {
+Machine& ClusterState::find_or_add_machine(const MachineId& id, Instant now) {
   const inventory::MachineInventory::Known known = machines.know(id, now);
-  if (known.fresh) know_cache(known.machine);
+  if (known.fresh) register_image_cache(known.machine);
   return known.machine;
 }
 
-void ClusterState::know_cache(Machine& machine) {
-  // Before its type is known, its room is not.
-  const wire::MachineType* kind = type(machine.type);
-  const auto images = pools.first_seen(machine.id, kind == nullptr ? 0 : kind->cache_gb, machine.images);
+void ClusterState::register_image_cache(Machine& machine) {
+  // The cache size is unknown until the machine type is known; zero is passed until then.
+  const wire::MachineType* machine_type_info = find_machine_type(machine.type);
+  const auto images =
+      pools.first_seen(machine.id, machine_type_info == nullptr ? 0 : machine_type_info->cache_gb, machine.images);
   if (images) machine.images = *images;
 }
 
-void ClusterState::know_image(Machine& machine, const wire::JobSpec& spec) {
+void ClusterState::record_cached_image(Machine& machine, const wire::JobSpec& spec) {
   machine.images.insert(spec.image);
-  for (const std::string& gone : pools.used(machine.id, spec)) machine.images.erase(gone);
+  for (const std::string& evicted : pools.used(machine.id, spec)) machine.images.erase(evicted);
 }
 
-void ClusterState::refresh_plan_machine(Machine& machine) {
+void ClusterState::update_planner_machine(Machine& machine) {
   if (machine.planned != nullptr && machine.planned->info.ready == machine.ready) return;
-  const wire::MachineType* kind = type(machine.type);
-  if (kind == nullptr) return;
-  planner.set_machine({.id = machine.id,
-                       .type = machine.type,
-                       .zone = machine.zone,
-                       .spot = machine.spot,
-                       .capacity = Amounts::from(kind->cpus, kind->gpus, kind->ram_gb),
-                       .ready = machine.ready});
+  const wire::MachineType* machine_type_info = find_machine_type(machine.type);
+  if (machine_type_info == nullptr) return;
+  planner.set_machine(
+      {.id = machine.id,
+       .type = machine.type,
+       .zone = machine.zone,
+       .spot = machine.spot,
+       .capacity = Amounts::from(machine_type_info->cpus, machine_type_info->gpus, machine_type_info->ram_gb),
+       .ready = machine.ready});
   machine.planned = planner.node(machine.id);
-  plan_wanted = true;
+  needs_planning = true;
 }
 
 void ClusterState::forget_machine(const MachineId& id) {
   if (!machines.forget(id)) return;
   pools.forget(id);
   planner.remove_machine(id);
-  plan_wanted = true;
+  needs_planning = true;
 }
 
-bool ClusterState::usable(const Machine& machine, Instant now) const {
-  return machines.usable(machine, now) && settings.in_service(machine.zone) && zones.takes_work(machine.zone);
+bool ClusterState::is_schedulable(const Machine& machine, Instant now) const {
+  return machines.usable(machine, now) && settings.in_service(machine.zone) && zone_health.takes_work(machine.zone);
 }
 
 Instant ClusterState::lease_end(const Machine& machine) const {
@@ -80,24 +82,24 @@
   return machines.is_lease_expired(machine, older_leaders_until, delegated_until(delegations, machine), now);
 }
 
-const wire::MachineType* ClusterState::type(const std::string& name) const {
-  const auto found = std::ranges::find(types, name, &wire::MachineType::name);
-  return found == types.end() ? nullptr : &*found;
+const wire::MachineType* ClusterState::find_machine_type(const std::string& name) const {
+  const auto found = std::ranges::find(machine_types, name, &wire::MachineType::name);
+  return found == machine_types.end() ? nullptr : &*found;
 }
 
-Millis ClusterState::fetch_time(const wire::JobSpec& spec, const std::string& machine_type) const {
-  const wire::MachineType* kind = type(machine_type);
-  if (kind == nullptr || kind->fetch_gb_per_s <= 0) return Millis(0);
-  return from_seconds(spec.image_gb / kind->fetch_gb_per_s);
+Millis ClusterState::image_fetch_duration(const wire::JobSpec& spec, const std::string& machine_type) const {
+  const wire::MachineType* machine_type_info = find_machine_type(machine_type);
+  if (machine_type_info == nullptr || machine_type_info->fetch_gb_per_s <= 0) return Millis(0);
+  return from_seconds(spec.image_gb / machine_type_info->fetch_gb_per_s);
 }
 
-Millis ClusterState::boot_time(const std::string& type_name) const {
-  const wire::MachineType* kind = type(type_name);
-  return from_seconds(kind == nullptr ? 0 : kind->boot_s);
+Millis ClusterState::boot_duration(const std::string& type_name) const {
+  const wire::MachineType* machine_type_info = find_machine_type(type_name);
+  return from_seconds(machine_type_info == nullptr ? 0 : machine_type_info->boot_s);
 }
 
-bool ClusterState::counted_on(const std::string& zone) const {
-  return settings.in_service(zone) && zones.trusted(zone);
+bool ClusterState::can_rent_in_zone(const std::string& zone) const {
+  return settings.in_service(zone) && zone_health.trusted(zone);
 }
 
 bool has_bookings(const Machine& machine) {
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -18,9 +18,10 @@
 
 namespace {
 
+// Sets the teams' limits in the planner. A configured maximum of zero means no limit.
 void set_team_quotas(ClusterState& cluster) {
-  const auto limit = [](double most) {
-    return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
+  const auto limit = [](double max_amount) {
+    return max_amount > 0 ? std::optional<plan::Items>(Amounts::from(max_amount, 0, 0).of[0]) : std::nullopt;
   };
   for (const config::Team& team : cluster.settings.teams) {
     cluster.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
@@ -33,25 +34,27 @@
     : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
 
 Controller Controller::copy() const {
-  Controller made = *this;
-  made.cluster_.rebind_planned_nodes();
-  return made;
+  Controller result = *this;
+  result.cluster_.rebind_planned_nodes();
+  return result;
 }
 
 // ---- leadership ----
 
 void Controller::become_leader(const FailoverSnapshot& failover, Instant now) {
-  const std::vector<wire::MachineType> types = std::move(cluster_.types);
+  // Machine types, learned demand, pool state and the job ranking outlive a leadership term. All other state is rebuilt
+  // from the records.
+  const std::vector<wire::MachineType> types = std::move(cluster_.machine_types);
   Autoscaler autoscaler = autoscaler_.successor();
   pools::PoolAdmission pools = std::move(cluster_.pools);
-  classes::Ranking ranking = std::move(cycle_.queue().ranking());
+  classes::Ranking ranking = std::move(scheduling_cycle_.queue().ranking());
   *this = Controller(std::move(cluster_.settings));
-  cluster_.types = types;
+  cluster_.machine_types = types;
   autoscaler_ = std::move(autoscaler);
   cluster_.pools = std::move(pools);
   cluster_.pools.become_leader(now);
-  cycle_.queue().ranking() = std::move(ranking);
-  cycle_.queue().ranking().tell_time(failover.wall_ms, now);
+  scheduling_cycle_.queue().ranking() = std::move(ranking);
+  scheduling_cycle_.queue().ranking().tell_time(failover.wall_ms, now);
   leadership_.begin_term(failover.term, failover.term_revision, now);
   cluster_.older_leaders_until = kept(Guard::others_counted) ? failover.older_leaders_until : now;
   cluster_.delegations = zone::DelegationTable(cluster_.settings.siblings, delegation_spans(cluster_.settings));
@@ -63,7 +66,7 @@
 
 void Controller::on_term_conflict(Revision term_revision) { leadership_.on_term_conflict(term_revision); }
 
-void Controller::observe_term(Term term) { leadership_.observe_term(term, "a sibling knows of"); }
+void Controller::observe_term(Term term) { leadership_.observe_term(term, "another controller reported"); }
 
 void Controller::on_leader_lease_renewed(Instant when) { leadership_.on_lease_confirmed(when); }
 
@@ -77,27 +80,29 @@
 
 std::optional<std::vector<wire::Command>> Controller::on_heartbeat(const wire::Heartbeat& heartbeat, Instant now) {
   if (!leadership_.is_leader()) return std::nullopt;
-  leadership_.observe_term(heartbeat.term, "a worker has seen");
+  leadership_.observe_term(heartbeat.term, "an agent reported");
   if (!leadership_.can_renew_agent_leases(now)) return std::nullopt;
   ++cluster_.counters.heartbeats;
   return Reconciler(cluster_, leadership_).on_heartbeat(heartbeat, now);
 }
 
-bool Controller::settled(const wire::Heartbeat& heartbeat) const {
+bool Controller::is_settled(const wire::Heartbeat& heartbeat) const {
   if (!leadership_.is_leader() || !cluster_.machines.contains(heartbeat.machine)) return true;
   const bool any_ended = std::ranges::any_of(
       heartbeat.tasks, [](const wire::TaskStatus& task) { return task.state == wire::TaskState::ended; });
-  if (any_ended && plan_wanted()) return false;
+  if (any_ended && needs_planning()) return false;
   return is_heartbeat_durable(cluster_, heartbeat);
 }
 
-std::optional<std::vector<wire::Command>> Controller::later_commands(const wire::Heartbeat& heartbeat, Instant now) {
-  // An answer renews the agent's lease, so the right to answer is looked at again.
+std::optional<std::vector<wire::Command>> Controller::follow_up_commands(const wire::Heartbeat& heartbeat,
+                                                                         Instant now) {
+  // A reply renews the agent's lease. The controller may have lost the right to renew leases since the heartbeat
+  // arrived.
   if (kept(Guard::answer_rechecked) && !leadership_.can_renew_agent_leases(now)) return std::nullopt;
   return Reconciler(cluster_, leadership_).newly_due_commands(heartbeat, now);
 }
 
-std::vector<DirectStop> Controller::due_direct_stops(Instant now) { return tasks().due_direct_stops(now); }
+std::vector<DirectStop> Controller::due_direct_stops(Instant now) { return task_lifecycle().due_direct_stops(now); }
 
 // ---- other controllers ----
 
@@ -113,25 +118,26 @@
   for (const auto& [name, of_class] : demand.classes()) {
     if (pricing.is_urgent_class(name, of_class.sample)) urgent_classes.insert(name);
   }
-  return soft_state_snapshot(
-      {.cluster = cluster_, .demand = demand, .supply = autoscaler_.capacity(), .urgent_classes = urgent_classes},
+  return make_soft_state_snapshot(
+      {.cluster = cluster_, .demand = demand, .capacity = autoscaler_.capacity(), .urgent_classes = urgent_classes},
       leadership_.term(), now);
 }
 
 void Controller::apply_soft_state(const standby::SoftStateSnapshot& snapshot, Instant now) {
-  SoftState(cluster_, leadership_, autoscaler_.demand(), autoscaler_.capacity()).apply(snapshot, now);
+  SoftStateRestorer(cluster_, leadership_, autoscaler_.demand(), autoscaler_.capacity()).apply(snapshot, now);
 }
 
 // ---- planning ----
 
-bool Controller::plan_portion(Instant now, std::size_t places_most) {
+bool Controller::plan_portion(Instant now, std::size_t max_examined_machines) {
   if (!leadership_.is_leader()) {
-    cycle_.abandon();
+    scheduling_cycle_.abandon();
     return true;
   }
-  TaskLifecycle lifecycle = tasks();
-  return cycle_.plan_portion({cluster_, gangs_, autoscaler_, deadlines_, lifecycle, cluster_.counters}, now,
-                             places_most);
+  TaskLifecycle lifecycle = task_lifecycle();
+  return scheduling_cycle_.plan_portion(
+      {cluster_, gang_coordinator_, autoscaler_, deadline_planner_, lifecycle, cluster_.counters}, now,
+      max_examined_machines);
 }
 
 void Controller::plan_pass(Instant now) {
@@ -140,26 +146,28 @@
 }
 
 void Controller::on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now) {
-  cycle_.queue().ranking().on_catalog(set);
-  cycle_.queue().ranking().tell_time(wall_ms, now);
-  cluster_.plan_wanted = true;
+  scheduling_cycle_.queue().ranking().on_catalog(set);
+  scheduling_cycle_.queue().ranking().tell_time(wall_ms, now);
+  cluster_.needs_planning = true;
 }
 
 void Controller::on_due_jobs(foresight::DueJobs dues) {
-  if (deadlines_.on_due_jobs(std::move(dues))) {
-    cluster_.plan_wanted = true;  // it ranks them
-    cycle_.outdate();             // what was planned before tells nothing of them
+  if (deadline_planner_.on_due_jobs(std::move(dues))) {
+    cluster_.needs_planning = true;  // deadlines affect the job order
+    scheduling_cycle_.outdate();     // the previous plan did not consider these deadlines
   }
-  cycle_.queue().ranking().on_slack(deadlines_.slack());
+  scheduling_cycle_.queue().ranking().on_slack(deadline_planner_.slack());
 }
 
 std::map<JobId, foresight::DeadlineForecast> Controller::deadline_forecasts(Instant now) const {
-  // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
-  if (!leadership_.is_leader() || cycle_.under_way() ||
-      cycle_.planned_at() < leadership_.term_started() + detour_span(cluster_.settings))
+  // A forecast requires a complete pass over all machines. A new leader does not know all machines before their agents
+  // have had time to report, directly or through another controller.
+  if (!leadership_.is_leader() || scheduling_cycle_.under_way() ||
+      scheduling_cycle_.planned_at() < leadership_.term_started() + detour_span(cluster_.settings))
     return {};
-  return deadlines_.deadline_forecasts(
-      {cluster_, autoscaler_.demand(), autoscaler_.capacity(), cycle_.queue().ranking()}, cycle_.planned_at(), now);
+  return deadline_planner_.deadline_forecasts(
+      {cluster_, autoscaler_.demand(), autoscaler_.capacity(), scheduling_cycle_.queue().ranking()},
+      scheduling_cycle_.planned_at(), now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -50,7 +50,7 @@
   const std::set<TaskKey> tasks = machine.allocations.copy();
   if (!tasks.empty() || machine.has_reported) {
     // The loss of a whole zone is logged once for the zone, so its machines are only logged at debug level.
-    const bool log_each = cluster_.zones.of(machine.zone) != zone::State::cut;
+    const bool log_each = cluster_.zone_health.of(machine.zone) != zone::State::cut;
     spdlog::log(log_each ? spdlog::level::info : spdlog::level::debug, "machine_lease_expired machine={} tasks={}",
                 machine.id.text(), tasks.size());
   }
@@ -72,11 +72,11 @@
 bool MachineHousekeeper::is_boot_lost(const Machine& machine, Instant now) const {
   // A new leader may learn of a running machine from the cloud's list before the agent's first heartbeat. Such a
   // machine must not count as a lost boot, so agents get time to find the new leader.
-  const Millis boot = cluster_.boot_time(machine.type);
+  const Millis boot = cluster_.boot_duration(machine.type);
   const Millis lease_time = lease_span(cluster_.settings);
   const Millis known_for = now - machine.known;
   if (machine.listed.running || machine.hinted == inventory::Hinted::up) return known_for > lease_time * 2 + boot;
-  const bool type_known = cluster_.type(machine.type) != nullptr;
+  const bool type_known = cluster_.find_machine_type(machine.type) != nullptr;
   return type_known && known_for > lease_time && now - machine.since > boot * constants::kBootLostFactor;
 }
 
@@ -90,7 +90,7 @@
 }
 
 bool MachineHousekeeper::is_zone_return_awaited(const Machine& machine, Instant now) const {
-  return cluster_.settings.operators.zone_watch && cluster_.zones.keeps(machine.zone, now);
+  return cluster_.settings.operators.zone_watch && cluster_.zone_health.keeps(machine.zone, now);
 }
 
 void MachineHousekeeper::review_idle(Machine& machine, Instant now) {
--- a/src/control/task_pricing.cpp
+++ b/src/control/task_pricing.cpp
@@ -9,7 +9,7 @@
 namespace foxshunt::control {
 
 Amounts TaskPricing::usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type) const {
-  return demand_.usable_capacity(spec, type, cluster_.types);
+  return demand_.usable_capacity(spec, type, cluster_.machine_types);
 }
 
 // Uses the longest boot time because the kind that will be rented is not known yet. With a shorter one, tasks that wait
@@ -17,7 +17,7 @@
 Millis TaskPricing::max_boot_time(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double longest_s = 0;
-  for (const wire::MachineType& type : cluster_.types) {
+  for (const wire::MachineType& type : cluster_.machine_types) {
     if (is_type_allowed(spec, type.name) && each.count_in(usable_capacity(spec, type)) > 0)
       longest_s = std::max(longest_s, type.boot_s);
   }
@@ -28,7 +28,7 @@
 // has taken more than kBootSlackFactor times the boot time may never finish: it is assumed to take as long again, so
 // that waiting for it is no longer worthwhile.
 Millis TaskPricing::remaining_boot_time(const Machine& machine, Instant now) const {
-  const wire::MachineType* type = cluster_.type(machine.type);
+  const wire::MachineType* type = cluster_.find_machine_type(machine.type);
   const Millis boot = from_seconds(type == nullptr ? 0 : type->boot_s);
   const Millis elapsed = now - machine.since;
   return elapsed < boot * constants::kBootSlackFactor ? boot / 4 : elapsed;
@@ -37,10 +37,11 @@
 double TaskPricing::shortest_startup_s(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double shortest_s = 0;
-  for (const wire::MachineType& type : cluster_.types) {
+  for (const wire::MachineType& type : cluster_.machine_types) {
     if (each.count_in(usable_capacity(spec, type)) <= 0) continue;
     const double startup_s = type.boot_s * constants::kBootSlackFactor +
-                             to_seconds(cluster_.fetch_time(spec, type.name)) + cluster_.settings.heartbeat_interval_s;
+                             to_seconds(cluster_.image_fetch_duration(spec, type.name)) +
+                             cluster_.settings.heartbeat_interval_s;
     shortest_s = shortest_s == 0 ? startup_s : std::min(shortest_s, startup_s);
   }
   return shortest_s;
@@ -55,7 +56,7 @@
 }
 
 bool TaskPricing::serves_urgent_class(const Machine& machine) const {
-  const wire::MachineType* type = cluster_.type(machine.type);
+  const wire::MachineType* type = cluster_.find_machine_type(machine.type);
   if (type == nullptr) return false;
   return std::ranges::any_of(demand_.classes(), [&](const auto& entry) {
     const wire::JobSpec& spec = entry.second.sample;
@@ -75,7 +76,7 @@
 Millis TaskPricing::max_idle_time(const Machine& machine) const {
   if (cluster_.settings.operators.idle_return_s > 0) return from_seconds(cluster_.settings.operators.idle_return_s);
   if (serves_urgent_class(machine)) return constants::kIdleBeforeScaleInUrgent;
-  const wire::MachineType* type = cluster_.type(machine.type);
+  const wire::MachineType* type = cluster_.find_machine_type(machine.type);
   const double boot_s = type == nullptr ? 0 : type->boot_s;
   return std::max(constants::kMinIdleBeforeScaleIn, from_seconds(boot_s * constants::kIdleShareOfBoot));
 }
@@ -83,7 +84,7 @@
 double TaskPricing::lowest_task_price(const wire::JobSpec& spec) const {
   const Amounts each = task_amounts(spec);
   double lowest = 0;
-  for (const wire::MachineType& type : cluster_.types) {
+  for (const wire::MachineType& type : cluster_.machine_types) {
     const std::int64_t tasks_per_machine = each.count_in(usable_capacity(spec, type));
     if (tasks_per_machine <= 0 || !is_type_allowed(spec, type.name)) continue;
     const double price =
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -92,7 +92,7 @@
 }
 
 void ZoneCoordinator::observe_zones(Instant now) {
-  for (const zone::Change& change : cluster_.zones.look(collect_zone_observations(now), now)) {
+  for (const zone::Change& change : cluster_.zone_health.look(collect_zone_observations(now), now)) {
     spdlog::log(change.to == zone::State::whole || change.to == zone::State::returning ? spdlog::level::info
                                                                                        : spdlog::level::warn,
                 "zone_state_changed zone={} state={} previous={} heard={} silent={} silent_tasks={} expired={}{}",
@@ -102,7 +102,7 @@
                 : !change.seen.sibling_silent
                     ? " controller_last_heard=never"
                     : " controller_last_heard=\"" + std::to_string(change.seen.sibling_silent->count()) + " ms ago\"");
-    cluster_.plan_wanted = true;
+    cluster_.needs_planning = true;
   }
 }
 
