--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -97,7 +97,7 @@
   for (const Job* job : queue) {
     std::uint32_t late = std::max(job->late_tasks, job->overdue_tasks);
     // No more than the team's limit lets run at once.
-    while (late > 0 && !quota_for(cluster, *job, late)) --late;
+    while (late > 0 && !team_has_quota(cluster, *job, late)) --late;
     if (late == 0) continue;
     const auto offer = offer_for_late(offers, cluster, *job, deadlines, late, now);
     if (offer) shares[offer->key] += static_cast<double>(late) / static_cast<double>(offer->fit);
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -21,7 +21,9 @@
 
 ClusterState::ClusterState(config::Settings made_from)
     : settings(std::move(made_from)),
-      machines({.lease = lease_span(settings), .silence = silence_span(settings), .detour = detour_span(settings)}) {}
+      machines({.lease = agent_lease_timeout(settings),
+                .silence = heartbeat_silence_timeout(settings),
+                .detour = heartbeat_reroute_timeout(settings)}) {}
 
 void ClusterState::rebind_planned_nodes() {
   for (auto& [id, machine] : machines) {
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 Controller::Controller(config::Settings settings)
-    : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
+    : cluster_(std::move(settings)), leadership_(fencing_timeout(cluster_.settings)) {}
 
 Controller Controller::copy() const {
   Controller made = *this;
@@ -126,7 +126,7 @@
 
 bool Controller::plan_portion(Instant now, std::size_t places_most) {
   if (!leadership_.is_leader()) {
-    cycle_.abandon();
+    cycle_.abort_pass();
     return true;
   }
   TaskLifecycle lifecycle = tasks();
@@ -148,18 +148,19 @@
 void Controller::on_due_jobs(foresight::DueJobs dues) {
   if (deadlines_.on_due_jobs(std::move(dues))) {
     cluster_.plan_wanted = true;  // it ranks them
-    cycle_.outdate();             // what was planned before tells nothing of them
+    cycle_.invalidate_plan();     // what was planned before tells nothing of them
   }
-  cycle_.queue().ranking().on_slack(deadlines_.slack());
+  cycle_.queue().ranking().on_slack(deadlines_.slack_steps());
 }
 
 std::map<JobId, foresight::DeadlineForecast> Controller::deadline_forecasts(Instant now) const {
   // Nothing is known without a whole pass over the machines that there are, whose workers a new leader has to hear first.
-  if (!leadership_.is_leader() || cycle_.under_way() ||
-      cycle_.planned_at() < leadership_.since() + detour_span(cluster_.settings))
+  if (!leadership_.is_leader() || cycle_.is_pass_in_progress() ||
+      cycle_.last_pass_started_at() < leadership_.since() + heartbeat_reroute_timeout(cluster_.settings))
     return {};
   return deadlines_.deadline_forecasts(
-      {cluster_, autoscaler_.demand(), autoscaler_.capacity(), cycle_.queue().ranking()}, cycle_.planned_at(), now);
+      {cluster_, autoscaler_.demand(), autoscaler_.capacity(), cycle_.queue().ranking()}, cycle_.last_pass_started_at(),
+      now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -144,9 +144,9 @@
   bool plan_portion(Instant now, std::size_t places_most);
   // A whole pass.
   void plan_pass(Instant now);
-  [[nodiscard]] bool plan_wanted() const { return cluster_.plan_wanted || cycle_.under_way(); }
+  [[nodiscard]] bool plan_wanted() const { return cluster_.plan_wanted || cycle_.is_pass_in_progress(); }
   // Whether a pass is under way: what it has not come to has no booking.
-  [[nodiscard]] bool planning() const { return cycle_.under_way(); }
+  [[nodiscard]] bool planning() const { return cycle_.is_pass_in_progress(); }
   // Whether there is something to rent or to return.
   [[nodiscard]] bool cloud_wanted() const;
   [[nodiscard]] bool writes_wanted() const { return cluster_.jobs.writes_wanted(); }
--- a/src/control/controller_explain.cpp
+++ b/src/control/controller_explain.cpp
@@ -26,7 +26,8 @@
       default: ++cluster_summary.machines_leaving; break;
     }
   }
-  cluster_summary.fence_left = std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
+  cluster_summary.fence_left =
+      std::max(Millis(0), leadership_.last_confirmed() + fencing_timeout(cluster_.settings) - now);
   return cluster_summary;
 }
 
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -83,7 +83,7 @@
   if (!leadership_.is_leader()) return;
   if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no worker reaches it", now);
   cluster_.planner.forget_before(now);
-  cycle_.request_overdue_pass(cluster_, now);
+  cycle_.request_periodic_pass(cluster_, now);
   cluster_.delegations.forget_before(now);
   ZoneCoordinator zones = zone_coordinator();
   zones.move_services_out();
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -22,8 +22,8 @@
   std::int64_t room = 0;
   for (const plan::Place& place : places) {
     const Instant from = std::max(now, place.node->info.ready);
-    if (from + place.before + run_time(job) > by) continue;
-    room += job.each.count_in(place.node->use.free(from, from + place.before + estimate(job)));
+    if (from + place.before + estimated_run_time(job) > by) continue;
+    room += job.each.count_in(place.node->use.free(from, from + place.before + booking_duration(job)));
     if (room >= enough) break;
   }
   return room;
@@ -60,7 +60,7 @@
   return timely;
 }
 
-std::optional<foresight::Kind> rentable_kind(const PlanView& view, const Job& job, const wire::MachineType& kind,
+std::optional<foresight::Kind> rentable_kind(const DeadlineContext& view, const Job& job, const wire::MachineType& kind,
                                              double price_most, const CloudCapacityTracker::Held& have) {
   const std::int64_t fit = job.each.count_in(TaskPricing(view.cluster, view.demand).offered(job.spec, kind));
   if (fit <= 0) return std::nullopt;
@@ -81,8 +81,9 @@
   return any ? std::optional(std::move(found)) : std::nullopt;
 }
 
-foresight::Work work_of(const PlanView& view, const Job& job, Instant by, const CloudCapacityTracker::Held& have) {
-  foresight::Work work{.by = by, .run = run_time(job)};
+foresight::Work work_of(const DeadlineContext& view, const Job& job, Instant by,
+                        const CloudCapacityTracker::Held& have) {
+  foresight::Work work{.by = by, .run = estimated_run_time(job)};
   work.waiting = job.pending();
   work.together = is_gang(job);
   work.can_scale_out = view.cluster.settings.operators.can_scale_out;
@@ -102,15 +103,15 @@
   return work;
 }
 
-std::optional<foresight::DeadlineForecast> forecast_of(const PlanView& view, const Job& job, Instant by,
-                                                       const CloudCapacityTracker::Held& have, Instant planned_at,
-                                                       Instant now) {
+std::optional<foresight::DeadlineForecast> forecast_of(const DeadlineContext& view, const Job& job, Instant by,
+                                                       const CloudCapacityTracker::Held& have,
+                                                       Instant last_pass_started_at, Instant now) {
   // A pass books some of a very large array only; the rest is not late for that.
   if (job.cancelled || is_service(job) || job.pending() > constants::kMaxTasksPlannedPerPass) return std::nullopt;
   const auto end = planned_end(view.cluster, job);
   if (end && *end <= by) return foresight::DeadlineForecast{.end = end};
   // What came after the latest pass began has no place in it yet.
-  if (!end && job.submitted >= planned_at) return std::nullopt;
+  if (!end && job.submitted >= last_pass_started_at) return std::nullopt;
   return foresight::forecast_deadline(work_of(view, job, by, have), now);
 }
 
@@ -124,7 +125,7 @@
   return !same;
 }
 
-std::map<JobId, int> DeadlinePlanner::slack() const {
+std::map<JobId, int> DeadlinePlanner::slack_steps() const {
   std::map<JobId, int> slack;
   for (const auto& [id, due] : due_jobs_) slack.emplace_hint(slack.end(), id, due.step);
   return slack;
@@ -139,8 +140,8 @@
   return ends;
 }
 
-std::map<JobId, foresight::DeadlineForecast> DeadlinePlanner::deadline_forecasts(const PlanView& view,
-                                                                                 Instant planned_at,
+std::map<JobId, foresight::DeadlineForecast> DeadlinePlanner::deadline_forecasts(const DeadlineContext& view,
+                                                                                 Instant last_pass_started_at,
                                                                                  Instant now) const {
   std::map<JobId, foresight::DeadlineForecast> deadline_forecasts;
   if (due_jobs_.empty() || view.cluster.types.empty()) return deadline_forecasts;
@@ -148,15 +149,16 @@
   for (const auto& [id, due] : due_jobs_) {
     const auto entry = view.cluster.jobs.find(id);
     if (entry == view.cluster.jobs.end()) continue;
-    if (auto forecast = forecast_of(view, entry->second, due.by, have, planned_at, now)) {
+    if (auto forecast = forecast_of(view, entry->second, due.by, have, last_pass_started_at, now)) {
       deadline_forecasts.emplace_hint(deadline_forecasts.end(), id, std::move(*forecast));
     }
   }
   return deadline_forecasts;
 }
 
-std::uint32_t DeadlinePlanner::overdue(const PlanView& view, const Job& job, const std::vector<plan::Placing>& placings,
-                                       const std::vector<plan::Place>& places, Instant now) const {
+std::uint32_t DeadlinePlanner::count_overdue_tasks(const DeadlineContext& view, const Job& job,
+                                                   const std::vector<plan::Placing>& placings,
+                                                   const std::vector<plan::Place>& places, Instant now) const {
   const auto due = due_jobs_.find(job.spec.id);
   if (due == due_jobs_.end()) return 0;
   const Instant by = due->second.by;
@@ -175,14 +177,14 @@
 Millis DeadlinePlanner::max_startup_for_deadline(const Job& job, Instant now) const {
   const auto due = due_jobs_.find(job.spec.id);
   if (due == due_jobs_.end()) return Millis::max();
-  return due->second.by - now - run_time(job);
+  return due->second.by - now - estimated_run_time(job);
 }
 
 Millis DeadlinePlanner::scale_out_delay(const Job& job, Instant now) const {
   if (job.spec.deadline_s) {
     Instant by = job.submitted + from_seconds(*job.spec.deadline_s);
     if (const auto due = due_jobs_.find(job.spec.id); due != due_jobs_.end()) by = std::min(by, due->second.by);
-    const Instant latest = by - estimate(job) * 3 / 2;
+    const Instant latest = by - booking_duration(job) * 3 / 2;
     return std::max(Millis(0), latest - now);
   }
   return Millis(0);
--- a/src/control/deadline_planner.h
+++ b/src/control/deadline_planner.h
@@ -20,7 +20,7 @@
 namespace foxshunt::control {
 
 // What a deadline is judged by; for the length of a call.
-struct PlanView {
+struct DeadlineContext {
   const ClusterState& cluster;
   const DemandEstimator& demand;
   const CloudCapacityTracker& capacity;
@@ -32,16 +32,18 @@
   // Takes what the calendar's records ask of jobs. Whether that changes their order.
   bool on_due_jobs(foresight::DueJobs dues);
   // The steps of slack of the due jobs, by which they are ranked.
-  [[nodiscard]] std::map<JobId, int> slack() const;
+  [[nodiscard]] std::map<JobId, int> slack_steps() const;
 
-  // What becomes of the due jobs by the plan, and what lacks. `planned_at`: when the latest pass began.
-  [[nodiscard]] std::map<JobId, foresight::DeadlineForecast> deadline_forecasts(const PlanView& view,
-                                                                                Instant planned_at, Instant now) const;
+  // What becomes of the due jobs by the plan, and what lacks. `last_pass_started_at`: when the latest pass began.
+  [[nodiscard]] std::map<JobId, foresight::DeadlineForecast> deadline_forecasts(const DeadlineContext& view,
+                                                                                Instant last_pass_started_at,
+                                                                                Instant now) const;
   // When the plan says that other jobs end; those without a booking are left out.
   [[nodiscard]] std::map<JobId, Instant> planned_ends(const ClusterState& cluster) const;
   // How many of the tasks are planned to end too late, if machines rented now would keep the deadline.
-  [[nodiscard]] std::uint32_t overdue(const PlanView& view, const Job& job, const std::vector<plan::Placing>& placings,
-                                      const std::vector<plan::Place>& places, Instant now) const;
+  [[nodiscard]] std::uint32_t count_overdue_tasks(const DeadlineContext& view, const Job& job,
+                                                  const std::vector<plan::Placing>& placings,
+                                                  const std::vector<plan::Place>& places, Instant now) const;
   // How long a machine may take until it runs tasks of the job, for its calendar deadline.
   [[nodiscard]] Millis max_startup_for_deadline(const Job& job, Instant now) const;
   // How long the job's tasks may wait from now on before machines are rented for them.
--- a/src/control/explanation.cpp
+++ b/src/control/explanation.cpp
@@ -27,7 +27,7 @@
   if (gang && job.gather_until) return "; they join the rest of the gang, which waits for them";
   if (gang && job.allocation_count > 0) return "; the gang starts again when nothing of its attempt before is left";
   if (!can_start_) return "; nothing is started while the state service does not answer";
-  if (!quota_for(cluster_, job, gang ? job.pending() : 1)) return "; its team's limit is used up";
+  if (!team_has_quota(cluster_, job, gang ? job.pending() : 1)) return "; its team's limit is used up";
   return std::nullopt;
 }
 
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -62,7 +62,7 @@
     if (now - job.submitted < constants::kReservationAfter) continue;
     if (!demand.largest(job.spec.job_class, job.spec.tasks)) continue;
     // At its team's limit no machine would help it.
-    if (quota_for(cluster, job, job.pending())) candidates.push_back({.job = id, .submitted = job.submitted});
+    if (team_has_quota(cluster, job, job.pending())) candidates.push_back({.job = id, .submitted = job.submitted});
   }
   return candidates;
 }
@@ -71,7 +71,7 @@
 
 // ---- start barrier ----
 
-bool GangCoordinator::waits_at_barrier(const Job& job) {
+bool GangCoordinator::is_waiting_at_barrier(const Job& job) {
   return job.spec.kind == wire::JobKind::gang && job.allocation_count > 0 &&
          std::ranges::all_of(job.shards, [](const JobShard& shard) {
            return std::ranges::all_of(shard.allocations, [](const auto& entry) {
@@ -95,27 +95,28 @@
 // PROTOCOL, "Gangs": while the gang has not started the rest keep waiting, and a replacement with the same attempt number
 // completes it. Ending the attempt instead costs all the others their places and image fetches. If it has started after all
 // the others tell so by `mates_gone`, and the attempt ends as always.
-bool GangCoordinator::survives_loss(ClusterState& cluster, Job& job, bool had_run, Instant now) {
-  if (had_run || job.cancelled || !waits_at_barrier(job)) return false;
+bool GangCoordinator::handle_member_loss(ClusterState& cluster, Job& job, bool had_run, Instant now) {
+  if (had_run || job.cancelled || !is_waiting_at_barrier(job)) return false;
   hold_start_barrier(cluster, job, now);
   return true;
 }
 
-MissingMembers GangCoordinator::missing_members(const ClusterState& cluster, Job& job, Instant now) {
-  if (!job.gather_until || !waits_at_barrier(job)) return MissingMembers::none;
+MissingMemberAction GangCoordinator::choose_missing_member_action(const ClusterState& cluster, Job& job, Instant now) {
+  if (!job.gather_until || !is_waiting_at_barrier(job)) return MissingMemberAction::none;
   // Those that fetch don't give up yet: the rest has until some time after they are there.
   if (fetches(cluster, job, now)) {
     job.gather_until = std::max(*job.gather_until, now + barrier_timeout(cluster.settings));
   }
-  return now <= *job.gather_until ? MissingMembers::replace : MissingMembers::overdue;
+  return now <= *job.gather_until ? MissingMemberAction::replace : MissingMemberAction::end_attempt;
 }
 
 // PROTOCOL: a task that has its image gives up after `gang_wait_s` if the others have not theirs, and begins again only as
 // another attempt; when the attempt is ended, the fetches of the others are given up. So those that would wait for too
 // long are placed when the others are nearly there: a gang whose fetches differ by more would never begin. A task is
 // never started twice with the same attempt on the same machine, since an old report could then tell of either.
-std::vector<plan::Placing> GangCoordinator::members_due(ClusterState& cluster, Job& job,
-                                                        const std::vector<plan::Placing>& placings, Instant now) {
+std::vector<plan::Placing> GangCoordinator::select_members_to_place(ClusterState& cluster, Job& job,
+                                                                    const std::vector<plan::Placing>& placings,
+                                                                    Instant now) {
   Millis last{};
   Millis first = Millis::max();
   for (const JobShard& shard : job.shards) {
@@ -135,7 +136,7 @@
     if (image_wait(cluster, job, cluster.machines.at(placing.machine)) >= last) {
       due.push_back(placing);
     } else {
-      book_ahead(cluster, job, placing);
+      book_planned_tasks(cluster, job, placing);
     }
   }
   if (due.size() < placings.size() && !job.gather_until)
@@ -145,12 +146,14 @@
 
 // ---- backfill reservation ----
 
-void GangCoordinator::choose_holder(const ClusterState& cluster, const DemandEstimator& demand, Instant now) {
-  reservation_.choose(reservation_candidates(cluster, demand, now), now);
+void GangCoordinator::choose_reservation_holder(const ClusterState& cluster, const DemandEstimator& demand,
+                                                Instant now) {
+  reservation_.choose_holder(reservation_candidates(cluster, demand, now), now);
 }
 
-std::vector<plan::Placing> GangCoordinator::plan_reserved(const plan::Planner& planner, plan::Request request) const {
-  for (plan::Place& place : request.places) place.preferred = reservation_.keeps(place.node->info.id);
+std::vector<plan::Placing> GangCoordinator::plan_reservation_holder(const plan::Planner& planner,
+                                                                    plan::Request request) const {
+  for (plan::Place& place : request.places) place.preferred = reservation_.is_machine_kept(place.node->info.id);
   std::vector<plan::Placing> placings = planner.plan(request);
   if (!request.one_zone || placings.empty() || reservation_.zone().empty()) return placings;
   // What was kept so far would go to others if it moved to the zone that looks best by the estimates of the moment. It moves
@@ -163,8 +166,8 @@
   return there.empty() ? placings : there;
 }
 
-void GangCoordinator::keep_machines_free(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings,
-                                         Instant now) {
+void GangCoordinator::reserve_machines(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings,
+                                       Instant now) {
   std::set<MachineId> kept;
   for (const plan::Placing& placing : placings) {
     const plan::PlanNode* node = cluster.planner.node(placing.machine);
@@ -181,7 +184,8 @@
     if (free.back().start <= now) kept.insert(placing.machine);
   }
   const bool one_zone = job.spec.one_zone && !placings.empty();
-  reservation_.plan(one_zone ? cluster.machines.at(placings.front().machine).zone : std::string(), std::move(kept));
+  reservation_.record_plan(one_zone ? cluster.machines.at(placings.front().machine).zone : std::string(),
+                           std::move(kept));
 }
 
 }  // namespace foxshunt::control
--- a/src/control/gang_coordinator.h
+++ b/src/control/gang_coordinator.h
@@ -17,35 +17,38 @@
 namespace foxshunt::control {
 
 // What a gang that is placed in part needs.
-enum class MissingMembers : std::uint8_t {
-  none,     // nothing: the rest does not wait at the barrier
-  replace,  // members that join the rest
-  overdue,  // the end of the attempt: the rest has waited too long
+enum class MissingMemberAction : std::uint8_t {
+  none,         // nothing: the rest does not wait at the barrier
+  replace,      // members that join the rest
+  end_attempt,  // the end of the attempt: the rest has waited too long
 };
 
 class GangCoordinator {
  public:
   // ---- start barrier ----
   // Whether all that is left of a gang's attempt is known to wait for the others.
-  [[nodiscard]] static bool waits_at_barrier(const Job& job);
+  [[nodiscard]] static bool is_waiting_at_barrier(const Job& job);
   // Lets the rest of the gang wait for members that join it, up to a timeout.
   static void hold_start_barrier(ClusterState& cluster, Job& job, Instant now);
   // A task of the gang is gone together with its machine. Whether the attempt goes on: another task joins the rest if they
   // have not begun.
-  [[nodiscard]] static bool survives_loss(ClusterState& cluster, Job& job, bool had_run, Instant now);
-  [[nodiscard]] static MissingMembers missing_members(const ClusterState& cluster, Job& job, Instant now);
+  [[nodiscard]] static bool handle_member_loss(ClusterState& cluster, Job& job, bool had_run, Instant now);
+  [[nodiscard]] static MissingMemberAction choose_missing_member_action(const ClusterState& cluster, Job& job,
+                                                                        Instant now);
   // Of a gang's tasks those that are to be placed now; the others' places are booked, see docs/design/gathering.md.
-  [[nodiscard]] static std::vector<plan::Placing> members_due(ClusterState& cluster, Job& job,
-                                                              const std::vector<plan::Placing>& placings, Instant now);
+  [[nodiscard]] static std::vector<plan::Placing> select_members_to_place(ClusterState& cluster, Job& job,
+                                                                          const std::vector<plan::Placing>& placings,
+                                                                          Instant now);
 
   // ---- backfill reservation ----
   // Begins a planning pass.
-  void choose_holder(const ClusterState& cluster, const DemandEstimator& demand, Instant now);
-  [[nodiscard]] bool holds_reservation(const JobId& job) const { return reservation_.held_by(job); }
+  void choose_reservation_holder(const ClusterState& cluster, const DemandEstimator& demand, Instant now);
+  [[nodiscard]] bool holds_reservation(const JobId& job) const { return reservation_.is_held_by(job); }
   // Plans the gang that holds the reservation: in the zone and on the machines that are kept for it.
-  [[nodiscard]] std::vector<plan::Placing> plan_reserved(const plan::Planner& planner, plan::Request request) const;
+  [[nodiscard]] std::vector<plan::Placing> plan_reservation_holder(const plan::Planner& planner,
+                                                                   plan::Request request) const;
   // Books the span from which each of the gang's machines is free until its planned start.
-  void keep_machines_free(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  void reserve_machines(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings, Instant now);
 
  private:
   GangReservation reservation_;
--- a/src/control/gang_reservation.cpp
+++ b/src/control/gang_reservation.cpp
@@ -8,7 +8,7 @@
 
 namespace foxshunt::control {
 
-void GangReservation::choose(std::span<const Candidate> candidates, plan::Instant now) {
+void GangReservation::choose_holder(std::span<const Candidate> candidates, plan::Instant now) {
   if (holder_) {
     const bool waits = std::ranges::find(candidates, *holder_, &Candidate::job) != candidates.end();
     if (waits && now < until_) return;
@@ -21,7 +21,7 @@
   until_ = now + constants::kMaxReservation;
 }
 
-void GangReservation::plan(std::string zone, std::set<MachineId> machines) {
+void GangReservation::record_plan(std::string zone, std::set<MachineId> machines) {
   zone_ = std::move(zone);
   machines_ = std::move(machines);
 }
--- a/src/control/gang_reservation.h
+++ b/src/control/gang_reservation.h
@@ -30,15 +30,15 @@
 
   // Begins a planning pass: the holder keeps the reservation while it is a candidate and its span has not passed; else the
   // candidate that was submitted first gets it, unless the pause after the last holder lasts.
-  void choose(std::span<const Candidate> candidates, plan::Instant now);
-  [[nodiscard]] bool held_by(const JobId& job) const { return holder_ && *holder_ == job; }
+  void choose_holder(std::span<const Candidate> candidates, plan::Instant now);
+  [[nodiscard]] bool is_held_by(const JobId& job) const { return holder_ && *holder_ == job; }
 
   // The zone of the holder's latest plan; empty before its first.
   [[nodiscard]] const std::string& zone() const { return zone_; }
   // Whether the machine is kept for the holder since an earlier pass.
-  [[nodiscard]] bool keeps(const MachineId& machine) const { return machines_.contains(machine); }
+  [[nodiscard]] bool is_machine_kept(const MachineId& machine) const { return machines_.contains(machine); }
   // Takes the holder's plan of this pass. `machines`: those that are kept free from now on until its start.
-  void plan(std::string zone, std::set<MachineId> machines);
+  void record_plan(std::string zone, std::set<MachineId> machines);
 
  private:
   void end(plan::Instant now);
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -96,7 +96,7 @@
                                                 .team = job.spec.team,
                                                 .amounts = job.each,
                                                 .start = now,
-                                                .stop = now + estimate(job)});
+                                                .stop = now + booking_duration(job)});
   }
 }
 
--- a/src/control/job_planner.h
+++ b/src/control/job_planner.h
@@ -32,26 +32,26 @@
   // Plans the tasks that wait. How many places it looked at.
   std::size_t plan_job(Job& job, Instant now);
   // Plans the tasks in zones that are being left. How many places it looked at.
-  std::size_t plan_stranded(Job& job, Instant now);
+  std::size_t plan_stranded_tasks(Job& job, Instant now);
 
  private:
-  struct JobTurn;
+  struct JobPlanningContext;
   // Ends the attempt when it is too late for that.
   [[nodiscard]] bool may_replace_members(Job& job, Instant now);
   // How many of the job's tasks the pass plans: all of a gang, a portion of others, less what its class's cap keeps back.
-  [[nodiscard]] std::uint32_t tasks_to_plan(const Job& job, bool joins);
-  void add_zones_taken(const Job& job, plan::Request& request) const;
-  [[nodiscard]] std::vector<plan::Placing> plan_turn(const JobTurn& turn) const;
+  [[nodiscard]] std::uint32_t count_tasks_to_plan(const Job& job, bool joins);
+  void add_occupied_zones(const Job& job, plan::Request& request) const;
+  [[nodiscard]] std::vector<plan::Placing> compute_placings(const JobPlanningContext& turn) const;
   // Fills in the turn's placings. How many places it looked at.
-  std::size_t find_placings(Job& job, JobTurn& turn, Instant now);
+  std::size_t find_placings(Job& job, JobPlanningContext& turn, Instant now);
   // Notes how many tasks start later than on a machine rented now. How many are planned at all.
-  std::uint32_t count_late_tasks(Job& job, const JobTurn& turn, Instant now) const;
+  std::uint32_t count_late_tasks(Job& job, const JobPlanningContext& turn, Instant now) const;
   void book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now);
   [[nodiscard]] bool may_preempt(const Job& job, Instant now) const;
-  [[nodiscard]] bool gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const;
+  [[nodiscard]] bool can_place_gang_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const;
   bool place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
   // Places what may start now. Whether anything was placed.
-  bool place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  bool place_due_tasks(Job& job, const std::vector<plan::Placing>& placings, Instant now);
 
   ClusterState& cluster_;
   SchedulingQueue& queue_;
--- a/src/control/job_requirements.cpp
+++ b/src/control/job_requirements.cpp
@@ -25,21 +25,23 @@
 
 std::uint32_t max_tasks_per_zone(const wire::JobSpec& spec) { return (spec.tasks + 1) / 2; }
 
-plan::Millis estimate(const jobs::Job& job) {
+plan::Millis booking_duration(const jobs::Job& job) {
   if (job.spec.kind == wire::JobKind::service || job.spec.estimate_s <= 0) return constants::kPlanHorizon;
   return std::max(plan::Millis(1000), std::min(from_seconds(job.spec.estimate_s), constants::kPlanHorizon));
 }
 
-plan::Millis run_time(const jobs::Job& job) { return std::max(estimate(job), from_seconds(job.spec.estimate_s)); }
+plan::Millis estimated_run_time(const jobs::Job& job) {
+  return std::max(booking_duration(job), from_seconds(job.spec.estimate_s));
+}
 
-plan::Millis run_time_beyond_booking(const jobs::Job& job) { return run_time(job) - estimate(job); }
+plan::Millis run_time_beyond_booking(const jobs::Job& job) { return estimated_run_time(job) - booking_duration(job); }
 
-plan::Request planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from) {
+plan::Request make_planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from) {
   plan::Request request;
   request.team = job.spec.team;
   request.each = job.each;
   request.count = count;
-  request.duration = estimate(job);
+  request.duration = booking_duration(job);
   request.from = from;
   request.together = is_gang(job);
   request.one_zone = job.spec.one_zone;
--- a/src/control/job_requirements.h
+++ b/src/control/job_requirements.h
@@ -26,14 +26,14 @@
 [[nodiscard]] std::uint32_t max_tasks_per_zone(const wire::JobSpec& spec);
 
 // For how long a task is booked: its estimate, cut at the planner's horizon.
-[[nodiscard]] plan::Millis estimate(const jobs::Job& job);
+[[nodiscard]] plan::Millis booking_duration(const jobs::Job& job);
 // How long a task runs by its estimate, also beyond the planner's horizon.
-[[nodiscard]] plan::Millis run_time(const jobs::Job& job);
+[[nodiscard]] plan::Millis estimated_run_time(const jobs::Job& job);
 // The part of the run time that a booking leaves out.
 [[nodiscard]] plan::Millis run_time_beyond_booking(const jobs::Job& job);
 
 // Asks the planner for so many of the job's tasks from a moment on; places and what the job has placed already are added by
 // the caller.
-[[nodiscard]] plan::Request planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from);
+[[nodiscard]] plan::Request make_planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from);
 
 }  // namespace foxshunt::control
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -21,7 +21,7 @@
 class Leadership {
  public:
   Leadership() = default;
-  // `fence`: for how long after the last confirmed moment agents' leases may be renewed, see fence_span().
+  // `fence`: for how long after the last confirmed moment agents' leases may be renewed, see fencing_timeout().
   explicit Leadership(plan::Millis fence) : fence_(fence) {}
 
   // Begins to lead in the term, whose record is at that revision.
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -7,8 +7,8 @@
 
 namespace foxshunt::control {
 
-bool MachineFilter::do_pools_allow(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
-                                   Instant now) const {
+bool MachineFilter::is_allowed_by_pools(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
+                                        Instant now) const {
   if (!cluster_.pools.on()) return true;
   if (warms) {
     return cluster_.pools.lacks(*warms, machine.id, job.spec.image) &&
@@ -18,7 +18,7 @@
   }
   // A service's replicas don't end: that one runs gives the others no room.
   const bool stuck = job.allocation_count == 0 || is_service(job);
-  return cluster_.pools.allows(job.spec, estimate(job), stuck ? now - job.submitted : Millis(0), machine.id);
+  return cluster_.pools.allows(job.spec, booking_duration(job), stuck ? now - job.submitted : Millis(0), machine.id);
 }
 
 // What a machine's type alone decides of a job.
@@ -43,7 +43,7 @@
 }
 
 // Apart from its type and from what runs there.
-bool MachineFilter::may_plan_on(const Job& job, const Machine& machine, Instant now) const {
+bool MachineFilter::is_machine_eligible(const Job& job, const Machine& machine, Instant now) const {
   if (machine.planned == nullptr || (machine.spot && !job.spec.spot)) return false;
   const bool available =
       machine.state == MachineState::booting ? cluster_.counted_on(machine.zone) : cluster_.usable(machine, now);
@@ -79,20 +79,20 @@
 }
 
 // Where the job may run at all, and what each machine has to do before it does.
-std::vector<plan::Place> MachineFilter::places_for(const Job& job, Instant now) const {
+std::vector<plan::Place> MachineFilter::find_candidate_places(const Job& job, Instant now) const {
   const std::vector<TypeFit> fits = type_fits(job);
   const std::optional<std::size_t> warms = cluster_.pools.warms(job.spec, now - job.submitted);
   plan::Items spare_gpus = demand_.gpus_spare();
   std::vector<plan::Place> places;
   const TypeFit* fit = nullptr;  // of the machine before, which mostly is of the same type
   for (const auto& [id, machine] : cluster_.machines) {
-    if (!may_plan_on(job, machine, now)) continue;
+    if (!is_machine_eligible(job, machine, now)) continue;
     if (fit == nullptr || fit->type->name != machine.type) {
       const auto found = std::ranges::find(fits, machine.type, [](const TypeFit& one) { return one.type->name; });
       if (found == fits.end()) continue;
       fit = &*found;
     }
-    if (!fit->allowed || job.failed_on.contains(id) || !do_pools_allow(job, warms, machine, now)) continue;
+    if (!fit->allowed || job.failed_on.contains(id) || !is_allowed_by_pools(job, warms, machine, now)) continue;
     if (fit->guards_gpus && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
     places.push_back({.node = machine.planned, .before = preparation_time(job, machine, fit->fetch, now)});
   }
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -35,7 +35,7 @@
     return Verdict::returning;
   }
   // Dead machines stay listed for a while.
-  if (machine.expired && !awaited && now - machine.last_heartbeat > lease_span(cluster_.settings) * 2) {
+  if (machine.expired && !awaited && now - machine.last_heartbeat > agent_lease_timeout(cluster_.settings) * 2) {
     machine.state = MachineState::returning;
     if (machine.why.empty()) machine.why = "it is silent";
     return Verdict::returning;
@@ -73,7 +73,7 @@
   // A new leader hears of machines by the list before their agents send it heartbeats: those that are up must not be taken for
   // lost boots. They have the time in which an agent finds its leader.
   const Millis boot = cluster_.boot_time(machine.type);
-  const Millis lease = lease_span(cluster_.settings);
+  const Millis lease = agent_lease_timeout(cluster_.settings);
   const Millis known = now - machine.known;
   if (machine.listed.running || machine.hinted == inventory::Hinted::up) return known > lease * 2 + boot;
   const bool type_known = cluster_.type(machine.type) != nullptr;
--- a/src/control/placement_rules.cpp
+++ b/src/control/placement_rules.cpp
@@ -8,7 +8,7 @@
 
 namespace foxshunt::control {
 
-bool room_for(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
+bool machine_has_room(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
   const wire::MachineType* kind = cluster.type(machine.type);
   if (kind == nullptr) return false;
   Amounts used = job.each.times(count);
@@ -16,7 +16,7 @@
   return used.fits(capacity_of(*kind));
 }
 
-bool quota_for(const ClusterState& cluster, const Job& job, std::uint32_t count) {
+bool team_has_quota(const ClusterState& cluster, const Job& job, std::uint32_t count) {
   const config::Team* team = cluster.settings.team(job.spec.team);
   if (team == nullptr) return false;
   Amounts used = job.each.times(count);
@@ -24,7 +24,7 @@
   return TeamQuota(*team).allows(used);
 }
 
-bool place_allowed(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
+bool is_placement_allowed(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
   if (!is_machine_allowed(job.spec, machine.type, machine.zone, machine.spot)) return false;
   if (!job.spec.one_zone && !job.spec.spread) return true;
   std::uint32_t same = count;
--- a/src/control/placement_rules.h
+++ b/src/control/placement_rules.h
@@ -9,11 +9,12 @@
 namespace foxshunt::control {
 
 // Whether the machine has room for so many more tasks of the job, beside all that is placed there.
-[[nodiscard]] bool room_for(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count);
+[[nodiscard]] bool machine_has_room(const ClusterState& cluster, const Job& job, const Machine& machine,
+                                    std::uint32_t count);
 // Whether the team's quota lets so many more tasks of the job run.
-[[nodiscard]] bool quota_for(const ClusterState& cluster, const Job& job, std::uint32_t count);
+[[nodiscard]] bool team_has_quota(const ClusterState& cluster, const Job& job, std::uint32_t count);
 // Whether so many more tasks of the job may run there, by its constraints on kinds of machines and on zones.
-[[nodiscard]] bool place_allowed(const ClusterState& cluster, const Job& job, const Machine& machine,
-                                 std::uint32_t count);
+[[nodiscard]] bool is_placement_allowed(const ClusterState& cluster, const Job& job, const Machine& machine,
+                                        std::uint32_t count);
 
 }  // namespace foxshunt::control
--- a/src/control/planned_bookings.cpp
+++ b/src/control/planned_bookings.cpp
@@ -2,7 +2,7 @@
 
 namespace foxshunt::control {
 
-void book_ahead(ClusterState& cluster, Job& job, const plan::Placing& placing) {
+void book_planned_tasks(ClusterState& cluster, Job& job, const plan::Placing& placing) {
   job.booked.push_back(cluster.planner.book({.machine = placing.machine,
                                              .team = job.spec.team,
                                              .amounts = job.each.times(placing.count),
@@ -10,7 +10,7 @@
                                              .stop = placing.stop}));
 }
 
-void revoke_bookings(ClusterState& cluster, Job& job) {
+void revoke_planned_bookings(ClusterState& cluster, Job& job) {
   for (const plan::BookingId booking : job.booked) cluster.planner.revoke(booking);
   job.booked.clear();
 }
--- a/src/control/preemptor.cpp
+++ b/src/control/preemptor.cpp
@@ -19,10 +19,10 @@
 };
 
 // A gang needs room for all its tasks or none; of other jobs as many are asked for as the team's quota allows.
-std::uint32_t Preemptor::tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const {
+std::uint32_t Preemptor::count_tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const {
   const bool gang = is_gang(job);
   std::uint32_t count = gang ? tasks_most : std::min(tasks_most, constants::kMaxTasksPreemptedFor);
-  while (count > 0 && !quota_for(cluster_, job, count)) count = gang ? 0 : count - 1;
+  while (count > 0 && !team_has_quota(cluster_, job, count)) count = gang ? 0 : count - 1;
   return count;
 }
 
@@ -53,7 +53,8 @@
 
 // The number of the victim that the task belongs to; nothing for what is being stopped already, has not begun, or runs for
 // ever.
-std::optional<std::size_t> Preemptor::victim_of(const TaskKey& key, const Job& asks, Victims& victims, Instant now) {
+std::optional<std::size_t> Preemptor::find_or_add_victim(const TaskKey& key, const Job& asks, Victims& victims,
+                                                         Instant now) {
   const Job& other = cluster_.jobs.at(key.job);
   const Allocation& allocation = *cluster_.jobs.find_allocation(key);
   if (other.cancelled || allocation.stopping || !allocation.running_since || is_service(other)) return std::nullopt;
@@ -65,19 +66,20 @@
   return number;
 }
 
-std::vector<preempt::Contested> Preemptor::contested_machines(const Job& job, const std::vector<plan::Place>& places,
-                                                              Victims& victims, Instant now) {
+std::vector<preempt::Contested> Preemptor::find_contested_machines(const Job& job,
+                                                                   const std::vector<plan::Place>& places,
+                                                                   Victims& victims, Instant now) {
   std::vector<preempt::Contested> machines;
   for (const plan::Place& place : places) {
     const Machine& machine = cluster_.machines.at(place.node->info.id);
-    if (machine.state != MachineState::up || !place_allowed(cluster_, job, machine, 1)) continue;
+    if (machine.state != MachineState::up || !is_placement_allowed(cluster_, job, machine, 1)) continue;
     preempt::Contested contested{
         .machine = machine.id, .zone = machine.zone, .free = place.node->info.capacity, .held = {}};
     std::map<std::size_t, Amounts> held;
     for (const TaskKey& key : machine.allocations) {
       const Amounts& each = cluster_.jobs.at(key.job).each;
       contested.free -= each;
-      if (const auto number = victim_of(key, job, victims, now)) held[*number] += each;
+      if (const auto number = find_or_add_victim(key, job, victims, now)) held[*number] += each;
     }
     contested.held.assign(held.begin(), held.end());
     machines.push_back(std::move(contested));
@@ -98,7 +100,7 @@
 
 void Preemptor::preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now) {
   if (!tasks_.can_start_anything(now)) return;
-  const std::uint32_t count = tasks_to_preempt_for(job, tasks_most);
+  const std::uint32_t count = count_tasks_to_preempt_for(job, tasks_most);
   if (count == 0) return;
   const preempt::Need need{.each = job.each,
                            .count = count,
@@ -108,7 +110,7 @@
                            .guaranteed = !job.borrowed,
                            .wait = std::min(job.planned_start.value_or(plan::kForever) - now, constants::kPlanHorizon)};
   Victims victims;
-  const std::vector<preempt::Contested> machines = contested_machines(job, places, victims, now);
+  const std::vector<preempt::Contested> machines = find_contested_machines(job, places, victims, now);
   const std::vector<std::size_t> chosen = preempt::choose_victims(need, victims.all, machines);
   job.displaces_after = now + constants::kPreemptionInterval;
   std::size_t stopped = 0;
--- a/src/control/preemptor.h
+++ b/src/control/preemptor.h
@@ -27,14 +27,14 @@
 
  private:
   struct Victims;
-  [[nodiscard]] std::uint32_t tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const;
+  [[nodiscard]] std::uint32_t count_tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const;
   [[nodiscard]] preempt::Victim describe_victim(const TaskKey& key, const Job& other, const Allocation& allocation,
                                                 const Job& asks, Instant now) const;
-  [[nodiscard]] std::optional<std::size_t> victim_of(const TaskKey& key, const Job& asks, Victims& victims,
-                                                     Instant now);
-  [[nodiscard]] std::vector<preempt::Contested> contested_machines(const Job& job,
-                                                                   const std::vector<plan::Place>& places,
-                                                                   Victims& victims, Instant now);
+  [[nodiscard]] std::optional<std::size_t> find_or_add_victim(const TaskKey& key, const Job& asks, Victims& victims,
+                                                              Instant now);
+  [[nodiscard]] std::vector<preempt::Contested> find_contested_machines(const Job& job,
+                                                                        const std::vector<plan::Place>& places,
+                                                                        Victims& victims, Instant now);
   // How many tasks it stops.
   std::size_t stop_victim(const preempt::Victim& victim, Instant now);
 
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -149,7 +149,7 @@
   allocation.running_since = std::min(now, allocation.told_began.value_or(now));
   cluster_.pools.began({job.spec.id, index}, job.spec, now - allocation.placed);
   cluster_.planner.revoke(allocation.booking);
-  Millis left = estimate(job);
+  Millis left = booking_duration(job);
   if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
     left = std::max(left - saved->second, constants::kStartTimeout);
   }
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -17,14 +17,14 @@
     for (const auto& [unused, allocation] : shard.allocations) {
       const plan::Booking* booking = cluster.planner.booking(allocation.booking);
       if (booking != nullptr && booking->stop <= now + constants::kTick) {
-        cluster.planner.extend(allocation.booking, now + estimate(job));
+        cluster.planner.extend(allocation.booking, now + booking_duration(job));
       }
     }
   }
 }
 
 void forget_latest_plan(ClusterState& cluster, Job& job) {
-  revoke_bookings(cluster, job);
+  revoke_planned_bookings(cluster, job);
   job.planned_start.reset();
   job.late_tasks = 0;
   job.overdue_tasks = 0;
@@ -60,9 +60,9 @@
   }
   context.autoscaler.learn_gpu_demand(cluster, now);
   find_stranded(cluster);
-  context.gangs.choose_holder(cluster, context.autoscaler.demand(), now);
+  context.gangs.choose_reservation_holder(cluster, context.autoscaler.demand(), now);
   pass_.emplace();
-  for (const Job* job : queue_.order(cluster, context.gangs, context.autoscaler.demand(), now))
+  for (const Job* job : queue_.order_jobs(cluster, context.gangs, context.autoscaler.demand(), now))
     pass_->push_back(job->spec.id);
 }
 
@@ -71,12 +71,12 @@
     context.autoscaler.want_nothing();
   } else {
     context.autoscaler.size_fleet(context.cluster,
-                                  queue_.order(context.cluster, context.gangs, context.autoscaler.demand(), now),
+                                  queue_.order_jobs(context.cluster, context.gangs, context.autoscaler.demand(), now),
                                   context.deadlines, now);
   }
 }
 
-void SchedulingCycle::request_overdue_pass(ClusterState& cluster, Instant now) const {
+void SchedulingCycle::request_periodic_pass(ClusterState& cluster, Instant now) const {
   if (now - planned_ < constants::kReplanInterval) return;
   const bool any_pending = std::ranges::any_of(
       cluster.jobs, [](const auto& entry) { return !entry.second.cancelled && entry.second.pending() > 0; });
@@ -100,7 +100,7 @@
       ++context.counters.jobs_planned;
       places += planner.plan_job(job, now);
     }
-    if (job.stranded > 0) places += planner.plan_stranded(job, now);
+    if (job.stranded > 0) places += planner.plan_stranded_tasks(job, now);
   }
   context.counters.places_seen += places;
   if (!pass_->empty()) return false;
--- a/src/control/scheduling_cycle.h
+++ b/src/control/scheduling_cycle.h
@@ -35,14 +35,14 @@
   [[nodiscard]] SchedulingQueue& queue() { return queue_; }
   [[nodiscard]] const SchedulingQueue& queue() const { return queue_; }
   // Whether a pass is under way: what it has not come to has no booking.
-  [[nodiscard]] bool under_way() const { return pass_.has_value(); }
+  [[nodiscard]] bool is_pass_in_progress() const { return pass_.has_value(); }
   // When the latest pass began.
-  [[nodiscard]] Instant planned_at() const { return planned_; }
+  [[nodiscard]] Instant last_pass_started_at() const { return planned_; }
   // What was planned so far tells nothing any more.
-  void outdate() { planned_ = Instant(); }
-  void abandon() { pass_.reset(); }
+  void invalidate_plan() { planned_ = Instant(); }
+  void abort_pass() { pass_.reset(); }
   // Wants a pass for what waits for the end of a pause, its own or the cloud's, and is not woken by any event.
-  void request_overdue_pass(ClusterState& cluster, Instant now) const;
+  void request_periodic_pass(ClusterState& cluster, Instant now) const;
 
   // Plans what is pending and places what may start now, a portion of it. At least one job is planned, and no more once this
   // many places were looked at. True when the pass has ended.
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -24,7 +24,7 @@
     if (fleet.of[r] <= 0) continue;
     share = std::max(share, static_cast<double>(job.each.of[r]) * job.spec.tasks / static_cast<double>(fleet.of[r]));
   }
-  const Millis work = from_seconds(share * to_seconds(estimate(job)) * constants::kAgingPenaltyPerWork);
+  const Millis work = from_seconds(share * to_seconds(booking_duration(job)) * constants::kAgingPenaltyPerWork);
   // What was hoped for a job and can't be had any more must not cost those that can still have it.
   Millis missed{};
   for (const config::Objective& objective : cluster.settings.objectives) {
@@ -76,8 +76,8 @@
 }  // namespace
 
 // What fits a team's guarantee goes before what is borrowed; then by priority.
-std::vector<Job*> SchedulingQueue::order(ClusterState& cluster, const GangCoordinator& gangs,
-                                         const DemandEstimator& demand, Instant now) {
+std::vector<Job*> SchedulingQueue::order_jobs(ClusterState& cluster, const GangCoordinator& gangs,
+                                              const DemandEstimator& demand, Instant now) {
   std::map<std::string, std::vector<Job*>> by_team;
   for (auto& [unused, job] : cluster.jobs) {
     if (!job.cancelled) by_team[job.spec.team].push_back(&job);
@@ -98,11 +98,11 @@
   std::vector<Job*> jobs;
   jobs.reserve(queue.size());
   for (const QueueEntry& entry : queue) jobs.push_back(entry.job);
-  if (ranking_.on()) order_by_class(cluster, jobs, now);
+  if (ranking_.on()) order_jobs_by_class(cluster, jobs, now);
   return jobs;
 }
 
-void SchedulingQueue::order_by_class(ClusterState& cluster, std::vector<Job*>& jobs, Instant now) {
+void SchedulingQueue::order_jobs_by_class(ClusterState& cluster, std::vector<Job*>& jobs, Instant now) {
   std::vector<classes::Candidate> candidates;
   candidates.reserve(cluster.jobs.size());
   for (const auto& [unused, job] : cluster.jobs) {
--- a/src/control/scheduling_queue.h
+++ b/src/control/scheduling_queue.h
@@ -22,15 +22,15 @@
   [[nodiscard]] const classes::Ranking& ranking() const { return ranking_; }
 
   // The jobs that wait, first the one that is planned first. Begins a new ranking.
-  [[nodiscard]] std::vector<Job*> order(ClusterState& cluster, const GangCoordinator& gangs,
-                                        const DemandEstimator& demand, Instant now);
+  [[nodiscard]] std::vector<Job*> order_jobs(ClusterState& cluster, const GangCoordinator& gangs,
+                                             const DemandEstimator& demand, Instant now);
   // Whether the room that running work would make is not the asking job's: the work would be ranked before it when it
   // waits again, or what is ranked before it would take the room without being entitled to.
   [[nodiscard]] bool is_protected_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const;
 
  private:
   // The same jobs in the order of their classes.
-  void order_by_class(ClusterState& cluster, std::vector<Job*>& jobs, Instant now);
+  void order_jobs_by_class(ClusterState& cluster, std::vector<Job*>& jobs, Instant now);
 
   classes::Ranking ranking_;
 };
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -226,7 +226,7 @@
   const auto entry = cluster_.jobs.find(JobId(key.name));
   if (entry == cluster_.jobs.end() || key.number >= entry->second.spec.tasks) return;
   Job& job = entry->second;
-  const Millis estimated = estimate(job);
+  const Millis estimated = booking_duration(job);
   if (told.saved > Millis(0)) {
     Millis& saved = job.saved[key.number];
     saved = std::max(saved, std::min(told.saved, estimated));
--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -19,7 +19,7 @@
 using wire::CommandKind;
 
 void TaskLifecycle::place(Job& job, std::uint32_t index, AttemptNumber attempt, Machine& machine, Instant now) {
-  Millis left = estimate(job);
+  Millis left = booking_duration(job);
   if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
     left = std::max(left - saved->second, constants::kStartTimeout);
   }
@@ -82,7 +82,7 @@
 }
 
 void TaskLifecycle::cancel(Job& job, Instant now) {
-  revoke_bookings(cluster_, job);
+  revoke_planned_bookings(cluster_, job);
   for (JobShard& shard : job.shards) {
     for (auto& [unused, allocation] : shard.allocations) {
       allocation.stopping = true;
@@ -151,7 +151,7 @@
   Job& job = cluster_.jobs.at(task.job);
   const bool had_run = cluster_.jobs.find_allocation(task)->running_since.has_value();
   confirm_terminated(job, task.index, why, now);
-  if (!GangCoordinator::survives_loss(cluster_, job, had_run, now)) end_gang_attempt(job);
+  if (!GangCoordinator::handle_member_loss(cluster_, job, had_run, now)) end_gang_attempt(job);
 }
 
 void TaskLifecycle::end_gang_attempt(Job& job) {
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -33,8 +33,9 @@
   for (const auto& [id, machine] : cluster_.machines) {
     const std::string stands_in = machine.seen_zone();
     if (!stands_in.empty() && stands_in != zone) continue;
-    if (must_stop_tasks(machine) || (cluster_.machines.silent(machine, now) &&
-                                     !cluster_.delegations.used_within(zone, id, silence_span(cluster_.settings), now)))
+    if (must_stop_tasks(machine) ||
+        (cluster_.machines.silent(machine, now) &&
+         !cluster_.delegations.used_within(zone, id, heartbeat_silence_timeout(cluster_.settings), now)))
       except.push_back(id);
   }
   return except;
--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -101,8 +101,9 @@
   const Term term = view.record.term.next();
   // What this lead is confirmed by is asked for now: a node that stands still after the answer leads no longer for it.
   const plan::Instant asked = now();
-  const std::int64_t until = state::older_leaders_until(view, wall_ms(), control::fence_span(context_.settings).count(),
-                                                        static_cast<std::int64_t>(context_.settings.skew_ms));
+  const std::int64_t until =
+      state::older_leaders_until(view, wall_ms(), control::fencing_timeout(context_.settings).count(),
+                                 static_cast<std::int64_t>(context_.settings.skew_ms));
   kv::TxnResult result = client_.txn(state::acquire_leadership_txn(view, self, lease_, until), store_call_deadline());
   if (result.answer == Answer::none) {
     const auto there = read_leadership();
@@ -207,17 +208,18 @@
 bool LeaderElector::is_ready(const AcquiredTerm& acquired, const SharedRecords::Snapshot& snapshot,
                              plan::Instant older_leaders_until, plan::Instant renewed, plan::Instant at) const {
   const bool first_leader = acquired.older_leaders_until_wall_ms == 0;
-  const control::Readiness found{.self = context_.settings.name,
-                                 .term = acquired.term,
-                                 .term_revision = acquired.term_revision,
-                                 .record = state::term_from(snapshot.term->data),
-                                 .record_revision = snapshot.term->revision,
-                                 .records_at = snapshot.revision,
-                                 .lease_asked = renewed,
-                                 .older_leaders_until = older_leaders_until,
-                                 .fence_least = first_leader ? plan::Instant{}
-                                                             : acquired.asked + control::fence_span(context_.settings) -
-                                                                   constants::kClockRounding};
+  const control::Readiness found{
+      .self = context_.settings.name,
+      .term = acquired.term,
+      .term_revision = acquired.term_revision,
+      .record = state::term_from(snapshot.term->data),
+      .record_revision = snapshot.term->revision,
+      .records_at = snapshot.revision,
+      .lease_asked = renewed,
+      .older_leaders_until = older_leaders_until,
+      .fence_least = first_leader
+                         ? plan::Instant{}
+                         : acquired.asked + control::fencing_timeout(context_.settings) - constants::kClockRounding};
   const auto missing = control::not_ready(found, at);
   if (!missing) return true;
   spdlog::warn("failover_given_up term={} check={}", acquired.term.number(), *missing);
--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -414,8 +414,8 @@
   Node& self = nodes_[node];
   const kv::LeaseId lease = store_.grant_lease(constants::kLeaderLeaseTtl, now_);
   leases_[lease.number] = now_ + constants::kLeaderLeaseTtl;
-  const std::int64_t until = state::older_leaders_until(view, wall_ms(), control::fence_span(settings_of(node)).count(),
-                                                        static_cast<std::int64_t>(0));
+  const std::int64_t until = state::older_leaders_until(
+      view, wall_ms(), control::fencing_timeout(settings_of(node)).count(), static_cast<std::int64_t>(0));
   const kv::Txn txn = state::acquire_leadership_txn(view, name_of(node), lease, until);
   const auto found = fate(Sort::lead, node);
   if (found == Fate::late || found == Fate::held) {
@@ -458,7 +458,7 @@
       .older_leaders_until = failover.older_leaders_until,
       .fence_least = taking.until_wall_ms == 0
                          ? Instant{}
-                         : taking.asked + control::fence_span(settings_of(node)) - constants::kClockRounding};
+                         : taking.asked + control::fencing_timeout(settings_of(node)) - constants::kClockRounding};
   if (control::not_ready(found, now_)) return store_.revoke(std::exchange(self.lease, {}));
   self.controller.become_leader(failover, taking.asked);
   self.watch_from = live.revision;
--- a/tests/scenarios/refusal_days_test.cpp
+++ b/tests/scenarios/refusal_days_test.cpp
@@ -216,7 +216,7 @@
     if (refusal.path == Path::alone || refusal.path == Path::holder) world.cut_siblings(all_s);
     if (refusal.path == Path::relay || refusal.path == Path::holder) world.cut_node_from_workers(old, all_s);
   });
-  const double fence_s = control::to_seconds(control::fence_span(settings));
+  const double fence_s = control::to_seconds(control::fencing_timeout(settings));
   if (refusal.path == Path::heir) {
     world.at(when.refused + fence_s / 2, [&] {
       world.cut_siblings(when.back - when.refused);
--- a/tests/smoke/refused_test.cpp
+++ b/tests/smoke/refused_test.cpp
@@ -65,7 +65,7 @@
     cluster_ = std::make_unique<LocalCluster>(
         kNodes, true, cluster::NodeSize{}, [] { return ::testing::Test::HasFailure(); }, kAround);
     if (!operators.empty()) cluster_->set_operators("<foxshunt>" + operators + "</foxshunt>");
-    fence_ = control::fence_span(config::load_settings((cluster_->folder() / "node-0.json").string()));
+    fence_ = control::fencing_timeout(config::load_settings((cluster_->folder() / "node-0.json").string()));
     cluster_->start(kLeader);
     ASSERT_TRUE(cluster_->wait_until_up(kLeader));
     ASSERT_TRUE(wait_for([&] { return leader().leader == NodeName("node-0"); }));
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -256,7 +256,7 @@
   };
   const NodeName name("node-" + std::to_string(node));
   reached(Moment::lead, node);
-  const std::int64_t until = state::older_leaders_until(view, wall_ms(), control::fence_span(settings_).count(),
+  const std::int64_t until = state::older_leaders_until(view, wall_ms(), control::fencing_timeout(settings_).count(),
                                                         static_cast<std::int64_t>(settings_.skew_ms));
   nodes_[node].taking_lead = true;
   call_state<Taken>(
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -268,8 +268,8 @@
     controller_.on_leader_lease_renewed(now_);
     controller_.on_records_confirmed(now_);
   }
-  EXPECT_TRUE(controller_.can_renew_agent_leases(before + fence_span(settings()) - Millis(1)));
-  EXPECT_FALSE(controller_.can_renew_agent_leases(before + fence_span(settings())));
+  EXPECT_TRUE(controller_.can_renew_agent_leases(before + fencing_timeout(settings()) - Millis(1)));
+  EXPECT_FALSE(controller_.can_renew_agent_leases(before + fencing_timeout(settings())));
   EXPECT_FALSE(controller_.can_start_tasks(now_));
   // Read again, it is known; what comes after counts.
   const auto reload = controller_.next_reload();
@@ -616,8 +616,9 @@
       {.node = NodeName("node-1"), .life = 1, .sequence = 1, .term = Term(7), .holds = {}, .uses = {}}, now_);
   ASSERT_TRUE(delegation);
   ASSERT_TRUE(delegation->except.empty());
-  const Instant end = now_ + delegation_spans(settings()).bound + lease_span(settings());
-  ASSERT_GT(end, now_ + Millis(20'000) + lease_span(settings())) << "older leaders' reckoning ends before, by lead()";
+  const Instant end = now_ + delegation_spans(settings()).bound + agent_lease_timeout(settings());
+  ASSERT_GT(end, now_ + Millis(20'000) + agent_lease_timeout(settings()))
+      << "older leaders' reckoning ends before, by lead()";
   for (const Instant last = end + Millis(2000); now_ < last; now_ += Millis(1000)) {
     controller_.on_leader_lease_renewed(now_);
     controller_.on_records_confirmed(now_);
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -7,7 +7,7 @@
 
 class DeadlinePlanning : public ClusterFixture {
  protected:
-  PlanView view() const { return {cluster_, demand_, capacity_, ranking_}; }
+  DeadlineContext view() const { return {cluster_, demand_, capacity_, ranking_}; }
   void book(Job& job, const Machine& machine, std::uint32_t tasks, Instant stop) {
     job.booked.push_back(cluster_.planner.book({.machine = machine.id,
                                                 .team = job.spec.team,
@@ -27,7 +27,7 @@
   EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.by = now_, .step = 1}}}));
   EXPECT_FALSE(deadlines_.on_due_jobs({{job, {.by = now_ + Millis(5), .step = 1}}}));
   EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.by = now_, .step = 2}}}));
-  EXPECT_EQ(deadlines_.slack().at(job), 2);
+  EXPECT_EQ(deadlines_.slack_steps().at(job), 2);
 }
 
 TEST_F(DeadlinePlanning, AJobBookedInTimeLacksNothing) {
@@ -59,11 +59,11 @@
   const Machine& machine = add_machine("m-000001");
   const std::vector<plan::Placing> placings{
       {.machine = machine.id, .start = now_ + Millis(200'000), .stop = now_ + Millis(260'000), .count = 2}};
-  EXPECT_EQ(deadlines_.overdue(view(), job, placings, {}, now_), 0U);  // it is not due
+  EXPECT_EQ(deadlines_.count_overdue_tasks(view(), job, placings, {}, now_), 0U);  // it is not due
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
-  EXPECT_EQ(deadlines_.overdue(view(), job, placings, {}, now_), 2U);
+  EXPECT_EQ(deadlines_.count_overdue_tasks(view(), job, placings, {}, now_), 2U);
   // A machine has room for them in time: it is something else that lacks.
-  EXPECT_EQ(deadlines_.overdue(view(), job, placings, {{.node = machine.planned}}, now_), 0U);
+  EXPECT_EQ(deadlines_.count_overdue_tasks(view(), job, placings, {{.node = machine.planned}}, now_), 0U);
 }
 
 }  // namespace
--- a/tests/unit/gang_coordinator_test.cpp
+++ b/tests/unit/gang_coordinator_test.cpp
@@ -22,24 +22,24 @@
 };
 
 TEST_F(GangCoordination, MembersThatWaitOrFetchWaitAtTheBarrier) {
-  EXPECT_FALSE(GangCoordinator::waits_at_barrier(job_));  // none is placed
+  EXPECT_FALSE(GangCoordinator::is_waiting_at_barrier(job_));  // none is placed
   place_two(TaskState::waiting);
-  EXPECT_TRUE(GangCoordinator::waits_at_barrier(job_));
+  EXPECT_TRUE(GangCoordinator::is_waiting_at_barrier(job_));
   cluster_.jobs.find_allocation({job_.spec.id, 1})->seen = TaskState::running;
-  EXPECT_FALSE(GangCoordinator::waits_at_barrier(job_));
+  EXPECT_FALSE(GangCoordinator::is_waiting_at_barrier(job_));
 }
 
 TEST_F(GangCoordination, AMemberLostBeforeTheStartIsReplaced) {
   place_two(TaskState::waiting);
-  EXPECT_TRUE(GangCoordinator::survives_loss(cluster_, job_, false, now_));
+  EXPECT_TRUE(GangCoordinator::handle_member_loss(cluster_, job_, false, now_));
   EXPECT_TRUE(job_.gather_until.has_value());
   EXPECT_TRUE(cluster_.plan_wanted);
-  EXPECT_EQ(GangCoordinator::missing_members(cluster_, job_, now_), MissingMembers::replace);
+  EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, now_), MissingMemberAction::replace);
 }
 
 TEST_F(GangCoordination, AMemberLostAfterTheStartEndsTheAttempt) {
   place_two(TaskState::waiting);
-  EXPECT_FALSE(GangCoordinator::survives_loss(cluster_, job_, true, now_));
+  EXPECT_FALSE(GangCoordinator::handle_member_loss(cluster_, job_, true, now_));
   EXPECT_FALSE(job_.gather_until.has_value());
 }
 
@@ -47,28 +47,29 @@
   place_two(TaskState::waiting);
   GangCoordinator::hold_start_barrier(cluster_, job_, now_);
   const Instant until = *job_.gather_until;
-  EXPECT_EQ(GangCoordinator::missing_members(cluster_, job_, until), MissingMembers::replace);
-  EXPECT_EQ(GangCoordinator::missing_members(cluster_, job_, until + Millis(1)), MissingMembers::overdue);
+  EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, until), MissingMemberAction::replace);
+  EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, until + Millis(1)),
+            MissingMemberAction::end_attempt);
 }
 
 TEST_F(GangCoordination, WithoutABarrierNothingIsMissing) {
   place_two(TaskState::waiting);
-  EXPECT_EQ(GangCoordinator::missing_members(cluster_, job_, now_), MissingMembers::none);
+  EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, now_), MissingMemberAction::none);
 }
 
 TEST_F(GangCoordination, AGangThatWaitsLongGetsTheReservationUnlessItsQuotaIsUsedUp) {
   GangCoordinator gangs;
   DemandEstimator demand;
   demand.learn(job_.spec, job_.each, job_.submitted);
-  gangs.choose_holder(cluster_, demand, now_);
+  gangs.choose_reservation_holder(cluster_, demand, now_);
   EXPECT_FALSE(gangs.holds_reservation(job_.spec.id));
   now_ += constants::kReservationAfter;
-  gangs.choose_holder(cluster_, demand, now_);
+  gangs.choose_reservation_holder(cluster_, demand, now_);
   EXPECT_TRUE(gangs.holds_reservation(job_.spec.id));
 
   Job& other = add_job(spec_of("j-000002", 6));
   for (std::uint32_t index = 0; index < 6; ++index) place(other, index, machine_);  // 24 of 32 CPUs
-  gangs.choose_holder(cluster_, demand, now_);
+  gangs.choose_reservation_holder(cluster_, demand, now_);
   EXPECT_FALSE(gangs.holds_reservation(job_.spec.id));
 }
 
--- a/tests/unit/gang_reservation_test.cpp
+++ b/tests/unit/gang_reservation_test.cpp
@@ -22,53 +22,53 @@
 
 TEST(Reservation, GoesToTheGangThatWasSubmittedFirst) {
   GangReservation reservation;
-  reservation.choose(kBoth, kNow);
-  EXPECT_TRUE(reservation.held_by(kOlder));
-  EXPECT_FALSE(reservation.held_by(kYounger));
+  reservation.choose_holder(kBoth, kNow);
+  EXPECT_TRUE(reservation.is_held_by(kOlder));
+  EXPECT_FALSE(reservation.is_held_by(kYounger));
 }
 
 TEST(Reservation, KeepsZoneAndMachinesFromPassToPass) {
   GangReservation reservation;
-  reservation.choose(kBoth, kNow);
+  reservation.choose_holder(kBoth, kNow);
   EXPECT_TRUE(reservation.zone().empty());
-  reservation.plan("a", {kMachine});
-  reservation.choose(kBoth, kNow + Millis(2000));
+  reservation.record_plan("a", {kMachine});
+  reservation.choose_holder(kBoth, kNow + Millis(2000));
   EXPECT_EQ(reservation.zone(), "a");
-  EXPECT_TRUE(reservation.keeps(kMachine));
+  EXPECT_TRUE(reservation.is_machine_kept(kMachine));
 }
 
 // What waits beside a machine with room is not to wait for 90 s: neither behind one holder nor behind several in a row.
 TEST(Reservation, EndsWithItsSpanAndPauses) {
   GangReservation reservation;
-  reservation.choose(kBoth, kNow);
-  reservation.plan("a", {kMachine});
+  reservation.choose_holder(kBoth, kNow);
+  reservation.record_plan("a", {kMachine});
   const Instant ended = kNow + constants::kMaxReservation;
-  reservation.choose(kBoth, ended);
-  EXPECT_FALSE(reservation.held_by(kOlder));
-  EXPECT_FALSE(reservation.held_by(kYounger));
-  EXPECT_FALSE(reservation.keeps(kMachine));
+  reservation.choose_holder(kBoth, ended);
+  EXPECT_FALSE(reservation.is_held_by(kOlder));
+  EXPECT_FALSE(reservation.is_held_by(kYounger));
+  EXPECT_FALSE(reservation.is_machine_kept(kMachine));
   EXPECT_TRUE(reservation.zone().empty());
-  reservation.choose(kBoth, ended + constants::kReservationBackoff - Millis(1));
-  EXPECT_FALSE(reservation.held_by(kOlder));
-  reservation.choose(kBoth, ended + constants::kReservationBackoff);
-  EXPECT_TRUE(reservation.held_by(kOlder));
+  reservation.choose_holder(kBoth, ended + constants::kReservationBackoff - Millis(1));
+  EXPECT_FALSE(reservation.is_held_by(kOlder));
+  reservation.choose_holder(kBoth, ended + constants::kReservationBackoff);
+  EXPECT_TRUE(reservation.is_held_by(kOlder));
 }
 
 TEST(Reservation, PassesOnAfterAPauseWhenTheHolderWaitsNoLonger) {
   GangReservation reservation;
-  reservation.choose(kBoth, kNow);
+  reservation.choose_holder(kBoth, kNow);
   const Instant begun = kNow + Millis(5000);
-  reservation.choose(kOnlyYounger, begun);
-  EXPECT_FALSE(reservation.held_by(kOlder));
-  EXPECT_FALSE(reservation.held_by(kYounger));
-  reservation.choose(kOnlyYounger, begun + constants::kReservationBackoff);
-  EXPECT_TRUE(reservation.held_by(kYounger));
+  reservation.choose_holder(kOnlyYounger, begun);
+  EXPECT_FALSE(reservation.is_held_by(kOlder));
+  EXPECT_FALSE(reservation.is_held_by(kYounger));
+  reservation.choose_holder(kOnlyYounger, begun + constants::kReservationBackoff);
+  EXPECT_TRUE(reservation.is_held_by(kYounger));
 }
 
 TEST(Reservation, IsNobodysWithoutCandidates) {
   GangReservation reservation;
-  reservation.choose({}, kNow);
-  EXPECT_FALSE(reservation.held_by(kOlder));
+  reservation.choose_holder({}, kNow);
+  EXPECT_FALSE(reservation.is_held_by(kOlder));
 }
 
 }  // namespace
--- a/tests/unit/job_requirements_test.cpp
+++ b/tests/unit/job_requirements_test.cpp
@@ -30,20 +30,20 @@
   jobs::Job job;
   job.spec.kind = wire::JobKind::service;
   job.spec.estimate_s = 10;
-  EXPECT_EQ(estimate(job), constants::kPlanHorizon);
+  EXPECT_EQ(booking_duration(job), constants::kPlanHorizon);
 }
 
 TEST(JobRequirements, AShortTaskIsBookedForASecond) {
   jobs::Job job;
   job.spec.estimate_s = 0.2;
-  EXPECT_EQ(estimate(job), Millis(1000));
+  EXPECT_EQ(booking_duration(job), Millis(1000));
   EXPECT_EQ(run_time_beyond_booking(job), Millis(0));
 }
 
 TEST(JobRequirements, ALongTaskRunsBeyondItsBooking) {
   jobs::Job job;
   job.spec.estimate_s = std::chrono::duration<double>(constants::kPlanHorizon).count() + 5;
-  EXPECT_EQ(estimate(job), constants::kPlanHorizon);
+  EXPECT_EQ(booking_duration(job), constants::kPlanHorizon);
   EXPECT_EQ(run_time_beyond_booking(job), Millis(5000));
 }
 
--- a/tests/unit/machine_housekeeper_test.cpp
+++ b/tests/unit/machine_housekeeper_test.cpp
@@ -32,7 +32,7 @@
 TEST_F(Housekeeping, TasksOfAMachineWhoseLeaseHasEndedAreConfirmedTerminated) {
   Job& job = add_job(spec_of("j-000001", 1));
   place(job, 0, machine_);
-  pass(lease_span(cluster_.settings) - Millis(1));
+  pass(agent_lease_timeout(cluster_.settings) - Millis(1));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(job.allocation_count, 1U);
   pass(Millis(1'000));
--- a/tests/unit/scheduling_cycle_test.cpp
+++ b/tests/unit/scheduling_cycle_test.cpp
@@ -61,9 +61,9 @@
   add_job(spec_of("j-000001", 1));
   add_job(spec_of("j-000002", 1));
   EXPECT_FALSE(plan(1));
-  EXPECT_TRUE(cycle_.under_way());
+  EXPECT_TRUE(cycle_.is_pass_in_progress());
   EXPECT_TRUE(plan(1));
-  EXPECT_FALSE(cycle_.under_way());
+  EXPECT_FALSE(cycle_.is_pass_in_progress());
   EXPECT_EQ(counters_.passes, 1U);
   EXPECT_EQ(counters_.portions, 2U);
 }
@@ -93,7 +93,7 @@
   add_machine("m-000002", "b");
   wire::JobSpec spec = spec_of("j-000001", 1);
   spec.zone = "b";
-  const auto places = MachineFilter(cluster_, autoscaler_.demand()).places_for(add_job(spec), now_);
+  const auto places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(add_job(spec), now_);
   ASSERT_EQ(places.size(), 1U);
   EXPECT_EQ(places.front().node->info.id, MachineId("m-000002"));
 }
--- a/tests/unit/scheduling_queue_test.cpp
+++ b/tests/unit/scheduling_queue_test.cpp
@@ -14,7 +14,7 @@
  protected:
   Names order() {
     Names names;
-    for (const Job* job : queue_.order(cluster_, gangs_, demand_, now_)) names.push_back(job->spec.id.text());
+    for (const Job* job : queue_.order_jobs(cluster_, gangs_, demand_, now_)) names.push_back(job->spec.id.text());
     return names;
   }
 
