--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-// An overrunning booking is extended by its estimate; what was booked behind it is planned anew.
-void extend_overrunning(ClusterState& cluster, const Job& job, Instant now) {
+// Extends each booking that ends now although its task is still allocated by the job's booking duration. The pass then
+// replans the bookings that followed it.
+void extend_overrunning_bookings(ClusterState& cluster, const Job& job, Instant now) {
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
       const plan::Booking* booking = cluster.planner.booking(allocation.booking);
@@ -23,15 +24,16 @@
   }
 }
 
-void forget_latest_plan(ClusterState& cluster, Job& job) {
+// Revokes the job's planned bookings and resets the results of the previous pass.
+void clear_previous_plan(ClusterState& cluster, Job& job) {
   revoke_planned_bookings(cluster, job);
   job.planned_start.reset();
   job.late_tasks = 0;
   job.overdue_tasks = 0;
 }
 
-// Counts the tasks in zones that are being left, which will have to start again elsewhere.
-void find_stranded(ClusterState& cluster) {
+// Counts each job's tasks in zones under evacuation; these tasks will have to restart in another zone.
+void count_stranded_tasks(ClusterState& cluster) {
   if (!cluster.settings.operators.zone_evacuation) return;
   for (auto& [unused, job] : cluster.jobs) job.stranded = 0;
   for (const auto& [unused, machine] : cluster.machines) {
@@ -51,19 +53,19 @@
 void SchedulingCycle::begin_pass(const PassContext& context, Instant now) {
   ClusterState& cluster = context.cluster;
   cluster.plan_wanted = false;
-  planned_ = now;
+  last_pass_started_at_ = now;
   ++context.counters.passes;
   cluster.planner.forget_before(now);
   for (auto& [unused, job] : cluster.jobs) {
-    extend_overrunning(cluster, job, now);
-    forget_latest_plan(cluster, job);
+    extend_overrunning_bookings(cluster, job, now);
+    clear_previous_plan(cluster, job);
   }
   context.autoscaler.learn_gpu_demand(cluster, now);
-  find_stranded(cluster);
+  count_stranded_tasks(cluster);
   context.gangs.choose_reservation_holder(cluster, context.autoscaler.demand(), now);
-  pass_.emplace();
+  remaining_jobs_.emplace();
   for (const Job* job : queue_.order_jobs(cluster, context.gangs, context.autoscaler.demand(), now))
-    pass_->push_back(job->spec.id);
+    remaining_jobs_->push_back(job->spec.id);
 }
 
 void SchedulingCycle::end_pass(const PassContext& context, Instant now) {
@@ -77,23 +79,23 @@
 }
 
 void SchedulingCycle::request_periodic_pass(ClusterState& cluster, Instant now) const {
-  if (now - planned_ < constants::kReplanInterval) return;
+  if (now - last_pass_started_at_ < constants::kReplanInterval) return;
   const bool any_pending = std::ranges::any_of(
       cluster.jobs, [](const auto& entry) { return !entry.second.cancelled && entry.second.pending() > 0; });
   if (any_pending) cluster.plan_wanted = true;
 }
 
-bool SchedulingCycle::plan_portion(const PassContext& context, Instant now, std::size_t places_most) {
-  if (!pass_) begin_pass(context, now);
+bool SchedulingCycle::plan_portion(const PassContext& context, Instant now, std::size_t max_places) {
+  if (!remaining_jobs_) begin_pass(context, now);
   ClusterState& cluster = context.cluster;
   JobPlanner planner(cluster, queue_, context.gangs, context.autoscaler, context.deadlines, context.tasks);
   ++context.counters.portions;
   std::size_t places = 0;
-  while (!pass_->empty() && places < places_most) {
-    // Between portions a job may have been withdrawn, and room may have become free: that is planned for in its order
-    // by the next pass, and what is left of this one may use it already.
-    const auto entry = cluster.jobs.find(pass_->front());
-    pass_->pop_front();
+  while (!remaining_jobs_->empty() && places < max_places) {
+    // A job may have been cancelled since the previous portion. Capacity may also have become free: the rest of this pass
+    // may use it, and the next pass plans all jobs for it in queue order.
+    const auto entry = cluster.jobs.find(remaining_jobs_->front());
+    remaining_jobs_->pop_front();
     if (entry == cluster.jobs.end() || entry->second.cancelled) continue;
     Job& job = entry->second;
     if (job.pending() > 0) {
@@ -103,8 +105,8 @@
     if (job.stranded > 0) places += planner.plan_stranded_tasks(job, now);
   }
   context.counters.places_seen += places;
-  if (!pass_->empty()) return false;
-  pass_.reset();
+  if (!remaining_jobs_->empty()) return false;
+  remaining_jobs_.reset();
   end_pass(context, now);
   return true;
 }
--- a/src/control/scheduling_cycle.h
+++ b/src/control/scheduling_cycle.h
@@ -1,9 +1,9 @@
-// The planning pass: revokes what the pass before booked, and plans the waiting jobs in the order of the queue, in portions
-// between which events are taken.
+// The planning pass. A pass revokes the bookings of the previous pass and plans the waiting jobs in queue order. It runs in
+// portions, so that events can be processed between them.
 //
-// Owns the scheduling queue and the pass under way. Given the other modules with each call. Never places or stops a task but
-// through the life cycle of tasks, and asks the cloud for nothing: at the end of a pass the autoscaler works out what is
-// wanted. Pure, with the time passed in; not thread-safe.
+// Owns the scheduling queue and the state of the pass in progress; the other modules are passed in with each call. Tasks are
+// placed and stopped only through TaskLifecycle. Sends no cloud requests: at the end of a pass the autoscaler computes the
+// wanted fleet. Performs no I/O and reads no clock (`now` is passed in). Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +20,7 @@
 
 namespace foxshunt::control {
 
-// What a pass works on; for the length of a call.
+// The modules that a pass uses. Holds references; valid only during the call.
 struct PassContext {
   ClusterState& cluster;
   GangCoordinator& gangs;
@@ -34,27 +34,30 @@
  public:
   [[nodiscard]] SchedulingQueue& queue() { return queue_; }
   [[nodiscard]] const SchedulingQueue& queue() const { return queue_; }
-  // Whether a pass is under way: what it has not come to has no booking.
-  [[nodiscard]] bool is_pass_in_progress() const { return pass_.has_value(); }
-  // When the latest pass began.
-  [[nodiscard]] Instant last_pass_started_at() const { return planned_; }
-  // What was planned so far tells nothing any more.
-  void invalidate_plan() { planned_ = Instant(); }
-  void abort_pass() { pass_.reset(); }
-  // Wants a pass for what waits for the end of a pause, its own or the cloud's, and is not woken by any event.
+  // Whether a pass has begun and has not ended. Jobs that it has not planned yet have no bookings.
+  [[nodiscard]] bool is_pass_in_progress() const { return remaining_jobs_.has_value(); }
+  // When the latest pass began; the epoch if none has begun or its plan was invalidated.
+  [[nodiscard]] Instant last_pass_started_at() const { return last_pass_started_at_; }
+  // Marks the latest plan as outdated: last_pass_started_at() returns the epoch until the next pass begins.
+  void invalidate_plan() { last_pass_started_at_ = Instant(); }
+  // Discards the pass in progress, if there is one.
+  void abort_pass() { remaining_jobs_.reset(); }
+  // Requests a pass if the latest one began at least kReplanInterval ago and tasks are pending. Needed because the end of a
+  // job's or a cloud supply's backoff raises no event.
   void request_periodic_pass(ClusterState& cluster, Instant now) const;
 
-  // Plans what is pending and places what may start now, a portion of it. At least one job is planned, and no more once this
-  // many places were looked at. True when the pass has ended.
-  bool plan_portion(const PassContext& context, Instant now, std::size_t places_most);
+  // Plans a portion of the pending jobs and places the tasks that may start now. Begins a pass if none is in progress. Plans
+  // jobs until at least `max_places` candidate machines were examined, and at least one job if `max_places` is positive.
+  // Returns true when the pass has ended.
+  bool plan_portion(const PassContext& context, Instant now, std::size_t max_places);
 
  private:
   void begin_pass(const PassContext& context, Instant now);
   void end_pass(const PassContext& context, Instant now);
 
   SchedulingQueue queue_;
-  std::optional<std::deque<JobId>> pass_;  // what the pass under way has left to plan
-  Instant planned_;                        // when the latest pass began
+  std::optional<std::deque<JobId>> remaining_jobs_;  // jobs that the pass in progress has still to plan
+  Instant last_pass_started_at_;
 };
 
 }  // namespace foxshunt::control
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// How much later than it was submitted a job counts as submitted: the more it takes, the later, and later still once it
-// has missed what its class is hoped to wait at most.
+// How much later than its real submission a job counts as submitted. The penalty grows with the job's share of the fleet
+// times its booking duration, and with each wait objective of its class that it has missed.
 Millis aging_penalty(const ClusterState& cluster, const Job& job, Instant now) {
   const Amounts fleet = cluster.planner.fleet().capacity();
   double share = 0;
@@ -25,7 +25,7 @@
     share = std::max(share, static_cast<double>(job.each.of[r]) * job.spec.tasks / static_cast<double>(fleet.of[r]));
   }
   const Millis work = from_seconds(share * to_seconds(booking_duration(job)) * constants::kAgingPenaltyPerWork);
-  // What was hoped for a job and can't be had any more must not cost those that can still have it.
+  // A job that has missed its objective yields, so that jobs that can still meet theirs are not delayed by it.
   Millis missed{};
   for (const config::Objective& objective : cluster.settings.objectives) {
     if (objective.kind != "wait" || objective.job_class != job.spec.job_class) continue;
@@ -34,34 +34,36 @@
   return work + missed;
 }
 
-aging::WaitingJob waiting_job(const ClusterState& cluster, const DemandEstimator& demand, const Job& job, Instant now) {
+aging::WaitingJob make_waiting_job(const ClusterState& cluster, const DemandEstimator& demand, const Job& job,
+                                   Instant now) {
   return {.submitted = job.submitted,
           .aging_penalty = aging_penalty(cluster, job, now),
           .largest = demand.largest(job.spec.job_class, job.spec.tasks)};
 }
 
-// When the job counts as submitted, in the planning order.
+// The submission time by which the job is ordered, after aging. The holder of the backfill reservation counts as submitted
+// earlier by kLargestHeadStart.
 Instant effective_submission(const ClusterState& cluster, const GangCoordinator& gangs, const DemandEstimator& demand,
                              const Job& job, Instant now) {
   if (gangs.holds_reservation(job.spec.id)) return job.submitted - constants::kLargestHeadStart;
-  return aging::effective_submission(waiting_job(cluster, demand, job, now), now);
+  return aging::effective_submission(make_waiting_job(cluster, demand, job, now), now);
 }
 
 struct QueueEntry {
   Job* job;
   bool borrowed;
-  Instant since;
+  Instant queued_since;  // effective submission time
 };
 
-// A team's jobs in the order in which they use up its guarantee: urgent work first.
+// Sorts a team's jobs in the order in which they use up its guarantee: by priority, then by submission.
 void sort_for_guarantee(std::vector<Job*>& jobs) {
   std::ranges::sort(jobs, {}, [](const Job* job) {
     return std::tuple(-static_cast<int>(job->spec.priority), job->submitted, job->spec.id);
   });
 }
 
-// Marks which of the team's jobs fit its guarantee. `team` may be null: nothing is guaranteed to a team that no setting
-// names.
+// Sets Job::borrowed of a team's jobs: whether they exceed the team's guarantee. `team` is null for a team that the settings
+// do not define; such a team has no guarantee.
 void mark_borrowed(const std::vector<Job*>& jobs, const config::Team* team) {
   double cpus = 0;
   double gpus = 0;
@@ -75,25 +77,28 @@
 
 }  // namespace
 
-// What fits a team's guarantee goes before what is borrowed; then by priority.
+// Jobs within their team's guarantee go before jobs that borrow; each group is ordered by priority, then by effective
+// submission time.
 std::vector<Job*> SchedulingQueue::order_jobs(ClusterState& cluster, const GangCoordinator& gangs,
                                               const DemandEstimator& demand, Instant now) {
-  std::map<std::string, std::vector<Job*>> by_team;
+  std::map<std::string, std::vector<Job*>> jobs_by_team;
   for (auto& [unused, job] : cluster.jobs) {
-    if (!job.cancelled) by_team[job.spec.team].push_back(&job);
+    if (!job.cancelled) jobs_by_team[job.spec.team].push_back(&job);
   }
   std::vector<QueueEntry> queue;
-  for (auto& [team_name, jobs] : by_team) {
+  for (auto& [team_name, jobs] : jobs_by_team) {
     sort_for_guarantee(jobs);
     mark_borrowed(jobs, cluster.settings.team(team_name));
     for (Job* job : jobs) {
       if ((job->pending() == 0 && job->stranded == 0) || job->not_before > now) continue;
-      queue.push_back(
-          {.job = job, .borrowed = job->borrowed, .since = effective_submission(cluster, gangs, demand, *job, now)});
+      queue.push_back({.job = job,
+                       .borrowed = job->borrowed,
+                       .queued_since = effective_submission(cluster, gangs, demand, *job, now)});
     }
   }
   std::ranges::sort(queue, {}, [](const QueueEntry& entry) {
-    return std::tuple(entry.borrowed, -static_cast<int>(entry.job->spec.priority), entry.since, entry.job->spec.id);
+    return std::tuple(entry.borrowed, -static_cast<int>(entry.job->spec.priority), entry.queued_since,
+                      entry.job->spec.id);
   });
   std::vector<Job*> jobs;
   jobs.reserve(queue.size());
@@ -114,38 +119,41 @@
                           .cancelled = job.cancelled});
   }
   ranking_.begin(std::move(candidates), cluster.settings.teams, now);
-  // Jobs of no class keep the order that they had among themselves, in the places that such jobs have.
-  using Room = std::tuple<bool, std::uint32_t, wire::Priority>;
-  const auto room_of = [](const classes::Rank& rank) { return Room(rank.borrowed, rank.standing, rank.priority); };
-  std::map<Room, std::deque<Job*>> unclassed;
-  std::map<JobId, Job*> planned;
+  // The ranking decides which positions jobs without a class take. Among themselves they keep their order by aging.
+  using RankGroup = std::tuple<bool, std::uint32_t, wire::Priority>;
+  const auto rank_group_of = [](const classes::Rank& rank) {
+    return RankGroup(rank.borrowed, rank.standing, rank.priority);
+  };
+  std::map<RankGroup, std::deque<Job*>> unclassified;
+  std::map<JobId, Job*> queued_jobs;
   for (Job* job : jobs) {
     const classes::Rank& rank = *ranking_.find(job->spec.id);
-    planned.emplace(job->spec.id, job);
-    if (!rank.of) unclassed[room_of(rank)].push_back(job);
+    queued_jobs.emplace(job->spec.id, job);
+    if (!rank.of) unclassified[rank_group_of(rank)].push_back(job);
   }
   std::vector<Job*> ordered;
   for (const classes::Rank& rank : ranking_.order()) {
     cluster.jobs.at(rank.job).borrowed = rank.borrowed;
-    const auto job = planned.find(rank.job);
-    if (job == planned.end()) continue;
+    const auto job = queued_jobs.find(rank.job);
+    if (job == queued_jobs.end()) continue;
     if (rank.of) {
       ordered.push_back(job->second);
       continue;
     }
-    std::deque<Job*>& next = unclassed.at(room_of(rank));
+    std::deque<Job*>& next = unclassified.at(rank_group_of(rank));
     ordered.push_back(next.front());
     next.pop_front();
   }
   jobs = std::move(ordered);
 }
 
-bool SchedulingQueue::is_protected_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const {
-  if (ranking_.find(runs.spec.id) == nullptr) return false;
-  if (!ranking_.goes_first(asks.spec.id, runs.spec.id)) return true;
+bool SchedulingQueue::is_protected_by_rank(const Job& running_job, const preempt::Victim& victim,
+                                           const Job& preempting_job) const {
+  if (ranking_.find(running_job.spec.id) == nullptr) return false;
+  if (!ranking_.goes_first(preempting_job.spec.id, running_job.spec.id)) return true;
   return std::ranges::any_of(ranking_.lacking(), [&](const classes::Rank* rank) {
     preempt::Victim seen{.priority = victim.priority, .borrowed = victim.borrowed};
-    seen.same_team = rank->team == runs.spec.team;
+    seen.same_team = rank->team == running_job.spec.team;
     return !preempt::entitled({.priority = rank->priority, .guaranteed = !rank->borrowed}, seen);
   });
 }
--- a/src/control/scheduling_queue.h
+++ b/src/control/scheduling_queue.h
@@ -1,9 +1,9 @@
-// The order in which waiting jobs are planned: by guaranteed shares, priorities and aging, and by the catalog's classes where
-// there are any.
+// The order in which waiting jobs are planned: by team guarantees, priorities and aging, and by job classes if the catalog
+// defines any.
 //
-// Owns the ranking by classes, which lasts from one pass to the next. Given the cluster state with each call; it marks in each
-// job there whether it is over its team's guaranteed share, and changes nothing else. Never plans, places or stops anything.
-// Pure, with the time passed in; not thread-safe.
+// Owns the ranking by class, which is kept from one pass to the next. The cluster state is passed in with each call; only
+// Job::borrowed is changed there. Plans, places and stops nothing. Performs no I/O and reads no clock (`now` is passed in).
+// Not thread-safe.
 #pragma once
 
 #include <vector>
@@ -21,15 +21,18 @@
   [[nodiscard]] classes::Ranking& ranking() { return ranking_; }
   [[nodiscard]] const classes::Ranking& ranking() const { return ranking_; }
 
-  // The jobs that wait, first the one that is planned first. Begins a new ranking.
+  // Returns the jobs that have pending or stranded tasks and are not in backoff, in planning order. Updates Job::borrowed of
+  // all active jobs, and starts a new ranking if classes are in force.
   [[nodiscard]] std::vector<Job*> order_jobs(ClusterState& cluster, const GangCoordinator& gangs,
                                              const DemandEstimator& demand, Instant now);
-  // Whether the room that running work would make is not the asking job's: the work would be ranked before it when it
-  // waits again, or what is ranked before it would take the room without being entitled to.
-  [[nodiscard]] bool is_protected_by_rank(const Job& runs, const preempt::Victim& victim, const Job& asks) const;
+  // Whether the class ranking forbids stopping `victim`, a part of `running_job`, to make room for `preempting_job`. That is
+  // so if the victim's job would be ranked before the preempting job once it waits again, or if a job that lacks room and
+  // may not preempt the victim itself would take the freed room. False if `running_job` is not ranked.
+  [[nodiscard]] bool is_protected_by_rank(const Job& running_job, const preempt::Victim& victim,
+                                          const Job& preempting_job) const;
 
  private:
-  // The same jobs in the order of their classes.
+  // Starts a new ranking over all jobs and reorders `jobs` by it. Job::borrowed is set as the ranking has it.
   void order_jobs_by_class(ClusterState& cluster, std::vector<Job*>& jobs, Instant now);
 
   classes::Ranking ranking_;
--- a/tests/unit/scheduling_cycle_test.cpp
+++ b/tests/unit/scheduling_cycle_test.cpp
@@ -8,9 +8,9 @@
 namespace foxshunt::control {
 namespace {
 
-class Cycle : public ClusterFixture {
+class SchedulingCycleTest : public ClusterFixture {
  protected:
-  Cycle() : leadership_(Millis(30'000)), tasks_(cluster_, leadership_) {
+  SchedulingCycleTest() : leadership_(Millis(30'000)), tasks_(cluster_, leadership_) {
     leadership_.begin(Term(7), Revision(1), now_);
     confirm();
   }
@@ -20,8 +20,8 @@
     leadership_.on_records_confirmed(now_, cluster_.jobs);
   }
 
-  bool plan(std::size_t places_most = SIZE_MAX) {
-    return cycle_.plan_portion({cluster_, gangs_, autoscaler_, deadlines_, tasks_, counters_}, now_, places_most);
+  bool plan(std::size_t max_places = SIZE_MAX) {
+    return cycle_.plan_portion({cluster_, gangs_, autoscaler_, deadlines_, tasks_, counters_}, now_, max_places);
   }
 
   Leadership leadership_;
@@ -33,7 +33,7 @@
   SchedulingCycle cycle_;
 };
 
-TEST_F(Cycle, PlacesWhatHasRoomAndBooksTheRestAhead) {
+TEST_F(SchedulingCycleTest, PlacesTasksThatFitAndBooksTheRestLater) {
   add_machine("m-000001");  // room for four
   Job& job = add_job(spec_of("j-000001", 6));
   EXPECT_TRUE(plan());
@@ -43,20 +43,20 @@
   EXPECT_EQ(job.late_tasks, 2U);
 }
 
-TEST_F(Cycle, PlacesNothingWhileNothingMayStart) {
+TEST_F(SchedulingCycleTest, PlacesNothingAfterTheLeaderLeaseExpired) {
   now_ += constants::kLeaderLeaseTtl;
   add_machine("m-000001");
   Job& job = add_job(spec_of("j-000001", 2));
   EXPECT_TRUE(plan());
   EXPECT_EQ(job.allocation_count, 0U);
-  EXPECT_TRUE(job.booked.empty());  // it has room now, so that no place is booked for later
+  EXPECT_TRUE(job.booked.empty());  // the tasks fit now, so that no later start is booked
   EXPECT_EQ(job.late_tasks, 0U);
   confirm();
   EXPECT_TRUE(plan());
   EXPECT_EQ(job.allocation_count, 2U);
 }
 
-TEST_F(Cycle, IsUnderWayBetweenPortions) {
+TEST_F(SchedulingCycleTest, PassIsInProgressBetweenPortions) {
   add_machine("m-000001");
   add_job(spec_of("j-000001", 1));
   add_job(spec_of("j-000002", 1));
@@ -68,7 +68,7 @@
   EXPECT_EQ(counters_.portions, 2U);
 }
 
-TEST_F(Cycle, PlacesAGangAsAWholeOrNotAtAll) {
+TEST_F(SchedulingCycleTest, PlacesAGangAsAWholeOrNotAtAll) {
   add_machine("m-000001");  // room for four
   Job& gang = add_job(spec_of("j-000001", 5, wire::JobKind::gang));
   EXPECT_TRUE(plan());
@@ -79,7 +79,7 @@
   EXPECT_EQ(gang.allocation_count, 5U);
 }
 
-TEST_F(Cycle, APassRevokesTheBookingsOfThePassBefore) {
+TEST_F(SchedulingCycleTest, RevokesTheBookingsOfThePreviousPass) {
   add_machine("m-000001");
   add_job(spec_of("j-000001", 6));
   plan();
@@ -88,7 +88,7 @@
   EXPECT_EQ(cluster_.planner.bookings(), bookings);
 }
 
-TEST_F(Cycle, AJobMayOnlyBePlannedOnMachinesOfItsZone) {
+TEST_F(SchedulingCycleTest, OffersOnlyMachinesOfTheJobsZone) {
   add_machine("m-000001", "a");
   add_machine("m-000002", "b");
   wire::JobSpec spec = spec_of("j-000001", 1);
