--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -100,7 +100,7 @@
   for (const Job* job : queue) {
     std::uint32_t late = std::max(job->late_tasks, job->overdue_tasks);
     // Does not rent for more tasks than the team's quota lets run at once.
-    while (late > 0 && !quota_for(cluster, *job, late)) --late;
+    while (late > 0 && !team_has_quota(cluster, *job, late)) --late;
     if (late == 0) continue;
     const auto offer = offer_for_late_tasks(offers, cluster, *job, deadlines, late, now);
     if (offer) shares[offer->kind] += static_cast<double>(late) / static_cast<double>(offer->tasks_per_machine);
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 Controller::Controller(config::Settings settings)
-    : cluster_(std::move(settings)), leadership_(fence_span(cluster_.settings)) {}
+    : cluster_(std::move(settings)), leadership_(fencing_timeout(cluster_.settings)) {}
 
 Controller Controller::copy() const {
   Controller result = *this;
@@ -131,7 +131,7 @@
 
 bool Controller::plan_portion(Instant now, std::size_t max_examined_machines) {
   if (!leadership_.is_leader()) {
-    scheduling_cycle_.abandon();
+    scheduling_cycle_.abort_pass();
     return true;
   }
   TaskLifecycle lifecycle = task_lifecycle();
@@ -154,20 +154,21 @@
 void Controller::on_due_jobs(foresight::DueJobs dues) {
   if (deadline_planner_.on_due_jobs(std::move(dues))) {
     cluster_.needs_planning = true;  // deadlines affect the job order
-    scheduling_cycle_.outdate();     // the previous plan did not consider these deadlines
+    scheduling_cycle_.invalidate_plan();     // the previous plan did not consider these deadlines
   }
-  scheduling_cycle_.queue().ranking().on_slack(deadline_planner_.slack());
+  scheduling_cycle_.queue().ranking().on_slack(deadline_planner_.slack_steps());
 }
 
 std::map<JobId, foresight::DeadlineForecast> Controller::deadline_forecasts(Instant now) const {
   // A forecast requires a complete pass over all machines. A new leader does not know all machines before their agents
   // have had time to report, directly or through another controller.
-  if (!leadership_.is_leader() || scheduling_cycle_.under_way() ||
-      scheduling_cycle_.planned_at() < leadership_.term_started() + detour_span(cluster_.settings))
+  if (!leadership_.is_leader() || scheduling_cycle_.is_pass_in_progress() ||
+      scheduling_cycle_.last_pass_started_at() < leadership_.term_started() + heartbeat_reroute_timeout(cluster_.settings))
     return {};
   return deadline_planner_.deadline_forecasts(
       {cluster_, autoscaler_.demand(), autoscaler_.capacity(), scheduling_cycle_.queue().ranking()},
-      scheduling_cycle_.planned_at(), now);
+      scheduling_cycle_.last_pass_started_at(),
+      now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -159,9 +159,9 @@
   bool plan_portion(Instant now, std::size_t max_examined_machines);
   // Runs portions up to the end of a pass.
   void plan_pass(Instant now);
-  [[nodiscard]] bool needs_planning() const { return cluster_.needs_planning || scheduling_cycle_.under_way(); }
+  [[nodiscard]] bool needs_planning() const { return cluster_.needs_planning || scheduling_cycle_.is_pass_in_progress(); }
   // Returns whether a pass is in progress. Jobs that the pass has not reached yet have no booking.
-  [[nodiscard]] bool is_planning() const { return scheduling_cycle_.under_way(); }
+  [[nodiscard]] bool is_planning() const { return scheduling_cycle_.is_pass_in_progress(); }
   // Returns whether machines are to be rented or returned.
   [[nodiscard]] bool needs_scaling() const;
   [[nodiscard]] bool has_pending_writes() const { return cluster_.jobs.writes_wanted(); }
--- a/src/control/controller_explain.cpp
+++ b/src/control/controller_explain.cpp
@@ -26,7 +26,8 @@
       default: ++summary.machines_leaving; break;
     }
   }
-  summary.fence_remaining = std::max(Millis(0), leadership_.last_confirmed() + fence_span(cluster_.settings) - now);
+  summary.fence_remaining =
+      std::max(Millis(0), leadership_.last_confirmed() + fencing_timeout(cluster_.settings) - now);
   return summary;
 }
 
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -85,7 +85,7 @@
   if (!leadership_.is_leader()) return;
   if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no agent can reach this node", now);
   cluster_.planner.forget_before(now);
-  scheduling_cycle_.request_overdue_pass(cluster_, now);
+  scheduling_cycle_.request_periodic_pass(cluster_, now);
   cluster_.delegations.forget_before(now);
   ZoneCoordinator zones = zone_coordinator();
   zones.drain_zones_out_of_service();
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -99,7 +99,7 @@
                                                 .team = job.spec.team,
                                                 .amounts = job.each,
                                                 .start = now,
-                                                .stop = now + estimate(job)});
+                                                .stop = now + booking_duration(job)});
   }
 }
 
--- a/src/control/leadership.h
+++ b/src/control/leadership.h
@@ -21,7 +21,7 @@
 class Leadership {
  public:
   Leadership() = default;
-  // `fence`: how long after last_confirmed() this leader may still renew agents' leases, see fence_span().
+  // `fence`: how long after last_confirmed() this leader may still renew agents' leases, see fencing_timeout().
   explicit Leadership(plan::Millis fence) : fence_(fence) {}
 
   // Starts leading in `term`. `term_revision`: the revision at which the state service stores the record of that term.
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -35,7 +35,7 @@
     return ReviewResult::returning;
   }
   // A machine whose lease has expired is returned only two lease times after its last heartbeat.
-  if (machine.expired && !zone_awaited && now - machine.last_heartbeat > lease_span(cluster_.settings) * 2) {
+  if (machine.expired && !zone_awaited && now - machine.last_heartbeat > agent_lease_timeout(cluster_.settings) * 2) {
     machine.state = MachineState::returning;
     if (machine.why.empty()) machine.why = "no heartbeats received";
     return ReviewResult::returning;
@@ -73,7 +73,7 @@
   // A new leader may learn of a running machine from the cloud's list before the agent's first heartbeat. Such a
   // machine must not count as a lost boot, so agents get time to find the new leader.
   const Millis boot = cluster_.boot_duration(machine.type);
-  const Millis lease_time = lease_span(cluster_.settings);
+  const Millis lease_time = agent_lease_timeout(cluster_.settings);
   const Millis known_for = now - machine.known;
   if (machine.listed.running || machine.hinted == inventory::Hinted::up) return known_for > lease_time * 2 + boot;
   const bool type_known = cluster_.find_machine_type(machine.type) != nullptr;
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -151,7 +151,7 @@
   allocation.running_since = std::min(now, allocation.told_began.value_or(now));
   cluster_.pools.began({job.spec.id, index}, job.spec, now - allocation.placed);
   cluster_.planner.revoke(allocation.booking);
-  Millis remaining = estimate(job);
+  Millis remaining = booking_duration(job);
   if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
     remaining = std::max(remaining - saved->second, constants::kStartTimeout);
   }
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -37,7 +37,7 @@
     if (!machine_zone.empty() && machine_zone != zone) continue;
     if (has_tasks_to_stop(machine) ||
         (cluster_.machines.silent(machine, now) &&
-         !cluster_.delegations.used_within(zone, id, silence_span(cluster_.settings), now)))
+         !cluster_.delegations.used_within(zone, id, heartbeat_silence_timeout(cluster_.settings), now)))
       excluded.push_back(id);
   }
   return excluded;
--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -101,8 +101,9 @@
   const Term term = view.record.term.next();
   // What this lead is confirmed by is asked for now: a node that stands still after the answer leads no longer for it.
   const plan::Instant asked = now();
-  const std::int64_t until = state::older_leaders_until(view, wall_ms(), control::fence_span(context_.settings).count(),
-                                                        static_cast<std::int64_t>(context_.settings.skew_ms));
+  const std::int64_t until =
+      state::older_leaders_until(view, wall_ms(), control::fencing_timeout(context_.settings).count(),
+                                 static_cast<std::int64_t>(context_.settings.skew_ms));
   kv::TxnResult result = client_.txn(state::acquire_leadership_txn(view, self, lease_, until), store_call_deadline());
   if (result.answer == Answer::none) {
     const auto there = read_leadership();
@@ -218,7 +219,7 @@
       .older_leaders_until = older_leaders_until,
       .min_older_leaders_until =
           first_leader ? plan::Instant{}
-                       : acquired.asked + control::fence_span(context_.settings) - constants::kClockRounding};
+                       : acquired.asked + control::fencing_timeout(context_.settings) - constants::kClockRounding};
   const auto missing = control::first_unmet_condition(found, at);
   if (!missing) return true;
   spdlog::warn("failover_given_up term={} check={}", acquired.term.number(), *missing);
--- a/tests/unit/machine_housekeeper_test.cpp
+++ b/tests/unit/machine_housekeeper_test.cpp
@@ -33,7 +33,7 @@
 TEST_F(MachineHousekeeperTest, ConfirmsTerminationOfTasksAfterLeaseExpiry) {
   Job& job = add_job(spec_of("j-000001", 1));
   place(job, 0, machine_);
-  advance_time(lease_span(cluster_.settings) - Millis(1));
+  advance_time(agent_lease_timeout(cluster_.settings) - Millis(1));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(job.allocation_count, 1U);
   advance_time(Millis(1'000));
