--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -17,51 +17,57 @@
 
 namespace {
 
+// How long placed members wait at the start barrier for replacements: a quarter of `gang_wait_s`, at most
+// kGangBarrierTimeout.
 Millis barrier_timeout(const config::Settings& settings) {
   return from_seconds(std::min(settings.gang_wait_s / 4, to_seconds(constants::kGangBarrierTimeout)));
 }
 
-// How long until the machine has the job's image, if the task is placed there now.
-Millis image_wait(const ClusterState& cluster, const Job& job, const Machine& machine) {
+// How long the machine takes to fetch the job's image if a task is placed there now; zero if it holds the image.
+Millis image_fetch_time(const ClusterState& cluster, const Job& job, const Machine& machine) {
   return machine.images.contains(job.spec.image) ? Millis(0) : cluster.fetch_time(job.spec, machine.type);
 }
 
-// How long until the placed task has its image, by the machine type's rate and by what was reported; never nothing
-// while it is known to fetch.
-Millis image_left(const ClusterState& cluster, const Job& job, const Allocation& allocation, Instant now) {
+// How long the placed task will still fetch its image, by the machine type's fetch rate and the task's reported state.
+// Never zero while the task is reported as fetching.
+Millis remaining_fetch_time(const ClusterState& cluster, const Job& job, const Allocation& allocation, Instant now) {
   const auto machine = cluster.machines.find(allocation.machine);
   if (machine == cluster.machines.end()) return Millis(0);
-  const bool told = allocation.seen && *allocation.seen == wire::TaskState::fetching;
-  if (!told && (allocation.seen || machine->second.images.contains(job.spec.image))) return Millis(0);
-  const Millis passed = std::max(Millis(0), now - allocation.placed);
-  const Millis whole = cluster.fetch_time(job.spec, machine->second.type);
-  // One that is overdue takes as much longer as it has shown already.
-  return std::max({whole - passed, passed / constants::kFetchOverdueDivisor, told ? constants::kTick : Millis(0)});
+  const bool reported_fetching = allocation.seen && *allocation.seen == wire::TaskState::fetching;
+  if (!reported_fetching && (allocation.seen || machine->second.images.contains(job.spec.image))) return Millis(0);
+  const Millis elapsed = std::max(Millis(0), now - allocation.placed);
+  const Millis expected_total = cluster.fetch_time(job.spec, machine->second.type);
+  // An overdue fetch is expected to take a further 1/kFetchOverdueDivisor of the time that it has taken.
+  return std::max({expected_total - elapsed, elapsed / constants::kFetchOverdueDivisor,
+                   reported_fetching ? constants::kTick : Millis(0)});
 }
 
-// Whether the placed tasks of a gang fetch still, and not for longer than is to be believed.
-bool fetches(const ClusterState& cluster, const Job& job, Instant now) {
+// Whether a placed task of the gang still fetches its image within the time that a fetch may plausibly take.
+bool is_fetching_image(const ClusterState& cluster, const Job& job, Instant now) {
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
       const auto machine = cluster.machines.find(allocation.machine);
-      if (machine == cluster.machines.end() || image_left(cluster, job, allocation, now) == Millis(0)) continue;
-      const Millis most = cluster.fetch_time(job.spec, machine->second.type) * constants::kFetchDoubtFactor;
-      if (now - allocation.placed < most + from_seconds(cluster.settings.gang_wait_s)) return true;
+      if (machine == cluster.machines.end() || remaining_fetch_time(cluster, job, allocation, now) == Millis(0))
+        continue;
+      const Millis max_fetch_time = cluster.fetch_time(job.spec, machine->second.type) * constants::kFetchDoubtFactor;
+      if (now - allocation.placed < max_fetch_time + from_seconds(cluster.settings.gang_wait_s)) return true;
     }
   }
   return false;
 }
 
-// Gangs that have waited long enough for a backfill reservation and that their team's limit does not hold back.
+// The gangs that may get the backfill reservation: among the largest of their class, without placed tasks, waiting for
+// at least kReservationAfter, and not held back by their team's quota.
 std::vector<GangReservation::Candidate> reservation_candidates(const ClusterState& cluster,
                                                                const DemandEstimator& demand, Instant now) {
   std::vector<GangReservation::Candidate> candidates;
   for (const auto& [id, job] : cluster.jobs) {
-    const bool waits_whole = job.allocation_count == 0 && job.pending() > 0 && !job.cancelled && job.not_before <= now;
-    if (!is_gang(job) || !waits_whole) continue;
+    const bool waits_unplaced =
+        job.allocation_count == 0 && job.pending() > 0 && !job.cancelled && job.not_before <= now;
+    if (!is_gang(job) || !waits_unplaced) continue;
     if (now - job.submitted < constants::kReservationAfter) continue;
     if (!demand.largest(job.spec.job_class, job.spec.tasks)) continue;
-    // At its team's limit no machine would help it.
+    // A gang that exceeds its team's quota could not start on reserved machines either.
     if (team_has_quota(cluster, job, job.pending())) candidates.push_back({.job = id, .submitted = job.submitted});
   }
   return candidates;
@@ -77,7 +83,7 @@
            return std::ranges::all_of(shard.allocations, [](const auto& entry) {
              const Allocation& allocation = entry.second;
              if (allocation.stopping) return false;
-             // What an earlier leader placed may have begun long ago.
+             // A task that an earlier leader placed may have started already.
              if (!allocation.seen) return !allocation.adopted;
              return *allocation.seen == TaskState::fetching || *allocation.seen == TaskState::waiting;
            });
@@ -87,14 +93,15 @@
 void GangCoordinator::hold_start_barrier(ClusterState& cluster, Job& job, Instant now) {
   if (!job.gather_until) {
     job.gather_until = now + barrier_timeout(cluster.settings);
-    spdlog::info("job {}: its gang lost a task before its start, another one is to join", job.spec.id.text());
+    spdlog::info("gang member lost before the start, will be replaced job={}", job.spec.id.text());
   }
   cluster.plan_wanted = true;
 }
 
-// PROTOCOL, "Gangs": while the gang has not started the rest keep waiting, and a replacement with the same attempt number
-// completes it. Ending the attempt instead costs all the others their places and image fetches. If it has started after all
-// the others tell so by `mates_gone`, and the attempt ends as always.
+// PROTOCOL, "Gangs": before the gang has started, the remaining members keep waiting, and a replacement with the same
+// attempt number completes the gang. Ending the attempt instead would discard the placements and image fetches of all
+// other members. If the gang had started after all, the other members report `mates_gone`, and the attempt ends as
+// usual.
 bool GangCoordinator::handle_member_loss(ClusterState& cluster, Job& job, bool had_run, Instant now) {
   if (had_run || job.cancelled || !is_waiting_at_barrier(job)) return false;
   hold_start_barrier(cluster, job, now);
@@ -103,44 +110,45 @@
 
 MissingMemberAction GangCoordinator::choose_missing_member_action(const ClusterState& cluster, Job& job, Instant now) {
   if (!job.gather_until || !is_waiting_at_barrier(job)) return MissingMemberAction::none;
-  // Those that fetch don't give up yet: the rest has until some time after they are there.
-  if (fetches(cluster, job, now)) {
+  // Members that fetch their image have not begun to wait for the others: the timeout runs from the end of the fetches.
+  if (is_fetching_image(cluster, job, now)) {
     job.gather_until = std::max(*job.gather_until, now + barrier_timeout(cluster.settings));
   }
   return now <= *job.gather_until ? MissingMemberAction::replace : MissingMemberAction::end_attempt;
 }
 
-// PROTOCOL: a task that has its image gives up after `gang_wait_s` if the others have not theirs, and begins again only as
-// another attempt; when the attempt is ended, the fetches of the others are given up. So those that would wait for too
-// long are placed when the others are nearly there: a gang whose fetches differ by more would never begin. A task is
-// never started twice with the same attempt on the same machine, since an old report could then tell of either.
+// PROTOCOL: a task that has its image gives up after `gang_wait_s` if other members do not have theirs, and can start
+// again only in a new attempt; ending the attempt aborts the fetches of the other members. A gang whose fetch times
+// differ by more than `gang_wait_s` would therefore never start if all members were placed at once. So members with
+// short fetches are placed when the long fetches are nearly complete. A task is never started twice with the same
+// attempt number on the same machine, because a late report could then refer to either run.
 std::vector<plan::Placing> GangCoordinator::select_members_to_place(ClusterState& cluster, Job& job,
                                                                     const std::vector<plan::Placing>& placings,
                                                                     Instant now) {
-  Millis last{};
-  Millis first = Millis::max();
+  Millis longest_fetch{};
+  Millis shortest_fetch = Millis::max();
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations)
-      last = std::max(last, image_left(cluster, job, allocation, now));
+      longest_fetch = std::max(longest_fetch, remaining_fetch_time(cluster, job, allocation, now));
   }
   for (const plan::Placing& placing : placings) {
-    const Millis wait = image_wait(cluster, job, cluster.machines.at(placing.machine));
-    last = std::max(last, wait);
-    first = std::min(first, wait);
+    const Millis wait = image_fetch_time(cluster, job, cluster.machines.at(placing.machine));
+    longest_fetch = std::max(longest_fetch, wait);
+    shortest_fetch = std::min(shortest_fetch, wait);
   }
-  if (last - first > from_seconds(cluster.settings.gang_wait_s) / constants::kGangFetchSpreadDivisor)
+  if (longest_fetch - shortest_fetch > from_seconds(cluster.settings.gang_wait_s) / constants::kGangFetchSpreadDivisor)
     job.in_stages = true;
   if (!job.in_stages) return placings;
   std::vector<plan::Placing> due;
   for (const plan::Placing& placing : placings) {
-    if (image_wait(cluster, job, cluster.machines.at(placing.machine)) >= last) {
+    if (image_fetch_time(cluster, job, cluster.machines.at(placing.machine)) >= longest_fetch) {
       due.push_back(placing);
     } else {
       book_planned_tasks(cluster, job, placing);
     }
   }
   if (due.size() < placings.size() && !job.gather_until)
-    job.gather_until = now + last + barrier_timeout(cluster.settings);
+    job.gather_until = now + longest_fetch + barrier_timeout(cluster.settings);
   return due;
 }
 
@@ -156,14 +164,14 @@
   for (plan::Place& place : request.places) place.preferred = reservation_.is_machine_kept(place.node->info.id);
   std::vector<plan::Placing> placings = planner.plan(request);
   if (!request.one_zone || placings.empty() || reservation_.zone().empty()) return placings;
-  // What was kept so far would go to others if it moved to the zone that looks best by the estimates of the moment. It moves
-  // only where it can start at once.
+  // Moving to the zone with the earliest estimated start would release the machines that are kept free in the reserved
+  // zone. The gang moves only if it can start at once.
   if (placings.front().start <= request.from) return placings;
-  // Bound to the zone where it is planned already, the same plan would be found again.
+  // If the plan is in the reserved zone already, planning with that zone bound would give the same plan.
   if (planner.node(placings.front().machine)->info.zone == reservation_.zone()) return placings;
   request.zone_bound = reservation_.zone();
-  std::vector<plan::Placing> there = planner.plan(request);
-  return there.empty() ? placings : there;
+  std::vector<plan::Placing> plan_in_reserved_zone = planner.plan(request);
+  return plan_in_reserved_zone.empty() ? placings : plan_in_reserved_zone;
 }
 
 void GangCoordinator::reserve_machines(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings,
@@ -175,7 +183,7 @@
     const plan::Spans free =
         node->use.free_spans(amounts, constants::kTick, std::max(now, node->info.ready), placing.start);
     if (free.empty() || free.back().stop != placing.start) continue;
-    // Its team does not use it yet: others of the team may still reach the team's limit.
+    // Booked without a team: until the gang starts, the machine does not count against the team's quota.
     job.booked.push_back(cluster.planner.book({.machine = placing.machine,
                                                .team = {},
                                                .amounts = amounts,
--- a/src/control/gang_reservation.cpp
+++ b/src/control/gang_reservation.cpp
@@ -10,15 +10,15 @@
 
 void GangReservation::choose_holder(std::span<const Candidate> candidates, plan::Instant now) {
   if (holder_) {
-    const bool waits = std::ranges::find(candidates, *holder_, &Candidate::job) != candidates.end();
-    if (waits && now < until_) return;
-    end(now);
+    const bool is_candidate = std::ranges::find(candidates, *holder_, &Candidate::job) != candidates.end();
+    if (is_candidate && now < held_until_) return;
+    release(now);
   }
-  if (candidates.empty() || now < not_before_) return;
-  const auto first = std::ranges::min_element(
+  if (candidates.empty() || now < next_holder_not_before_) return;
+  const auto oldest = std::ranges::min_element(
       candidates, {}, [](const Candidate& candidate) { return std::tie(candidate.submitted, candidate.job); });
-  holder_ = first->job;
-  until_ = now + constants::kMaxReservation;
+  holder_ = oldest->job;
+  held_until_ = now + constants::kMaxReservation;
 }
 
 void GangReservation::record_plan(std::string zone, std::set<MachineId> machines) {
@@ -26,11 +26,11 @@
   machines_ = std::move(machines);
 }
 
-void GangReservation::end(plan::Instant now) {
+void GangReservation::release(plan::Instant now) {
   holder_.reset();
   zone_.clear();
   machines_.clear();
-  not_before_ = now + constants::kReservationBackoff;
+  next_holder_not_before_ = now + constants::kReservationBackoff;
 }
 
 }  // namespace foxshunt::control
--- a/tests/unit/gang_coordinator_test.cpp
+++ b/tests/unit/gang_coordinator_test.cpp
@@ -8,11 +8,12 @@
 
 using wire::TaskState;
 
-class GangCoordination : public ClusterFixture {
+class GangCoordinatorTest : public ClusterFixture {
  protected:
-  GangCoordination() : job_(add_job(spec_of("j-000001", 3, wire::JobKind::gang))), machine_(add_machine("m-000001")) {}
+  GangCoordinatorTest()
+      : job_(add_job(spec_of("j-000001", 3, wire::JobKind::gang))), machine_(add_machine("m-000001")) {}
 
-  // Two of three members are placed and seen in that state.
+  // Places two of the three members; both are reported in that state.
   void place_two(TaskState state) {
     for (const std::uint32_t index : {0U, 1U}) place(job_, index, machine_).seen = state;
   }
@@ -21,15 +22,15 @@
   Machine& machine_;
 };
 
-TEST_F(GangCoordination, MembersThatWaitOrFetchWaitAtTheBarrier) {
-  EXPECT_FALSE(GangCoordinator::is_waiting_at_barrier(job_));  // none is placed
+TEST_F(GangCoordinatorTest, OnlyUnstartedMembersWaitAtTheBarrier) {
+  EXPECT_FALSE(GangCoordinator::is_waiting_at_barrier(job_));  // no member is placed
   place_two(TaskState::waiting);
   EXPECT_TRUE(GangCoordinator::is_waiting_at_barrier(job_));
   cluster_.jobs.find_allocation({job_.spec.id, 1})->seen = TaskState::running;
   EXPECT_FALSE(GangCoordinator::is_waiting_at_barrier(job_));
 }
 
-TEST_F(GangCoordination, AMemberLostBeforeTheStartIsReplaced) {
+TEST_F(GangCoordinatorTest, AMemberLostBeforeTheStartIsReplaced) {
   place_two(TaskState::waiting);
   EXPECT_TRUE(GangCoordinator::handle_member_loss(cluster_, job_, false, now_));
   EXPECT_TRUE(job_.gather_until.has_value());
@@ -37,13 +38,13 @@
   EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, now_), MissingMemberAction::replace);
 }
 
-TEST_F(GangCoordination, AMemberLostAfterTheStartEndsTheAttempt) {
+TEST_F(GangCoordinatorTest, AMemberLostAfterTheStartEndsTheAttempt) {
   place_two(TaskState::waiting);
   EXPECT_FALSE(GangCoordinator::handle_member_loss(cluster_, job_, true, now_));
   EXPECT_FALSE(job_.gather_until.has_value());
 }
 
-TEST_F(GangCoordination, TheBarrierHoldsForALimitedTime) {
+TEST_F(GangCoordinatorTest, TheAttemptEndsWhenTheBarrierTimesOut) {
   place_two(TaskState::waiting);
   GangCoordinator::hold_start_barrier(cluster_, job_, now_);
   const Instant until = *job_.gather_until;
@@ -52,12 +53,12 @@
             MissingMemberAction::end_attempt);
 }
 
-TEST_F(GangCoordination, WithoutABarrierNothingIsMissing) {
+TEST_F(GangCoordinatorTest, NoActionWithoutABarrier) {
   place_two(TaskState::waiting);
   EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, now_), MissingMemberAction::none);
 }
 
-TEST_F(GangCoordination, AGangThatWaitsLongGetsTheReservationUnlessItsQuotaIsUsedUp) {
+TEST_F(GangCoordinatorTest, ALongWaitingGangGetsTheReservationUnlessItsTeamsQuotaIsUsedUp) {
   GangCoordinator gangs;
   DemandEstimator demand;
   demand.learn(job_.spec, job_.each, job_.submitted);
--- a/tests/unit/gang_reservation_test.cpp
+++ b/tests/unit/gang_reservation_test.cpp
@@ -20,14 +20,14 @@
                        GangReservation::Candidate{.job = kOlder, .submitted = kNow - Millis(120'000)}};
 const std::span<const GangReservation::Candidate> kOnlyYounger(kBoth.data(), 1);
 
-TEST(Reservation, GoesToTheGangThatWasSubmittedFirst) {
+TEST(GangReservationTest, GoesToTheGangThatWasSubmittedFirst) {
   GangReservation reservation;
   reservation.choose_holder(kBoth, kNow);
   EXPECT_TRUE(reservation.is_held_by(kOlder));
   EXPECT_FALSE(reservation.is_held_by(kYounger));
 }
 
-TEST(Reservation, KeepsZoneAndMachinesFromPassToPass) {
+TEST(GangReservationTest, KeepsZoneAndMachinesFromPassToPass) {
   GangReservation reservation;
   reservation.choose_holder(kBoth, kNow);
   EXPECT_TRUE(reservation.zone().empty());
@@ -37,8 +37,9 @@
   EXPECT_TRUE(reservation.is_machine_kept(kMachine));
 }
 
-// What waits beside a machine with room is not to wait for 90 s: neither behind one holder nor behind several in a row.
-TEST(Reservation, EndsWithItsSpanAndPauses) {
+// Other jobs must not wait 90 s while a machine has room for them, neither for one holder nor for several in a row. So
+// a reservation ends after kMaxReservation, and no gang holds one during the backoff.
+TEST(GangReservationTest, EndsAfterItsMaximumDurationAndBacksOff) {
   GangReservation reservation;
   reservation.choose_holder(kBoth, kNow);
   reservation.record_plan("a", {kMachine});
@@ -54,7 +55,7 @@
   EXPECT_TRUE(reservation.is_held_by(kOlder));
 }
 
-TEST(Reservation, PassesOnAfterAPauseWhenTheHolderWaitsNoLonger) {
+TEST(GangReservationTest, GoesToTheNextGangAfterABackoffWhenTheHolderIsNoCandidate) {
   GangReservation reservation;
   reservation.choose_holder(kBoth, kNow);
   const Instant begun = kNow + Millis(5000);
@@ -65,7 +66,7 @@
   EXPECT_TRUE(reservation.is_held_by(kYounger));
 }
 
-TEST(Reservation, IsNobodysWithoutCandidates) {
+TEST(GangReservationTest, HasNoHolderWithoutCandidates) {
   GangReservation reservation;
   reservation.choose_holder({}, kNow);
   EXPECT_FALSE(reservation.is_held_by(kOlder));
