--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -12,25 +12,27 @@
 
 namespace {
 
-std::uint64_t task_count(const plan::Booking& booking, const Job& job) {
+// How many of the job's tasks the booking covers, by its amount of CPU.
+std::uint64_t booked_task_count(const plan::Booking& booking, const Job& job) {
   return static_cast<std::uint64_t>(booking.amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
 }
 
-// How many tasks the places have room for, so early that these end by that time; counted up to `enough`.
-std::int64_t timely_room(const Job& job, const std::vector<plan::Place>& places, Instant by, std::uint32_t enough,
-                         Instant now) {
+// For how many tasks the places have room early enough for the tasks to end by the deadline. Stops counting at
+// `max_count`.
+std::int64_t count_timely_room(const Job& job, const std::vector<plan::Place>& places, Instant deadline,
+                               std::uint32_t max_count, Instant now) {
   std::int64_t room = 0;
   for (const plan::Place& place : places) {
     const Instant from = std::max(now, place.node->info.ready);
-    if (from + place.before + estimated_run_time(job) > by) continue;
+    if (from + place.before + estimated_run_time(job) > deadline) continue;
     room += job.each.count_in(place.node->use.free(from, from + place.before + booking_duration(job)));
-    if (room >= enough) break;
+    if (room >= max_count) break;
   }
   return room;
 }
 
+// When the job's last task is planned to end. Nothing if some task is neither allocated nor booked.
 std::optional<Instant> planned_end(const ClusterState& cluster, const Job& job) {
-  // Tasks that have neither a place nor a booking end at no known time, and the job with them.
   std::uint64_t booked = job.allocation_count;
   Instant end;
   const Millis beyond = run_time_beyond_booking(job);
@@ -38,7 +40,7 @@
     const plan::Booking* found = cluster.planner.booking(booking);
     if (found == nullptr) continue;
     end = std::max(end, found->stop + beyond);
-    booked += task_count(*found, job);
+    booked += booked_task_count(*found, job);
   }
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
@@ -50,78 +52,86 @@
   return end;
 }
 
-std::uint64_t tasks_booked_by(const plan::Planner& planner, const Job& job, Instant by) {
+// How many of the job's tasks have planned bookings with which they end by the deadline.
+std::uint64_t count_tasks_booked_by(const plan::Planner& planner, const Job& job, Instant deadline) {
   std::uint64_t timely = 0;
   for (const plan::BookingId booking : job.booked) {
     const plan::Booking* found = planner.booking(booking);
-    if (found == nullptr || found->stop + run_time_beyond_booking(job) > by) continue;
-    timely += task_count(*found, job);
+    if (found == nullptr || found->stop + run_time_beyond_booking(job) > deadline) continue;
+    timely += booked_task_count(*found, job);
   }
   return timely;
 }
 
-std::optional<foresight::Kind> rentable_kind(const DeadlineContext& view, const Job& job, const wire::MachineType& kind,
-                                             double price_most, const CloudCapacityTracker::Held& have) {
-  const std::int64_t fit = job.each.count_in(TaskPricing(view.cluster, view.demand).offered(job.spec, kind));
+// Describes the machine type for a forecast of the job. Nothing if no task fits it or the job may run on none of its
+// machines. `max_price_per_task`: the hourly price above which no machine is rented even for late work.
+std::optional<foresight::Kind> describe_machine_type(const DeadlineContext& context, const Job& job,
+                                                     const wire::MachineType& kind, double max_price_per_task,
+                                                     const CloudCapacityTracker::Held& held_machines) {
+  const std::int64_t fit = job.each.count_in(TaskPricing(context.cluster, context.demand).offered(job.spec, kind));
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
                         .boot = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
-                        .fetch = view.cluster.fetch_time(job.spec, kind.name),
+                        .fetch = context.cluster.fetch_time(job.spec, kind.name),
                         .fit = static_cast<std::uint64_t>(fit)};
-  bool any = false;
+  bool is_allowed = false;
   for (const std::string& zone : kind.zones) {
     for (const bool spot : {false, true}) {
       if (!is_machine_allowed(job.spec, kind.name, zone, spot)) continue;
-      any = true;
+      is_allowed = true;
       const double hourly = spot ? kind.spot_price : kind.price;
-      if (!view.cluster.counted_on(zone) || hourly > price_most * static_cast<double>(fit)) continue;
-      found.can_scale_out = found.can_scale_out || view.capacity.counted_on({kind.name, zone, spot}, have);
+      if (!context.cluster.counted_on(zone) || hourly > max_price_per_task * static_cast<double>(fit)) continue;
+      found.can_scale_out = found.can_scale_out || context.capacity.counted_on({kind.name, zone, spot}, held_machines);
     }
   }
-  return any ? std::optional(std::move(found)) : std::nullopt;
+  return is_allowed ? std::optional(std::move(found)) : std::nullopt;
 }
 
-foresight::Work work_of(const DeadlineContext& view, const Job& job, Instant by,
-                        const CloudCapacityTracker::Held& have) {
-  foresight::Work work{.by = by, .run = estimated_run_time(job)};
+// Describes the job's pending tasks for a forecast.
+foresight::Work describe_work(const DeadlineContext& context, const Job& job, Instant deadline,
+                              const CloudCapacityTracker::Held& held_machines) {
+  foresight::Work work{.by = deadline, .run = estimated_run_time(job)};
   work.waiting = job.pending();
   work.together = is_gang(job);
-  work.can_scale_out = view.cluster.settings.operators.can_scale_out;
-  work.end = planned_end(view.cluster, job);
-  work.late = work.waiting - std::min(work.waiting, tasks_booked_by(view.cluster.planner, job, by));
-  if (const config::Team* team = view.cluster.settings.team(job.spec.team); team != nullptr) {
-    work.limit = TeamQuota(*team).remaining_tasks(job.each, view.cluster.jobs.team_use(job.spec.team));
+  work.can_scale_out = context.cluster.settings.operators.can_scale_out;
+  work.end = planned_end(context.cluster, job);
+  work.late = work.waiting - std::min(work.waiting, count_tasks_booked_by(context.cluster.planner, job, deadline));
+  if (const config::Team* team = context.cluster.settings.team(job.spec.team); team != nullptr) {
+    work.limit = TeamQuota(*team).remaining_tasks(job.each, context.cluster.jobs.team_use(job.spec.team));
   }
-  if (const classes::Rank* rank = view.ranking.find(job.spec.id); rank != nullptr && view.ranking.on()) {
+  if (const classes::Rank* rank = context.ranking.find(job.spec.id); rank != nullptr && context.ranking.on()) {
     work.capped = rank->capped;
   }
-  const double price_most =
-      TaskPricing(view.cluster, view.demand).lowest_price(job.spec) * constants::kMaxLatePriceFactor;
-  for (const wire::MachineType& kind : view.cluster.types) {
-    if (auto rentable = rentable_kind(view, job, kind, price_most, have)) work.kinds.push_back(std::move(*rentable));
+  const double max_price_per_task =
+      TaskPricing(context.cluster, context.demand).lowest_price(job.spec) * constants::kMaxLatePriceFactor;
+  for (const wire::MachineType& kind : context.cluster.types) {
+    if (auto rentable = describe_machine_type(context, job, kind, max_price_per_task, held_machines))
+      work.kinds.push_back(std::move(*rentable));
   }
   return work;
 }
 
-std::optional<foresight::DeadlineForecast> forecast_of(const DeadlineContext& view, const Job& job, Instant by,
-                                                       const CloudCapacityTracker::Held& have,
-                                                       Instant last_pass_started_at, Instant now) {
-  // A pass books some of a very large array only; the rest is not late for that.
+std::optional<foresight::DeadlineForecast> forecast_job(const DeadlineContext& context, const Job& job,
+                                                        Instant deadline,
+                                                        const CloudCapacityTracker::Held& held_machines,
+                                                        Instant last_pass_started_at, Instant now) {
+  // A pass books only kMaxTasksPlannedPerPass tasks of a very large array. The other tasks are not late because of
+  // that.
   if (job.cancelled || is_service(job) || job.pending() > constants::kMaxTasksPlannedPerPass) return std::nullopt;
-  const auto end = planned_end(view.cluster, job);
-  if (end && *end <= by) return foresight::DeadlineForecast{.end = end};
-  // What came after the latest pass began has no place in it yet.
+  const auto end = planned_end(context.cluster, job);
+  if (end && *end <= deadline) return foresight::DeadlineForecast{.end = end};
+  // A job that was submitted after the latest pass began has not been planned yet.
   if (!end && job.submitted >= last_pass_started_at) return std::nullopt;
-  return foresight::forecast_deadline(work_of(view, job, by, have), now);
+  return foresight::forecast_deadline(describe_work(context, job, deadline, held_machines), now);
 }
 
 }  // namespace
 
-bool DeadlinePlanner::on_due_jobs(foresight::DueJobs dues) {
-  const bool same = std::ranges::equal(dues, due_jobs_, [](const auto& one, const auto& other) {
-    return one.first == other.first && one.second.step == other.second.step;
+bool DeadlinePlanner::on_due_jobs(foresight::DueJobs due_jobs) {
+  const bool same = std::ranges::equal(due_jobs, due_jobs_, [](const auto& left, const auto& right) {
+    return left.first == right.first && left.second.step == right.second.step;
   });
-  due_jobs_ = std::move(dues);
+  due_jobs_ = std::move(due_jobs);
   return !same;
 }
 
@@ -140,38 +150,38 @@
   return ends;
 }
 
-std::map<JobId, foresight::DeadlineForecast> DeadlinePlanner::deadline_forecasts(const DeadlineContext& view,
+std::map<JobId, foresight::DeadlineForecast> DeadlinePlanner::deadline_forecasts(const DeadlineContext& context,
                                                                                  Instant last_pass_started_at,
                                                                                  Instant now) const {
-  std::map<JobId, foresight::DeadlineForecast> deadline_forecasts;
-  if (due_jobs_.empty() || view.cluster.types.empty()) return deadline_forecasts;
-  const CloudCapacityTracker::Held have = view.cluster.machines.held();
+  std::map<JobId, foresight::DeadlineForecast> forecasts;
+  if (due_jobs_.empty() || context.cluster.types.empty()) return forecasts;
+  const CloudCapacityTracker::Held held_machines = context.cluster.machines.held();
   for (const auto& [id, due] : due_jobs_) {
-    const auto entry = view.cluster.jobs.find(id);
-    if (entry == view.cluster.jobs.end()) continue;
-    if (auto forecast = forecast_of(view, entry->second, due.by, have, last_pass_started_at, now)) {
-      deadline_forecasts.emplace_hint(deadline_forecasts.end(), id, std::move(*forecast));
+    const auto entry = context.cluster.jobs.find(id);
+    if (entry == context.cluster.jobs.end()) continue;
+    if (auto forecast = forecast_job(context, entry->second, due.by, held_machines, last_pass_started_at, now)) {
+      forecasts.emplace_hint(forecasts.end(), id, std::move(*forecast));
     }
   }
-  return deadline_forecasts;
+  return forecasts;
 }
 
-std::uint32_t DeadlinePlanner::count_overdue_tasks(const DeadlineContext& view, const Job& job,
+std::uint32_t DeadlinePlanner::count_overdue_tasks(const DeadlineContext& context, const Job& job,
                                                    const std::vector<plan::Placing>& placings,
                                                    const std::vector<plan::Place>& places, Instant now) const {
   const auto due = due_jobs_.find(job.spec.id);
   if (due == due_jobs_.end()) return 0;
-  const Instant by = due->second.by;
+  const Instant deadline = due->second.by;
   std::uint32_t late = 0;
   for (const plan::Placing& placing : placings) {
-    if (placing.stop + run_time_beyond_booking(job) > by) late += placing.count;
+    if (placing.stop + run_time_beyond_booking(job) > deadline) late += placing.count;
   }
   if (late == 0) return 0;
-  const foresight::Work work = work_of(view, job, by, {});
+  const foresight::Work work = describe_work(context, job, deadline, {});
   if (std::ranges::none_of(work.kinds, [&](const auto& kind) { return foresight::in_time(work, kind, now); })) return 0;
-  // Where machines have room for these in time it is something else that lacks, a limit perhaps: renting for it would go
-  // on in each pass, as what is rented stays empty.
-  return timely_room(job, places, by, late, now) >= late ? 0 : late;
+  // If the machines have room for these tasks in time, something else holds them back, such as a quota.
+  // Renting would then be repeated in every pass, because the rented machines would stay empty.
+  return count_timely_room(job, places, deadline, late, now) >= late ? 0 : late;
 }
 
 Millis DeadlinePlanner::max_startup_for_deadline(const Job& job, Instant now) const {
@@ -182,9 +192,10 @@
 
 Millis DeadlinePlanner::scale_out_delay(const Job& job, Instant now) const {
   if (job.spec.deadline_s) {
-    Instant by = job.submitted + from_seconds(*job.spec.deadline_s);
-    if (const auto due = due_jobs_.find(job.spec.id); due != due_jobs_.end()) by = std::min(by, due->second.by);
-    const Instant latest = by - booking_duration(job) * 3 / 2;
+    Instant deadline = job.submitted + from_seconds(*job.spec.deadline_s);
+    if (const auto due = due_jobs_.find(job.spec.id); due != due_jobs_.end())
+      deadline = std::min(deadline, due->second.by);
+    const Instant latest = deadline - booking_duration(job) * 3 / 2;
     return std::max(Millis(0), latest - now);
   }
   return Millis(0);
--- a/src/control/team_quota.cpp
+++ b/src/control/team_quota.cpp
@@ -20,7 +20,7 @@
 std::optional<std::uint64_t> TeamQuota::remaining_tasks(const plan::Amounts& each, const plan::Amounts& used) const {
   std::optional<std::uint64_t> remaining;
   for (std::size_t resource = 0; resource < plan::kResources; ++resource) {
-    // A quota that rounds to nothing is none to a forecast.
+    // A quota that rounds to zero is ignored here, since the result is used in forecasts only.
     if (!limits_[resource] || *limits_[resource] <= 0 || each.of[resource] <= 0) continue;
     const plan::Items left = std::max<plan::Items>(0, *limits_[resource] - used.of[resource]) / each.of[resource];
     remaining = std::min(remaining.value_or(UINT64_MAX), static_cast<std::uint64_t>(left));
--- a/src/control/team_quota.h
+++ b/src/control/team_quota.h
@@ -1,4 +1,4 @@
-// A team's quota of CPUs and GPUs, by the settings: what all of its tasks together may use. Pure.
+// A team's quota from the settings: the CPUs and GPUs that all of its tasks together may use. Performs no I/O.
 #pragma once
 
 #include <array>
@@ -14,14 +14,15 @@
  public:
   explicit TeamQuota(const config::Team& team);
 
-  // Whether the team may use so much at once.
+  // Whether the team may use this much at once.
   [[nodiscard]] bool allows(const plan::Amounts& used) const;
-  // How many tasks more may run beside what is used; nothing if the quota bounds nothing that a task takes.
+  // How many more tasks of size `each` may run in addition to `used`. Nothing if the quota limits no resource that a
+  // task takes.
   [[nodiscard]] std::optional<std::uint64_t> remaining_tasks(const plan::Amounts& each,
                                                              const plan::Amounts& used) const;
 
  private:
-  std::array<std::optional<plan::Items>, plan::kResources> limits_;  // nothing: unlimited
+  std::array<std::optional<plan::Items>, plan::kResources> limits_;  // by resource; nothing: unlimited
 };
 
 }  // namespace foxshunt::control
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -5,9 +5,9 @@
 namespace foxshunt::control {
 namespace {
 
-class DeadlinePlanning : public ClusterFixture {
+class DeadlinePlannerTest : public ClusterFixture {
  protected:
-  DeadlineContext view() const { return {cluster_, demand_, capacity_, ranking_}; }
+  DeadlineContext context() const { return {cluster_, demand_, capacity_, ranking_}; }
   void book(Job& job, const Machine& machine, std::uint32_t tasks, Instant stop) {
     job.booked.push_back(cluster_.planner.book({.machine = machine.id,
                                                 .team = job.spec.team,
@@ -22,7 +22,7 @@
   classes::Ranking ranking_;
 };
 
-TEST_F(DeadlinePlanning, OnlyOtherJobsOrOtherSlackChangeTheOrder) {
+TEST_F(DeadlinePlannerTest, OnlyChangesOfJobsOrSlackStepsAffectTheOrder) {
   const JobId job("j-000001");
   EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.by = now_, .step = 1}}}));
   EXPECT_FALSE(deadlines_.on_due_jobs({{job, {.by = now_ + Millis(5), .step = 1}}}));
@@ -30,40 +30,41 @@
   EXPECT_EQ(deadlines_.slack_steps().at(job), 2);
 }
 
-TEST_F(DeadlinePlanning, AJobBookedInTimeLacksNothing) {
+TEST_F(DeadlinePlannerTest, ForecastsNoShortfallForAJobBookedInTime) {
   Job& job = add_job(spec_of("j-000001", 2));
   book(job, add_machine("m-000001"), 2, now_ + Millis(60'000));
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(100'000), .step = 1}}});
-  const auto forecasts = deadlines_.deadline_forecasts(view(), now_ + Millis(1), now_);
+  const auto forecasts = deadlines_.deadline_forecasts(context(), now_ + Millis(1), now_);
   ASSERT_TRUE(forecasts.contains(job.spec.id));
   EXPECT_EQ(forecasts.at(job.spec.id).lack, foresight::ShortfallReason::nothing);
   EXPECT_EQ(forecasts.at(job.spec.id).end, now_ + Millis(60'000));
 }
 
-TEST_F(DeadlinePlanning, AJobThatRunsLongerThanItsDeadlineLacksTime) {
+TEST_F(DeadlinePlannerTest, ForecastsATimeShortfallForAJobLongerThanItsDeadline) {
   Job& job = add_job(spec_of("j-000001", 2));
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(30'000), .step = 1}}});
-  const auto forecasts = deadlines_.deadline_forecasts(view(), now_ + Millis(1), now_);
+  const auto forecasts = deadlines_.deadline_forecasts(context(), now_ + Millis(1), now_);
   ASSERT_TRUE(forecasts.contains(job.spec.id));
   EXPECT_EQ(forecasts.at(job.spec.id).lack, foresight::ShortfallReason::time);
 }
 
-TEST_F(DeadlinePlanning, NothingIsForecastOfAJobThatCameAfterThePassBegan) {
+TEST_F(DeadlinePlannerTest, MakesNoForecastForAJobSubmittedAfterThePassBegan) {
   const Job& job = add_job(spec_of("j-000001", 2));
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(30'000), .step = 1}}});
-  EXPECT_TRUE(deadlines_.deadline_forecasts(view(), now_ - Millis(1), now_).empty());
+  EXPECT_TRUE(deadlines_.deadline_forecasts(context(), now_ - Millis(1), now_).empty());
 }
 
-TEST_F(DeadlinePlanning, TasksBookedTooLateAreOverdueWhereAMachineRentedNowWouldBeInTime) {
+TEST_F(DeadlinePlannerTest, CountsLateTasksAsOverdueOnlyIfAMachineRentedNowWouldFinishThem) {
   Job& job = add_job(spec_of("j-000001", 2));
   const Machine& machine = add_machine("m-000001");
   const std::vector<plan::Placing> placings{
       {.machine = machine.id, .start = now_ + Millis(200'000), .stop = now_ + Millis(260'000), .count = 2}};
-  EXPECT_EQ(deadlines_.count_overdue_tasks(view(), job, placings, {}, now_), 0U);  // it is not due
+  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placings, {}, now_),
+            0U);  // the job has no calendar deadline
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
-  EXPECT_EQ(deadlines_.count_overdue_tasks(view(), job, placings, {}, now_), 2U);
-  // A machine has room for them in time: it is something else that lacks.
-  EXPECT_EQ(deadlines_.count_overdue_tasks(view(), job, placings, {{.node = machine.planned}}, now_), 0U);
+  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placings, {}, now_), 2U);
+  // An existing machine has room for the tasks in time, so something other than machines is missing.
+  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placings, {{.node = machine.planned}}, now_), 0U);
 }
 
 }  // namespace
--- a/tests/unit/job_requirements_test.cpp
+++ b/tests/unit/job_requirements_test.cpp
@@ -9,7 +9,7 @@
 
 using plan::Millis;
 
-TEST(JobRequirements, SpotMachinesAreOnlyForJobsThatTakeThem) {
+TEST(JobRequirements, SpotMachinesAreAllowedOnlyForSpotJobs) {
   wire::JobSpec spec;
   EXPECT_FALSE(is_machine_allowed(spec, "small", "a", true));
   EXPECT_TRUE(is_machine_allowed(spec, "small", "a", false));
@@ -17,7 +17,7 @@
   EXPECT_TRUE(is_machine_allowed(spec, "small", "a", true));
 }
 
-TEST(JobRequirements, ZoneAndTypesBindWhereTheyAreNamed) {
+TEST(JobRequirements, ZoneAndTypesRestrictTheMachinesIfSpecified) {
   wire::JobSpec spec;
   spec.zone = "a";
   spec.types = {"small", "large"};
@@ -26,14 +26,14 @@
   EXPECT_FALSE(is_machine_allowed(spec, "gpu", "a", false));
 }
 
-TEST(JobRequirements, AServiceIsBookedToTheHorizon) {
+TEST(JobRequirements, AServiceIsBookedForThePlanningHorizon) {
   jobs::Job job;
   job.spec.kind = wire::JobKind::service;
   job.spec.estimate_s = 10;
   EXPECT_EQ(booking_duration(job), constants::kPlanHorizon);
 }
 
-TEST(JobRequirements, AShortTaskIsBookedForASecond) {
+TEST(JobRequirements, AShortTaskIsBookedForOneSecond) {
   jobs::Job job;
   job.spec.estimate_s = 0.2;
   EXPECT_EQ(booking_duration(job), Millis(1000));
--- a/tests/unit/team_quota_test.cpp
+++ b/tests/unit/team_quota_test.cpp
@@ -27,13 +27,13 @@
   EXPECT_FALSE(quota.remaining_tasks(Amounts::from(1, 1, 1), Amounts::from(5, 5, 5)).has_value());
 }
 
-TEST(TeamQuota, RemainingTasksAreBoundByTheScarcerResource) {
+TEST(TeamQuota, RemainingTasksAreLimitedByTheScarcerResource) {
   const TeamQuota quota(team_with(10, 2));
   EXPECT_EQ(quota.remaining_tasks(Amounts::from(2, 1, 0), Amounts::from(1, 1, 0)), 1U);
   EXPECT_EQ(quota.remaining_tasks(Amounts::from(2, 0, 0), Amounts::from(1, 1, 0)), 4U);
 }
 
-TEST(TeamQuota, NoTaskRemainsToATeamBeyondItsQuota) {
+TEST(TeamQuota, NoTasksRemainForATeamOverItsQuota) {
   EXPECT_EQ(TeamQuota(team_with(10, 0)).remaining_tasks(Amounts::from(2, 0, 0), Amounts::from(14, 0, 0)), 0U);
 }
 
