--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -15,23 +15,25 @@
 
 namespace {
 
+// Plans at most one task per machine, in the order of the request's places.
 std::vector<plan::Placing> plan_one_per_machine(const plan::Planner& planner, plan::Request request) {
   std::vector<plan::Placing> placings;
   const std::vector<plan::Place> places = std::move(request.places);
-  std::uint32_t left = std::exchange(request.count, 1);
-  for (auto place = places.begin(); place != places.end() && left > 0; ++place) {
+  std::uint32_t remaining = std::exchange(request.count, 1);
+  for (auto place = places.begin(); place != places.end() && remaining > 0; ++place) {
     request.places = {*place};
     for (const plan::Placing& placing : planner.plan(request)) {
       placings.push_back(placing);
-      --left;
+      --remaining;
     }
   }
   return placings;
 }
 
-AttemptNumber gang_attempt(const Job& job) {
+// The attempt number for the gang's next placements: that of its allocated members, or a new one if there are none.
+AttemptNumber gang_attempt_number(const Job& job) {
   for (const JobShard& shard : job.shards | std::views::reverse) {
-    // Who joins has the number of the others.
+    // A replacement gets the attempt number of the other members.
     if (!shard.allocations.empty()) return shard.allocations.begin()->second.attempt;
   }
   AttemptNumber attempt{1};
@@ -41,12 +43,12 @@
 
 }  // namespace
 
-// One job's turn in a planning pass.
+// The state of planning one job in a pass.
 struct JobPlanner::JobPlanningContext {
   bool gang = false;
-  bool joins = false;     // in place of members that a gang lost before its start
-  bool warms = false;     // its tasks warm the machines of a pool
-  bool reserves = false;  // the gang holds the backfill reservation
+  bool replaces_members = false;  // the tasks replace members that the gang lost before its start
+  bool warms_pool = false;        // the tasks warm the image caches of a pool's machines
+  bool uses_reservation = false;  // the gang holds the backfill reservation
   plan::Request request;
   std::vector<plan::Placing> placings;
 };
@@ -57,11 +59,11 @@
   return missing == MissingMemberAction::replace;
 }
 
-std::uint32_t JobPlanner::count_tasks_to_plan(const Job& job, bool joins) {
+std::uint32_t JobPlanner::count_tasks_to_plan(const Job& job, bool replaces_members) {
   const bool gang = is_gang(job);
   const std::uint32_t count =
       gang ? job.pending() : std::min<std::uint32_t>(job.pending(), constants::kMaxTasksPlannedPerPass);
-  if (!queue_.ranking().on() || joins) return count;
+  if (!queue_.ranking().on() || replaces_members) return count;
   return static_cast<std::uint32_t>(queue_.ranking().room(job.spec, count, gang));
 }
 
@@ -77,36 +79,38 @@
   }
 }
 
-std::vector<plan::Placing> JobPlanner::compute_placings(const JobPlanningContext& turn) const {
-  if (turn.reserves) return gangs_.plan_reservation_holder(cluster_.planner, turn.request);
-  return turn.warms ? plan_one_per_machine(cluster_.planner, turn.request) : cluster_.planner.plan(turn.request);
+std::vector<plan::Placing> JobPlanner::compute_placings(const JobPlanningContext& context) const {
+  if (context.uses_reservation) return gangs_.plan_reservation_holder(cluster_.planner, context.request);
+  return context.warms_pool ? plan_one_per_machine(cluster_.planner, context.request)
+                            : cluster_.planner.plan(context.request);
 }
 
-std::size_t JobPlanner::find_placings(Job& job, JobPlanningContext& turn, Instant now) {
-  turn.request.places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
-  std::size_t places = turn.request.places.size();
-  turn.placings = compute_placings(turn);
-  if (!turn.placings.empty() || job.failed_on.empty()) return places;
-  // It is kept off the machines that it failed on only as long as there are others.
+std::size_t JobPlanner::find_placings(Job& job, JobPlanningContext& context, Instant now) {
+  context.request.places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
+  std::size_t places = context.request.places.size();
+  context.placings = compute_placings(context);
+  if (!context.placings.empty() || job.failed_on.empty()) return places;
+  // The machines on which the job failed are excluded only while it can be planned on other machines.
   job.failed_on.clear();
-  turn.request.places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
-  places += turn.request.places.size();
-  turn.placings = compute_placings(turn);
+  context.request.places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
+  places += context.request.places.size();
+  context.placings = compute_placings(context);
   return places;
 }
 
-std::uint32_t JobPlanner::count_late_tasks(Job& job, const JobPlanningContext& turn, Instant now) const {
+std::uint32_t JobPlanner::count_late_tasks(Job& job, const JobPlanningContext& context, Instant now) const {
   std::uint32_t planned = 0;
-  // Renting helps only a task that a machine rented now would start earlier; those that boot are waited for.
-  const Instant rent_after =
+  // A task counts as late only if a machine rented now would start it earlier. Machines that boot already are in the
+  // plan.
+  const Instant rented_machine_ready =
       now + std::max(deadlines_.scale_out_delay(job, now), autoscaler_.pricing(cluster_).longest_boot(job.spec));
-  for (const plan::Placing& placing : turn.placings) {
+  for (const plan::Placing& placing : context.placings) {
     planned += placing.count;
-    if (placing.start > rent_after + constants::kTick) job.late_tasks += placing.count;
+    if (placing.start > rented_machine_ready + constants::kTick) job.late_tasks += placing.count;
   }
-  if (planned < turn.request.count) job.late_tasks += turn.request.count - planned;
-  // The pool's machines are rented by the pool.
-  if (turn.warms) job.late_tasks = 0;
+  if (planned < context.request.count) job.late_tasks += context.request.count - planned;
+  // A pool rents its machines itself.
+  if (context.warms_pool) job.late_tasks = 0;
   return planned;
 }
 
@@ -124,39 +128,39 @@
 }
 
 std::size_t JobPlanner::plan_job(Job& job, Instant now) {
-  JobPlanningContext turn;
-  turn.gang = is_gang(job);
-  // A gang begins again only when nothing of its earlier attempt is left, unless it has lost a task before it began: then
-  // another one joins the rest.
-  turn.joins = turn.gang && job.allocation_count > 0;
-  if (!turn.joins) {
+  JobPlanningContext context;
+  context.gang = is_gang(job);
+  // A gang starts a new attempt only when no member of the previous attempt is allocated. Members lost before the start
+  // are replaced within the attempt.
+  context.replaces_members = context.gang && job.allocation_count > 0;
+  if (!context.replaces_members) {
     job.gather_until.reset();
   } else if (!may_replace_members(job, now)) {
     return 0;
   }
-  const std::uint32_t count = count_tasks_to_plan(job, turn.joins);
-  if (count == 0) return 0;  // kept back by its class's cap
-  turn.warms = cluster_.pools.warms(job.spec, now - job.submitted).has_value();
-  turn.reserves = !turn.joins && gangs_.holds_reservation(job.spec.id);
-  turn.request = make_planning_request(job, count, now);
-  add_occupied_zones(job, turn.request);
-  const std::size_t places = find_placings(job, turn, now);
-  const std::uint32_t planned = count_late_tasks(job, turn, now);
-  if (queue_.ranking().on() && !turn.joins) queue_.ranking().take(job.spec, planned);
+  const std::uint32_t count = count_tasks_to_plan(job, context.replaces_members);
+  if (count == 0) return 0;  // held back by the class's cap
+  context.warms_pool = cluster_.pools.warms(job.spec, now - job.submitted).has_value();
+  context.uses_reservation = !context.replaces_members && gangs_.holds_reservation(job.spec.id);
+  context.request = make_planning_request(job, count, now);
+  add_occupied_zones(job, context.request);
+  const std::size_t places = find_placings(job, context, now);
+  const std::uint32_t planned = count_late_tasks(job, context, now);
+  if (queue_.ranking().on() && !context.replaces_members) queue_.ranking().take(job.spec, planned);
   const std::uint32_t pending_before = job.pending();
-  if (place_due_tasks(job, turn.placings, now) && turn.gang) return places;
-  book_later_starts(job, turn.placings, now);
-  if (turn.reserves) gangs_.reserve_machines(cluster_, job, turn.placings, now);
-  if (!turn.warms && !turn.joins)
+  if (place_due_tasks(job, context.placings, now) && context.gang) return places;
+  book_later_starts(job, context.placings, now);
+  if (context.uses_reservation) gangs_.reserve_machines(cluster_, job, context.placings, now);
+  if (!context.warms_pool && !context.replaces_members)
     job.overdue_tasks =
         deadlines_.count_overdue_tasks({cluster_, autoscaler_.demand(), autoscaler_.capacity(), queue_.ranking()}, job,
-                                       turn.placings, turn.request.places, now);
-  // Under a cap only what was planned may displace anything.
+                                       context.placings, context.request.places, now);
+  // If classes are in force, only tasks within the class's cap may preempt other work.
   const std::uint32_t left = queue_.ranking().on() ? count - (pending_before - job.pending()) : job.pending();
   if (left == 0) return places;
-  if (!turn.joins && may_preempt(job, now))
-    Preemptor(cluster_, queue_, tasks_).preempt_for(job, left, turn.request.places, now);
-  if (queue_.ranking().on() && team_has_quota(cluster_, job, turn.gang ? left : 1))
+  if (!context.replaces_members && may_preempt(job, now))
+    Preemptor(cluster_, queue_, tasks_).preempt_for(job, left, context.request.places, now);
+  if (queue_.ranking().on() && team_has_quota(cluster_, job, context.gang ? left : 1))
     queue_.ranking().lacks_room(job.spec.id);
   return places;
 }
@@ -173,7 +177,7 @@
 
 bool JobPlanner::place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
   if (!can_place_gang_now(job, placings, now)) return false;
-  const AttemptNumber attempt = gang_attempt(job);
+  const AttemptNumber attempt = gang_attempt_number(job);
   const std::vector<std::uint32_t> tasks = jobs::JobTable::pending_tasks(job, job.spec.tasks);
   auto next = tasks.begin();
   for (const plan::Placing& placing : GangCoordinator::select_members_to_place(cluster_, job, placings, now)) {
@@ -203,11 +207,11 @@
   return any;
 }
 
-// Room for what will have to start again elsewhere once it is proved gone: booked from then on in the job's turn, so that
-// machines are rented for it just in time and nothing less important takes the room meanwhile. If the zone returns before,
-// nothing has moved, and the next pass books none of it.
+// Tasks in a zone under evacuation restart elsewhere once they are confirmed terminated. Room for them is booked from
+// that time on, in queue order, so that machines are rented just in time and less important jobs do not take the room
+// meanwhile. If the zone recovers first, no task has moved, and the next pass does not renew the bookings.
 std::size_t JobPlanner::plan_stranded_tasks(Job& job, Instant now) {
-  // Renting before a boot would end at the proof costs for nothing.
+  // Machines that have booted before the tasks are confirmed terminated would cost money while idle.
   const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).longest_boot(job.spec);
   if (!due) return 0;
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -7,42 +7,43 @@
 
 namespace foxshunt::control {
 
-bool MachineFilter::is_allowed_by_pools(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
+bool MachineFilter::is_allowed_by_pools(const Job& job, std::optional<std::size_t> warmed_pool, const Machine& machine,
                                         Instant now) const {
   if (!cluster_.pools.on()) return true;
-  if (warms) {
-    return cluster_.pools.lacks(*warms, machine.id, job.spec.image) &&
+  if (warmed_pool) {
+    return cluster_.pools.lacks(*warmed_pool, machine.id, job.spec.image) &&
            std::ranges::none_of(machine.allocations, [&](const TaskKey& key) {
              return cluster_.jobs.at(key.job).spec.image == job.spec.image;
            });
   }
-  // A service's replicas don't end: that one runs gives the others no room.
-  const bool stuck = job.allocation_count == 0 || is_service(job);
-  return cluster_.pools.allows(job.spec, booking_duration(job), stuck ? now - job.submitted : Millis(0), machine.id);
+  // Waiting time counts only if no running task of the job will free room for the others. Tasks of a service do not
+  // end.
+  const bool is_starved = job.allocation_count == 0 || is_service(job);
+  return cluster_.pools.allows(job.spec, booking_duration(job), is_starved ? now - job.submitted : Millis(0),
+                               machine.id);
 }
 
-// What a machine's type alone decides of a job.
+// How one machine type suits a job, independently of the machine.
 struct MachineFilter::TypeFit {
   const wire::MachineType* type;
   bool allowed;
-  bool guards_gpus;  // plain work leaves the room beside its GPUs
-  Amounts offered;
-  Millis fetch;
+  bool reserves_gpu_room;  // the type has GPUs and the job uses none: CPU and memory are kept for GPU work
+  Amounts offered;         // the part of a machine's capacity that the job may use
+  Millis image_fetch;
 };
 
-std::vector<MachineFilter::TypeFit> MachineFilter::type_fits(const Job& job) const {
+std::vector<MachineFilter::TypeFit> MachineFilter::evaluate_types(const Job& job) const {
   std::vector<TypeFit> fits;
   for (const wire::MachineType& type : cluster_.types) {
     fits.push_back({.type = &type,
                     .allowed = is_type_allowed(job.spec, type.name),
-                    .guards_gpus = job.spec.gpus <= 0 && type.gpus > 0,
+                    .reserves_gpu_room = job.spec.gpus <= 0 && type.gpus > 0,
                     .offered = pricing_.offered(job.spec, type),
-                    .fetch = cluster_.fetch_time(job.spec, type.name)});
+                    .image_fetch = cluster_.fetch_time(job.spec, type.name)});
   }
   return fits;
 }
 
-// Apart from its type and from what runs there.
 bool MachineFilter::is_machine_eligible(const Job& job, const Machine& machine, Instant now) const {
   if (machine.planned == nullptr || (machine.spot && !job.spec.spot)) return false;
   const bool available =
@@ -50,51 +51,48 @@
   return available && (job.spec.zone.empty() || job.spec.zone == machine.zone);
 }
 
-// Whether a job without GPUs leaves a GPU machine the room that GPU work needs beside it. Where it takes the machine as a
-// whole, the machine's GPUs are taken from the spare ones.
 bool MachineFilter::leaves_gpu_room(const Job& job, const Machine& machine, const Amounts& offered,
                                     plan::Items& spare_gpus) const {
-  Amounts plain = job.each;
+  Amounts cpu_work = job.each;
   Amounts gpu_work;
   for (const TaskKey& key : machine.allocations) {
     const Job& other = cluster_.jobs.at(key.job);
-    (other.spec.gpus <= 0 ? plain : gpu_work) += other.each;
+    (other.spec.gpus <= 0 ? cpu_work : gpu_work) += other.each;
   }
-  if (plain.fits(offered)) return true;
+  if (cpu_work.fits(offered)) return true;
   const plan::Items gpus = machine.planned->info.capacity.of[1];
   if (gpu_work.of[1] > 0 || spare_gpus < gpus) return false;
   spare_gpus -= gpus;
   return true;
 }
 
-// What the machine has to do before a task of the job runs there: boot, and fetch the image.
-Millis MachineFilter::preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const {
+Millis MachineFilter::preparation_time(const Job& job, const Machine& machine, Millis image_fetch, Instant now) const {
   if (machine.state == MachineState::booting && machine.ready < now)
-    return fetch + pricing_.remaining_boot(machine, now);
+    return image_fetch + pricing_.remaining_boot(machine, now);
   if (machine.images.contains(job.spec.image)) return Millis(0);
-  // Of two that have to fetch it, the one that is to hold it anyway.
-  if (fetch > Millis(0) && cluster_.pools.wants(machine.id, job.spec.image))
-    return fetch - std::min(fetch, constants::kWarmFirst);
-  return fetch;
+  // Among machines that must fetch the image, those of a pool that wants it are preferred by kWarmFirst.
+  if (image_fetch > Millis(0) && cluster_.pools.wants(machine.id, job.spec.image))
+    return image_fetch - std::min(image_fetch, constants::kWarmFirst);
+  return image_fetch;
 }
 
-// Where the job may run at all, and what each machine has to do before it does.
 std::vector<plan::Place> MachineFilter::find_candidate_places(const Job& job, Instant now) const {
-  const std::vector<TypeFit> fits = type_fits(job);
-  const std::optional<std::size_t> warms = cluster_.pools.warms(job.spec, now - job.submitted);
+  const std::vector<TypeFit> fits = evaluate_types(job);
+  const std::optional<std::size_t> warmed_pool = cluster_.pools.warms(job.spec, now - job.submitted);
   plan::Items spare_gpus = demand_.gpus_spare();
   std::vector<plan::Place> places;
-  const TypeFit* fit = nullptr;  // of the machine before, which mostly is of the same type
+  const TypeFit* fit = nullptr;  // of the previous machine, which usually has the same type
   for (const auto& [id, machine] : cluster_.machines) {
     if (!is_machine_eligible(job, machine, now)) continue;
     if (fit == nullptr || fit->type->name != machine.type) {
-      const auto found = std::ranges::find(fits, machine.type, [](const TypeFit& one) { return one.type->name; });
+      const auto found =
+          std::ranges::find(fits, machine.type, [](const TypeFit& candidate) { return candidate.type->name; });
       if (found == fits.end()) continue;
       fit = &*found;
     }
-    if (!fit->allowed || job.failed_on.contains(id) || !is_allowed_by_pools(job, warms, machine, now)) continue;
-    if (fit->guards_gpus && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
-    places.push_back({.node = machine.planned, .before = preparation_time(job, machine, fit->fetch, now)});
+    if (!fit->allowed || job.failed_on.contains(id) || !is_allowed_by_pools(job, warmed_pool, machine, now)) continue;
+    if (fit->reserves_gpu_room && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
+    places.push_back({.node = machine.planned, .before = preparation_time(job, machine, fit->image_fetch, now)});
   }
   return places;
 }
--- a/src/control/placement_rules.cpp
+++ b/src/control/placement_rules.cpp
@@ -9,11 +9,11 @@
 namespace foxshunt::control {
 
 bool machine_has_room(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
-  const wire::MachineType* kind = cluster.type(machine.type);
-  if (kind == nullptr) return false;
+  const wire::MachineType* machine_type = cluster.type(machine.type);
+  if (machine_type == nullptr) return false;
   Amounts used = job.each.times(count);
   for (const TaskKey& key : machine.allocations) used += cluster.jobs.at(key.job).each;
-  return used.fits(capacity_of(*kind));
+  return used.fits(capacity_of(*machine_type));
 }
 
 bool team_has_quota(const ClusterState& cluster, const Job& job, std::uint32_t count) {
@@ -27,21 +27,21 @@
 bool is_placement_allowed(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
   if (!is_machine_allowed(job.spec, machine.type, machine.zone, machine.spot)) return false;
   if (!job.spec.one_zone && !job.spec.spread) return true;
-  std::uint32_t same = count;
+  std::uint32_t tasks_in_zone = count;
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
       const auto other = cluster.machines.find(allocation.machine);
-      // Where a machine that nobody has heard of stands is not known.
-      const std::string stands_in = other == cluster.machines.end() ? std::string() : other->second.seen_zone();
-      if (stands_in.empty() && guards::kept(guards::Guard::place_known)) return false;
-      if (stands_in == machine.zone) {
-        ++same;
+      // The zone of a machine that was never heard of is unknown.
+      const std::string occupied_zone = other == cluster.machines.end() ? std::string() : other->second.seen_zone();
+      if (occupied_zone.empty() && guards::kept(guards::Guard::place_known)) return false;
+      if (occupied_zone == machine.zone) {
+        ++tasks_in_zone;
       } else if (job.spec.one_zone) {
         return false;
       }
     }
   }
-  return !job.spec.spread || same <= max_tasks_per_zone(job.spec);
+  return !job.spec.spread || tasks_in_zone <= max_tasks_per_zone(job.spec);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/placement_rules.h
+++ b/src/control/placement_rules.h
@@ -1,5 +1,5 @@
-// The rules that every placement has to keep, whatever the plan says: the job's own constraints, the machine's capacity and
-// the team's quota. They count what is placed, not what is booked. Pure functions of the cluster state; they change nothing.
+// The rules that every placement must satisfy independently of the plan: the job's constraints, the machine's capacity
+// and the team's quota. They count allocated tasks, not bookings. Pure functions of the cluster state.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,15 @@
 
 namespace foxshunt::control {
 
-// Whether the machine has room for so many more tasks of the job, beside all that is placed there.
+// Whether the machine's capacity suffices for `count` more tasks of the job in addition to the tasks allocated there.
+// False if the machine's type is unknown.
 [[nodiscard]] bool machine_has_room(const ClusterState& cluster, const Job& job, const Machine& machine,
                                     std::uint32_t count);
-// Whether the team's quota lets so many more tasks of the job run.
+// Whether the quota of the job's team allows `count` more tasks of the job. False if the settings do not define the
+// team.
 [[nodiscard]] bool team_has_quota(const ClusterState& cluster, const Job& job, std::uint32_t count);
-// Whether so many more tasks of the job may run there, by its constraints on kinds of machines and on zones.
+// Whether the job's constraints on machine type, zone, spot, `one_zone` and `spread` allow `count` more of its tasks on
+// the machine.
 [[nodiscard]] bool is_placement_allowed(const ClusterState& cluster, const Job& job, const Machine& machine,
                                         std::uint32_t count);
 
--- a/src/control/planned_bookings.h
+++ b/src/control/planned_bookings.h
@@ -1,5 +1,5 @@
-// The bookings of tasks that are planned but not placed. They hold until the next planning pass, which makes them anew.
-// Functions of the cluster state; they own nothing and place nothing.
+// Bookings of tasks that are planned but not placed. Each planning pass revokes the bookings of the previous pass and
+// makes new ones. Functions of the cluster state; they place no task.
 #pragma once
 
 #include "control/cluster_state.h"
@@ -7,8 +7,9 @@
 
 namespace foxshunt::control {
 
-// For tasks that start later; revoked by the next pass.
+// Books the placing's machine for tasks that start later, and adds the booking to Job::booked.
 void book_planned_tasks(ClusterState& cluster, Job& job, const plan::Placing& placing);
+// Revokes all bookings in Job::booked.
 void revoke_planned_bookings(ClusterState& cluster, Job& job);
 
 }  // namespace foxshunt::control
--- a/src/control/preemptor.cpp
+++ b/src/control/preemptor.cpp
@@ -12,58 +12,58 @@
 
 namespace foxshunt::control {
 
-// What may be stopped, numbered in the order in which it is found. A gang is one victim, wherever its tasks run.
+// The possible victims, indexed in the order in which they are found. A gang is one victim, wherever its tasks run.
 struct Preemptor::Victims {
   std::vector<preempt::Victim> all;
   std::map<JobId, std::size_t> gangs;
 };
 
-// A gang needs room for all its tasks or none; of other jobs as many are asked for as the team's quota allows.
-std::uint32_t Preemptor::count_tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const {
+// A gang needs room for all its tasks. For other jobs the number of tasks is reduced until the team's quota allows
+// it.
+std::uint32_t Preemptor::count_tasks_to_preempt_for(const Job& job, std::uint32_t max_tasks) const {
   const bool gang = is_gang(job);
-  std::uint32_t count = gang ? tasks_most : std::min(tasks_most, constants::kMaxTasksPreemptedFor);
+  std::uint32_t count = gang ? max_tasks : std::min(max_tasks, constants::kMaxTasksPreemptedFor);
   while (count > 0 && !team_has_quota(cluster_, job, count)) count = gang ? 0 : count - 1;
   return count;
 }
 
-preempt::Victim Preemptor::describe_victim(const TaskKey& key, const Job& other, const Allocation& allocation,
-                                           const Job& asks, Instant now) const {
-  const bool whole = is_gang(other);
+preempt::Victim Preemptor::describe_victim(const TaskKey& key, const Job& victim_job, const Allocation& allocation,
+                                           const Job& preempting_job, Instant now) const {
+  const bool is_gang_victim = is_gang(victim_job);
   const Millis ran = now - *allocation.running_since;
-  const std::uint32_t tasks = whole ? other.allocation_count : 1;
-  const Millis repeated = other.spec.checkpoint_s > 0 ? from_seconds(other.spec.save_s) : ran;
+  const std::uint32_t tasks = is_gang_victim ? victim_job.allocation_count : 1;
+  const Millis lost_per_task = victim_job.spec.checkpoint_s > 0 ? from_seconds(victim_job.spec.save_s) : ran;
   const plan::Booking* booking = cluster_.planner.booking(allocation.booking);
   preempt::Victim victim{.job = key.job,
                          .tasks = {key},
-                         .priority = other.spec.priority,
-                         .borrowed = other.borrowed,
-                         .same_team = other.spec.team == asks.spec.team,
+                         .priority = victim_job.spec.priority,
+                         .borrowed = victim_job.borrowed,
+                         .same_team = victim_job.spec.team == preempting_job.spec.team,
                          .ran = ran,
-                         .lost = repeated * tasks,
+                         .lost = lost_per_task * tasks,
                          .left = booking == nullptr ? Millis(0) : std::max(Millis(0), booking->stop - now),
-                         .spared = other.displaced ? std::optional(now - *other.displaced) : std::nullopt};
-  victim.kept = queue_.ranking().on() && queue_.is_protected_by_rank(other, victim, asks);
-  if (!whole) return victim;
+                         .spared = victim_job.displaced ? std::optional(now - *victim_job.displaced) : std::nullopt};
+  victim.kept = queue_.ranking().on() && queue_.is_protected_by_rank(victim_job, victim, preempting_job);
+  if (!is_gang_victim) return victim;
   victim.tasks.clear();
-  for (const JobShard& shard : other.shards) {
+  for (const JobShard& shard : victim_job.shards) {
     for (const auto& [index, unused] : shard.allocations) victim.tasks.push_back({key.job, index});
   }
   return victim;
 }
 
-// The number of the victim that the task belongs to; nothing for what is being stopped already, has not begun, or runs for
-// ever.
-std::optional<std::size_t> Preemptor::find_or_add_victim(const TaskKey& key, const Job& asks, Victims& victims,
-                                                         Instant now) {
-  const Job& other = cluster_.jobs.at(key.job);
+std::optional<std::size_t> Preemptor::find_or_add_victim(const TaskKey& key, const Job& preempting_job,
+                                                         Victims& victims, Instant now) {
+  const Job& victim_job = cluster_.jobs.at(key.job);
   const Allocation& allocation = *cluster_.jobs.find_allocation(key);
-  if (other.cancelled || allocation.stopping || !allocation.running_since || is_service(other)) return std::nullopt;
+  if (victim_job.cancelled || allocation.stopping || !allocation.running_since || is_service(victim_job))
+    return std::nullopt;
   const auto known = victims.gangs.find(key.job);
   if (known != victims.gangs.end()) return known->second;
-  const std::size_t number = victims.all.size();
-  victims.all.push_back(describe_victim(key, other, allocation, asks, now));
-  if (is_gang(other)) victims.gangs[key.job] = number;
-  return number;
+  const std::size_t victim_index = victims.all.size();
+  victims.all.push_back(describe_victim(key, victim_job, allocation, preempting_job, now));
+  if (is_gang(victim_job)) victims.gangs[key.job] = victim_index;
+  return victim_index;
 }
 
 std::vector<preempt::Contested> Preemptor::find_contested_machines(const Job& job,
@@ -79,7 +79,7 @@
     for (const TaskKey& key : machine.allocations) {
       const Amounts& each = cluster_.jobs.at(key.job).each;
       contested.free -= each;
-      if (const auto number = find_or_add_victim(key, job, victims, now)) held[*number] += each;
+      if (const auto victim_index = find_or_add_victim(key, job, victims, now)) held[*victim_index] += each;
     }
     contested.held.assign(held.begin(), held.end());
     machines.push_back(std::move(contested));
@@ -88,19 +88,20 @@
 }
 
 std::size_t Preemptor::stop_victim(const preempt::Victim& victim, Instant now) {
-  Job& other = cluster_.jobs.at(victim.job);
-  other.displaced = now;
+  Job& victim_job = cluster_.jobs.at(victim.job);
+  victim_job.displaced = now;
   for (const TaskKey& key : victim.tasks) {
-    tasks_.preempt(other, key.index);
-    // All tasks of a gang have to hear of it within `gang_peer_s`, which may be less than until their next reports.
-    if (is_gang(other)) cluster_.jobs.find_allocation(key)->stop_due = now;
+    tasks_.preempt(victim_job, key.index);
+    // All members of a gang must get the stop within `gang_peer_s`, which may end before their next heartbeats. So it
+    // is sent directly.
+    if (is_gang(victim_job)) cluster_.jobs.find_allocation(key)->stop_due = now;
   }
   return victim.tasks.size();
 }
 
-void Preemptor::preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now) {
+void Preemptor::preempt_for(Job& job, std::uint32_t max_tasks, const std::vector<plan::Place>& places, Instant now) {
   if (!tasks_.can_start_anything(now)) return;
-  const std::uint32_t count = count_tasks_to_preempt_for(job, tasks_most);
+  const std::uint32_t count = count_tasks_to_preempt_for(job, max_tasks);
   if (count == 0) return;
   const preempt::Need need{.each = job.each,
                            .count = count,
@@ -114,9 +115,9 @@
   const std::vector<std::size_t> chosen = preempt::choose_victims(need, victims.all, machines);
   job.displaces_after = now + constants::kPreemptionInterval;
   std::size_t stopped = 0;
-  for (const std::size_t number : chosen) stopped += stop_victim(victims.all[number], now);
+  for (const std::size_t victim_index : chosen) stopped += stop_victim(victims.all[victim_index], now);
   if (stopped == 0) return;
-  spdlog::info("{} tasks of {} jobs are stopped to make room for {} of job {}, which would wait {:.0f} s", stopped,
+  spdlog::info("tasks preempted stopped_tasks={} victims={} wanted_tasks={} job={} wait_s={:.0f}", stopped,
                chosen.size(), count, job.spec.id.text(), to_seconds(need.wait));
 }
 
--- a/src/control/preemptor.h
+++ b/src/control/preemptor.h
@@ -1,8 +1,9 @@
-// Preemption: shows src/preempt what runs where a job might, and has the victims stopped that it chooses.
+// Preemption: collects the tasks that run on a job's candidate machines, lets src/preempt choose victims among them,
+// and stops the chosen ones.
 //
-// A view for the length of a call: it holds references to what it was made of, owns nothing, and must not be stored. It notes
-// in jobs when they were preempted and when they may preempt again. Never chooses victims by itself, and never stops a task
-// but through the life cycle of tasks.
+// Holds references to the modules that it was constructed with, owns nothing and must not outlive the call that created
+// it. Records in jobs when they were preempted (Job::displaced) and when they may preempt again (Job::displaces_after).
+// Stops tasks only through TaskLifecycle.
 #pragma once
 
 #include <cstdint>
@@ -22,20 +23,27 @@
   Preemptor(ClusterState& cluster, const SchedulingQueue& queue, TaskLifecycle& tasks)
       : cluster_(cluster), queue_(queue), tasks_(tasks) {}
 
-  // Stops work that has to give way to the job, if that makes room for it.
-  void preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now);
+  // Stops work that the job may displace, if that makes room for up to `max_tasks` of its tasks. `places`: the job's
+  // candidate machines. Stops nothing while this leader may not start tasks.
+  void preempt_for(Job& job, std::uint32_t max_tasks, const std::vector<plan::Place>& places, Instant now);
 
  private:
   struct Victims;
-  [[nodiscard]] std::uint32_t count_tasks_to_preempt_for(const Job& job, std::uint32_t tasks_most) const;
-  [[nodiscard]] preempt::Victim describe_victim(const TaskKey& key, const Job& other, const Allocation& allocation,
-                                                const Job& asks, Instant now) const;
-  [[nodiscard]] std::optional<std::size_t> find_or_add_victim(const TaskKey& key, const Job& asks, Victims& victims,
-                                                              Instant now);
+  // For how many tasks of the job room is to be made: limited by the team's quota and, except for gangs, by
+  // kMaxTasksPreemptedFor.
+  [[nodiscard]] std::uint32_t count_tasks_to_preempt_for(const Job& job, std::uint32_t max_tasks) const;
+  // Describes a running task as a possible victim; for a gang's task, the gang as a whole.
+  [[nodiscard]] preempt::Victim describe_victim(const TaskKey& key, const Job& victim_job, const Allocation& allocation,
+                                                const Job& preempting_job, Instant now) const;
+  // Returns the index of the victim that the task belongs to, adding the victim if it is new. Nothing for a task that
+  // cannot be preempted: it is being stopped, has not started, or belongs to a service or a cancelled job.
+  [[nodiscard]] std::optional<std::size_t> find_or_add_victim(const TaskKey& key, const Job& preempting_job,
+                                                              Victims& victims, Instant now);
+  // Returns the machines that the job may use, each with its free capacity and the amounts that its victims would free.
   [[nodiscard]] std::vector<preempt::Contested> find_contested_machines(const Job& job,
                                                                         const std::vector<plan::Place>& places,
                                                                         Victims& victims, Instant now);
-  // How many tasks it stops.
+  // Stops all tasks of the victim. Returns how many these are.
   std::size_t stop_victim(const preempt::Victim& victim, Instant now);
 
   ClusterState& cluster_;
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// Extends each booking that ends now although its task is still allocated by the job's booking duration. The pass then
-// replans the bookings that followed it.
+// Extends the bookings of allocated tasks that end now or have ended: each to one booking duration from now. The pass
+// then replans the bookings that followed them.
 void extend_overrunning_bookings(ClusterState& cluster, const Job& job, Instant now) {
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
@@ -92,8 +92,8 @@
   ++context.counters.portions;
   std::size_t places = 0;
   while (!remaining_jobs_->empty() && places < max_places) {
-    // A job may have been cancelled since the previous portion. Capacity may also have become free: the rest of this pass
-    // may use it, and the next pass plans all jobs for it in queue order.
+    // A job may have been cancelled since the previous portion. Capacity may also have become free: the rest of this
+    // pass may use it, and the next pass plans all jobs for it in queue order.
     const auto entry = cluster.jobs.find(remaining_jobs_->front());
     remaining_jobs_->pop_front();
     if (entry == cluster.jobs.end() || entry->second.cancelled) continue;
--- a/src/control/scheduling_cycle.h
+++ b/src/control/scheduling_cycle.h
@@ -1,9 +1,9 @@
-// The planning pass. A pass revokes the bookings of the previous pass and plans the waiting jobs in queue order. It runs in
-// portions, so that events can be processed between them.
+// The planning pass. A pass revokes the bookings of the previous pass and plans the waiting jobs in queue order. It
+// runs in portions, so that events can be processed between them.
 //
-// Owns the scheduling queue and the state of the pass in progress; the other modules are passed in with each call. Tasks are
-// placed and stopped only through TaskLifecycle. Sends no cloud requests: at the end of a pass the autoscaler computes the
-// wanted fleet. Performs no I/O and reads no clock (`now` is passed in). Not thread-safe.
+// Owns the scheduling queue and the state of the pass in progress; the other modules are passed in with each call.
+// Tasks are placed and stopped only through TaskLifecycle. Sends no cloud requests: at the end of a pass the autoscaler
+// computes the wanted fleet. Performs no I/O and reads no clock (`now` is passed in). Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -42,13 +42,13 @@
   void invalidate_plan() { last_pass_started_at_ = Instant(); }
   // Discards the pass in progress, if there is one.
   void abort_pass() { remaining_jobs_.reset(); }
-  // Requests a pass if the latest one began at least kReplanInterval ago and tasks are pending. Needed because the end of a
-  // job's or a cloud supply's backoff raises no event.
+  // Requests a pass if the latest one began at least kReplanInterval ago and tasks are pending. Needed because the end
+  // of a job's or a cloud supply's backoff raises no event.
   void request_periodic_pass(ClusterState& cluster, Instant now) const;
 
-  // Plans a portion of the pending jobs and places the tasks that may start now. Begins a pass if none is in progress. Plans
-  // jobs until at least `max_places` candidate machines were examined, and at least one job if `max_places` is positive.
-  // Returns true when the pass has ended.
+  // Plans a portion of the pending jobs and places the tasks that may start now. Begins a pass if none is in progress.
+  // Plans jobs until at least `max_places` candidate machines were examined, and at least one job if `max_places` is
+  // positive. Returns true when the pass has ended.
   bool plan_portion(const PassContext& context, Instant now, std::size_t max_places);
 
  private:
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// How much later than its real submission a job counts as submitted. The penalty grows with the job's share of the fleet
-// times its booking duration, and with each wait objective of its class that it has missed.
+// How much later than its real submission a job counts as submitted. The penalty grows with the job's share of the
+// fleet times its booking duration, and with each wait objective of its class that it has missed.
 Millis aging_penalty(const ClusterState& cluster, const Job& job, Instant now) {
   const Amounts fleet = cluster.planner.fleet().capacity();
   double share = 0;
@@ -41,8 +41,8 @@
           .largest = demand.largest(job.spec.job_class, job.spec.tasks)};
 }
 
-// The submission time by which the job is ordered, after aging. The holder of the backfill reservation counts as submitted
-// earlier by kLargestHeadStart.
+// The submission time by which the job is ordered, after aging. The holder of the backfill reservation counts as
+// submitted earlier by kLargestHeadStart.
 Instant effective_submission(const ClusterState& cluster, const GangCoordinator& gangs, const DemandEstimator& demand,
                              const Job& job, Instant now) {
   if (gangs.holds_reservation(job.spec.id)) return job.submitted - constants::kLargestHeadStart;
@@ -62,8 +62,8 @@
   });
 }
 
-// Sets Job::borrowed of a team's jobs: whether they exceed the team's guarantee. `team` is null for a team that the settings
-// do not define; such a team has no guarantee.
+// Sets Job::borrowed of a team's jobs: whether they exceed the team's guarantee. `team` is null for a team that the
+// settings do not define; such a team has no guarantee.
 void mark_borrowed(const std::vector<Job*>& jobs, const config::Team* team) {
   double cpus = 0;
   double gpus = 0;
