--- a/src/control/gang_coordinator.h
+++ b/src/control/gang_coordinator.h
@@ -25,9 +25,9 @@
 
 class GangCoordinator {
  public:
-  // ---- start barrier ---- Whether the gang has placed members and none of them can have started: each fetches its
-  // image, waits for the others, or was placed by this leader and has not been reported yet. False if a member is being
-  // stopped.
+  // ---- start barrier ----
+  // Whether the gang has placed members and none of them can have started: each fetches its image, waits for the
+  // others, or was placed by this leader and has not been reported yet. False if a member is being stopped.
   [[nodiscard]] static bool is_waiting_at_barrier(const Job& job);
   // Makes the placed members wait for replacements until the barrier timeout. Does not prolong a barrier that is held
   // already. Requests a planning pass.
