--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -62,7 +62,7 @@
   job_intake().restore(failover, now);
 }
 
-void Controller::step_down(const std::string& why) { leadership_.step_down(why); }
+void Controller::step_down(const std::string& reason) { leadership_.step_down(reason); }
 
 void Controller::on_term_conflict(Revision term_revision) { leadership_.on_term_conflict(term_revision); }
 
@@ -106,9 +106,9 @@
 
 // ---- other controllers ----
 
-std::optional<zone::LeaseDelegation> Controller::on_delegation_request(const zone::DelegationRequest& ask,
+std::optional<zone::LeaseDelegation> Controller::on_delegation_request(const zone::DelegationRequest& request,
                                                                        Instant now) {
-  return zone_coordinator().on_delegation_request(ask, now);
+  return zone_coordinator().on_delegation_request(request, now);
 }
 
 standby::SoftStateSnapshot Controller::soft_state(Instant now) const {
@@ -151,8 +151,8 @@
   cluster_.needs_planning = true;
 }
 
-void Controller::on_due_jobs(foresight::DueJobs dues) {
-  if (deadline_planner_.on_due_jobs(std::move(dues))) {
+void Controller::on_due_jobs(foresight::DueJobs due_jobs) {
+  if (deadline_planner_.on_due_jobs(std::move(due_jobs))) {
     cluster_.needs_planning = true;  // deadlines affect the job order
     scheduling_cycle_.outdate();     // the previous plan did not consider these deadlines
   }
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -59,8 +59,10 @@
   [[nodiscard]] Controller copy() const;
 
   // ---- leadership ----
+  // Starts a leadership term: resets the cluster state and restores it from the records of earlier leaders.
   void become_leader(const FailoverSnapshot& failover, Instant now);
-  void step_down(const std::string& why);
+  // Ends the leadership term, if there is one; `reason` is logged.
+  void step_down(const std::string& reason);
   // Handles a write that failed its condition on this revision of the term record. Steps down only if the current
   // leadership term has that revision; a write of an earlier leadership term has no effect.
   void on_term_conflict(Revision term_revision);
@@ -84,12 +86,16 @@
   // `wall_ms`: the current wall-clock time in milliseconds since the epoch.
   void on_job_record(const JobId& job, const wire::Value& record, Revision revision, std::int64_t wall_ms, Instant now);
   void on_job_removed(const JobId& job, Instant now);
-  // Applies a complete listing of live/. `read_in` is the term in which the read began. Returns false, and changes
+  // Applies a complete listing of live/. `read_term` is the term in which the read began. Returns false, and changes
   // nothing, if this controller does not lead in that term: the listing may lack jobs that were accepted since.
-  [[nodiscard]] bool on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now);
+  [[nodiscard]] bool on_job_list(Term read_term, const std::vector<kv::Entry>& listed_jobs, std::int64_t wall_ms,
+                                 Instant now);
+  // Returns the next record that must be reread, if any.
   [[nodiscard]] std::optional<jobs::Reload> next_reload() const { return cluster_.jobs.next_reload(); }
   // Applies the result of rereading a record; no revision means that the record does not exist.
   void on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now);
+  // Returns the next write transaction, or nullopt if nothing is to be written or writing is not allowed. Each batch
+  // must be completed with end_write().
   [[nodiscard]] std::optional<WriteBatch> begin_write(Instant now);
   void end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
 
@@ -97,7 +103,7 @@
   // Applies the catalog set in force. `wall_ms`: the current wall-clock time in milliseconds since the epoch.
   void on_catalog(const catalog::Set& set, std::int64_t wall_ms, Instant now);
   // Replaces the deadlines that the calendar records set for jobs.
-  void on_due_jobs(foresight::DueJobs dues);
+  void on_due_jobs(foresight::DueJobs due_jobs);
   // Forecasts, from the current plan, whether jobs meet their deadlines and which resources are missing. Empty until a
   // whole pass has been planned after all agents had time to report to this leader.
   [[nodiscard]] std::map<JobId, foresight::DeadlineForecast> deadline_forecasts(Instant now) const;
@@ -119,9 +125,10 @@
   // Returns stop commands to send to agents directly, because no heartbeat reply has delivered them in time.
   [[nodiscard]] std::vector<DirectStop> due_direct_stops(Instant now);
 
-  // ---- zones ---- Returns the lease delegation for another controller. Returns nullopt if the sender is not in
-  // `settings.siblings`, its request is stale, or nothing can be delegated now.
-  [[nodiscard]] std::optional<zone::LeaseDelegation> on_delegation_request(const zone::DelegationRequest& ask,
+  // ---- zones ----
+  // Returns the lease delegation for another controller. Returns nullopt if the sender is not in `settings.siblings`,
+  // its request is stale, or nothing can be delegated now.
+  [[nodiscard]] std::optional<zone::LeaseDelegation> on_delegation_request(const zone::DelegationRequest& request,
                                                                            Instant now);
   [[nodiscard]] const zone::DelegationTable& delegations() const { return cluster_.delegations; }
   [[nodiscard]] const zone::ZoneHealthMonitor& zone_health() const { return cluster_.zone_health; }
@@ -159,6 +166,7 @@
   bool plan_portion(Instant now, std::size_t max_examined_machines);
   // Runs portions up to the end of a pass.
   void plan_pass(Instant now);
+  // Returns whether a pass is needed or in progress.
   [[nodiscard]] bool needs_planning() const { return cluster_.needs_planning || scheduling_cycle_.under_way(); }
   // Returns whether a pass is in progress. Jobs that the pass has not reached yet have no booking.
   [[nodiscard]] bool is_planning() const { return scheduling_cycle_.under_way(); }
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -74,9 +74,8 @@
     if (entry == cluster_.machines.end()) continue;
     spdlog::info("machine_returned machine={} reason=\"{}\"", id.text(), entry->second.why);
     cluster_.machines.on_scaled_in(id);
-    const std::set<TaskKey> allocations = entry->second.allocations.copy();
-    for (const TaskKey& key : allocations)
-      task_lifecycle().lose_task(key, "its machine was returned to the cloud", now);
+    const std::set<TaskKey> task_keys = entry->second.allocations.copy();
+    for (const TaskKey& key : task_keys) task_lifecycle().lose_task(key, "its machine was returned to the cloud", now);
     cluster_.forget_machine(id);
   }
 }
--- a/src/control/controller_records.cpp
+++ b/src/control/controller_records.cpp
@@ -22,12 +22,13 @@
   if (leadership_.is_leader()) job_intake().on_removed(id, now);
 }
 
-bool Controller::on_job_list(Term read_in, const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now) {
+bool Controller::on_job_list(Term read_term, const std::vector<kv::Entry>& listed_jobs, std::int64_t wall_ms,
+                             Instant now) {
   // A listing read in an earlier term lacks the jobs accepted since. These would be treated as cancelled and would
   // never run.
-  if (!leadership_.is_leader() || (kept(Guard::list_term) && read_in != leadership_.term())) return false;
-  if (!live.empty()) scheduling_cycle_.queue().ranking().tell_time(wall_ms, now);
-  job_intake().on_list(live, wall_ms, now);
+  if (!leadership_.is_leader() || (kept(Guard::list_term) && read_term != leadership_.term())) return false;
+  if (!listed_jobs.empty()) scheduling_cycle_.queue().ranking().tell_time(wall_ms, now);
+  job_intake().on_job_list(listed_jobs, wall_ms, now);
   return true;
 }
 
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -70,9 +70,9 @@
 void JobIntake::resume_jobs(Instant now) {
   std::vector<JobId> cancelled;
   for (auto& [id, job] : cluster_.jobs) {
-    // Only the earlier leader knew whether a partly placed gang waits for a replacement task or is to be stopped. The
-    // start barrier limits the wait. Without it, the gang's waiting tasks would keep their allocations until their own
-    // timeouts unless another task joined them.
+    // Only the earlier leader knew whether a partly placed gang waits for a replacement task or is to be stopped.
+    // Holding the start barrier lets a replacement join within a time limit. Without it, the waiting tasks would keep
+    // their allocations until they give up by themselves.
     const bool incomplete_gang = job.spec.kind == wire::JobKind::gang && job.allocation_count > 0 && job.pending() > 0;
     if (incomplete_gang) GangCoordinator::hold_start_barrier(cluster_, job, now);
     if (job.cancelled) cancelled.push_back(id);
@@ -80,7 +80,7 @@
   for (const JobId& id : cancelled) {
     Job& job = cluster_.jobs.at(id);
     job.had_allocations = true;
-    tasks_.cancel(job, now);
+    task_lifecycle_.cancel(job, now);
   }
 }
 
@@ -121,19 +121,19 @@
   Job* job = cluster_.jobs.on_reloaded(reload, revision);
   if (job == nullptr) return;
   spdlog::info("job_record_missing job={} tasks_to_stop={}", reload.job.text(), job->allocation_count);
-  tasks_.cancel(*job, now);
+  task_lifecycle_.cancel(*job, now);
 }
 
 void JobIntake::on_removed(const JobId& id, Instant now) {
   Job* job = cluster_.jobs.on_removed(id);
   if (job == nullptr) return;
   spdlog::info("job_cancelled job={} tasks_to_stop={}", id.text(), job->allocation_count);
-  tasks_.cancel(*job, now);
+  task_lifecycle_.cancel(*job, now);
 }
 
-void JobIntake::on_list(const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now) {
+void JobIntake::on_job_list(const std::vector<kv::Entry>& listed_jobs, std::int64_t wall_ms, Instant now) {
   std::set<JobId> listed;
-  for (const kv::Entry& entry : live) {
+  for (const kv::Entry& entry : listed_jobs) {
     const auto id = state::job_of_key(entry.key);
     if (!id) continue;
     listed.insert(*id);
--- a/src/control/job_intake.h
+++ b/src/control/job_intake.h
@@ -25,7 +25,7 @@
 class JobIntake {
  public:
   JobIntake(ClusterState& cluster, const Leadership& leadership, DemandEstimator& demand)
-      : cluster_(cluster), tasks_(cluster, leadership), demand_(demand) {}
+      : cluster_(cluster), task_lifecycle_(cluster, leadership), demand_(demand) {}
 
   // Loads the records of earlier leaders, and resumes gang starts and cancellations that they left unfinished.
   void restore(const FailoverSnapshot& failover, Instant now);
@@ -33,7 +33,7 @@
   void on_record(const JobId& id, const wire::Value& record, Revision revision, std::int64_t wall_ms, Instant now);
   void on_removed(const JobId& id, Instant now);
   // Applies a complete listing of the active jobs' records. Known jobs that are not listed are cancelled.
-  void on_list(const std::vector<kv::Entry>& live, std::int64_t wall_ms, Instant now);
+  void on_job_list(const std::vector<kv::Entry>& listed_jobs, std::int64_t wall_ms, Instant now);
   // Applies the result of rereading a record; no revision means that the record does not exist.
   void on_reloaded(const jobs::Reload& reload, std::optional<Revision> revision, Instant now);
 
@@ -48,7 +48,7 @@
   void book_restored_allocations(Job& job, std::uint32_t shard, Instant now);
 
   ClusterState& cluster_;
-  TaskLifecycle tasks_;
+  TaskLifecycle task_lifecycle_;
   DemandEstimator& demand_;
 };
 
--- a/src/control/readiness.h
+++ b/src/control/readiness.h
@@ -32,6 +32,6 @@
 //   lease-confirmed  the latest confirmed lease renewal is recent enough that the lease cannot have expired by now
 // That a machine is schedulable only after a heartbeat in this term is not checked here: ClusterState::is_schedulable
 // checks it during the whole leadership term.
-[[nodiscard]] std::optional<std::string_view> first_unmet_condition(const Readiness& found, plan::Instant now);
+[[nodiscard]] std::optional<std::string_view> first_unmet_condition(const Readiness& readiness, plan::Instant now);
 
 }  // namespace foxshunt::control
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -222,8 +222,8 @@
     machine.spot = hint.spot;
   }
   if (hint.up) {
-    // The agent most likely reports within one heartbeat interval. `since` is set back so that the boot timeout ends
-    // the wait after kStandbyUnansweredTimeout.
+    // The agent most likely reports within one heartbeat interval. `since` is set back so that the expected boot time
+    // is exceeded, and work is no longer held back for the machine, after kStandbyUnansweredTimeout.
     const Millis boot = cluster_.boot_duration(machine.type);
     const auto slack = std::chrono::ceil<Millis>(boot * constants::kBootSlackFactor);
     machine.since = now - std::max(Millis(0), slack - constants::kStandbyUnansweredTimeout);
