--- a/tests/unit/cluster_fixture.h
+++ b/tests/unit/cluster_fixture.h
@@ -1,4 +1,5 @@
-// A small cluster state for tests of the modules of `control`: one team, two zones, one machine type of 16 CPUs.
+// Fixture with a small cluster state for tests of the modules of `control`: one team, two zones, one machine type with
+// 16 CPUs.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -46,7 +47,7 @@
     return cluster_.jobs.add(state::new_job(spec, 0), Revision(2), 0, cluster_.machines, now_);
   }
 
-  // Carries out all writes that the job table wants: what is placed becomes durable.
+  // Completes all pending writes of the job table successfully, which makes all placements durable.
   void write_records() {
     constexpr std::size_t kMaxOperations = 24;
     while (const auto batch = cluster_.jobs.begin_write(Revision(1), kMaxOperations, now_)) {
@@ -55,7 +56,7 @@
     }
   }
 
-  // One that is up and has just been heard.
+  // Adds a machine that is up and has just sent a heartbeat.
   Machine& add_machine(const std::string& id, const std::string& zone = "a") {
     Machine& machine = cluster_.find_or_add_machine(MachineId(id), now_);
     machine.type = "plain";
@@ -75,7 +76,7 @@
 
   ClusterState cluster_;
   Instant now_{Millis(1'000'000)};
-  std::uint64_t store_revision_ = 2;  // of the fake store
+  std::uint64_t store_revision_ = 2;  // revision of the simulated store
 };
 
 }  // namespace foxshunt::control
--- a/tests/unit/concurrent_faults_test.cpp
+++ b/tests/unit/concurrent_faults_test.cpp
@@ -1,4 +1,4 @@
-// Two troubles at once, where no day of the emulated world meets them at the very moment: docs/design/concurrent-faults.md.
+// Tests of two faults at once, in interleavings that simulated days do not reach: docs/design/concurrent-faults.md.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -34,7 +34,7 @@
   return settings;
 }
 
-wire::JobSpec job_of(std::uint32_t tasks, wire::JobKind kind = wire::JobKind::array) {
+wire::JobSpec make_job_spec(std::uint32_t tasks, wire::JobKind kind = wire::JobKind::array) {
   wire::JobSpec spec;
   spec.id = kJob;
   spec.job_class = "work";
@@ -54,49 +54,51 @@
         {{.name = "plain", .cpus = 16, .ram_gb = 64, .price = 1, .boot_s = 10, .zones = {"a", "b"}}});
   }
 
-  void become_leader(Term term, Revision revision, std::vector<kv::Entry> live = {},
-                     std::vector<kv::Entry> linger = {}) {
+  void become_leader(Term term, Revision revision, std::vector<kv::Entry> active_entries = {},
+                     std::vector<kv::Entry> terminating_entries = {}) {
     FailoverSnapshot failover;
     failover.term = term;
     failover.term_revision = revision;
     failover.older_leaders_until = now_ + Millis(20'000);
-    failover.active_jobs = std::move(live);
-    failover.terminating_jobs = std::move(linger);
+    failover.active_jobs = std::move(active_entries);
+    failover.terminating_jobs = std::move(terminating_entries);
     controller_.become_leader(failover, now_);
-    know_all();
+    confirm_leadership();
   }
 
-  void know_all() {
+  void confirm_leadership() {
     controller_.on_leader_lease_renewed(now_);
     controller_.on_records_confirmed(now_);
   }
 
-  static wire::TaskStatus task(std::uint32_t index, TaskState state, EndReason reason = EndReason::none) {
+  static wire::TaskStatus task_status(std::uint32_t index, TaskState state, EndReason reason = EndReason::none) {
     return {.task = {kJob, index}, .attempt = AttemptNumber(1), .state = state, .reason = reason, .saved = false};
   }
 
-  std::optional<std::vector<wire::Command>> heartbeat(const MachineId& machine, std::uint64_t incarnation,
-                                                      std::uint64_t sequence, Term seen,
-                                                      std::vector<wire::TaskStatus> tasks) {
-    wire::Heartbeat made;
-    made.machine = machine;
-    made.address = "127.0.0.1:1";
-    made.type = "plain";
-    made.zone = "a";
-    made.incarnation = AgentIncarnation(incarnation);
-    made.sequence = sequence;
-    made.term = seen;
-    made.tasks = std::move(tasks);
-    return controller_.on_heartbeat(made, now_);
+  std::optional<std::vector<wire::Command>> send_heartbeat(const MachineId& machine, std::uint64_t incarnation,
+                                                           std::uint64_t sequence, Term seen_term,
+                                                           std::vector<wire::TaskStatus> tasks) {
+    wire::Heartbeat heartbeat;
+    heartbeat.machine = machine;
+    heartbeat.address = "127.0.0.1:1";
+    heartbeat.type = "plain";
+    heartbeat.zone = "a";
+    heartbeat.incarnation = AgentIncarnation(incarnation);
+    heartbeat.sequence = sequence;
+    heartbeat.term = seen_term;
+    heartbeat.tasks = std::move(tasks);
+    return controller_.on_heartbeat(heartbeat, now_);
   }
 
-  // A record that places the job's tasks, by index, with its first attempt.
-  static kv::Entry placed(const std::string& key, const wire::JobSpec& spec,
-                          const std::vector<std::pair<MachineId, std::uint64_t>>& machines_and_sessions) {
+  // Returns a job record that places task i, in its first attempt, on the i-th of the given machines and agent
+  // incarnations.
+  static kv::Entry job_entry_placed_on(
+      const std::string& key, const wire::JobSpec& spec,
+      const std::vector<std::pair<MachineId, std::uint64_t>>& machines_and_incarnations) {
     state::JobRecord record = state::new_job(spec, 0);
     record.whole->next = AttemptNumber(2);
     std::uint32_t index = 0;
-    for (const auto& [machine, incarnation] : machines_and_sessions) {
+    for (const auto& [machine, incarnation] : machines_and_incarnations) {
       record.whole->allocations.push_back({.index = index++,
                                            .attempt = AttemptNumber(1),
                                            .machine = machine,
@@ -109,78 +111,88 @@
   Controller controller_;
 };
 
-// The machine lost its session while its gang gathered, and got the lost task again, with the same attempt number, in its
-// next one. What it had told before, that its start was refused, was held up until a leader with no memory has begun.
-TEST_F(ConcurrentFaults, AReportOfTheSessionBeforeTellsANewLeaderNothingOfTheSameAttempt) {
-  const wire::JobSpec spec = job_of(2, wire::JobKind::gang);
-  become_leader(Term(7), Revision(1), {placed(state::active_job_key(kJob), spec, {{kFirst, 2}, {kSecond, 1}})});
-  ASSERT_TRUE(heartbeat(kFirst, 1, 40, Term(6), {task(0, TaskState::ended, EndReason::no_room)}));
-  EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 2U) << "the task is taken for gone while it runs";
-  ASSERT_TRUE(heartbeat(kFirst, 2, 3, Term(7), {task(0, TaskState::running)}));
-  ASSERT_TRUE(heartbeat(kSecond, 1, 50, Term(7), {task(1, TaskState::running)}));
+// A machine's agent restarted while the start barrier of a gang was held. The lost task was started again, with the
+// same attempt number, in the new incarnation. A heartbeat of the earlier incarnation reported a refused start and was
+// delayed until a new leader has started, which knows only the records.
+TEST_F(ConcurrentFaults, AHeartbeatOfAnEarlierIncarnationDoesNotEndTheSameAttempt) {
+  const wire::JobSpec spec = make_job_spec(2, wire::JobKind::gang);
+  become_leader(Term(7), Revision(1),
+                {job_entry_placed_on(state::active_job_key(kJob), spec, {{kFirst, 2}, {kSecond, 1}})});
+  ASSERT_TRUE(send_heartbeat(kFirst, 1, 40, Term(6), {task_status(0, TaskState::ended, EndReason::no_room)}));
+  EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 2U) << "the task is treated as terminated while it runs";
+  ASSERT_TRUE(send_heartbeat(kFirst, 2, 3, Term(7), {task_status(0, TaskState::running)}));
+  ASSERT_TRUE(send_heartbeat(kSecond, 1, 50, Term(7), {task_status(1, TaskState::running)}));
   EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 2U);
-  for (const auto& [unused, run] : controller_.jobs().at(kJob).shards[0].allocations) EXPECT_FALSE(run.stopping);
+  for (const auto& [unused, allocation] : controller_.jobs().at(kJob).shards[0].allocations)
+    EXPECT_FALSE(allocation.stopping);
 }
 
-// A new leader reads live/ and then linger/. A job that is called off between the two is found in both; it is one job, whose
-// tasks count once for the limit, are proved gone, and are forgotten.
-TEST_F(ConcurrentFaults, AJobCalledOffWhileTheRecordsAreReadIsOneJob) {
-  const wire::JobSpec spec = job_of(2);
-  become_leader(Term(7), Revision(1), {placed(state::active_job_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})},
-                {placed(state::terminating_job_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})});
+// A new leader reads live/ and then linger/. A job that is cancelled between the two reads is found in both. It must be
+// restored as one job: its tasks count once for the team quota, are confirmed terminated, and the job is then removed.
+TEST_F(ConcurrentFaults, AJobCancelledWhileRecordsAreReadIsRestoredOnce) {
+  const wire::JobSpec spec = make_job_spec(2);
+  become_leader(Term(7), Revision(1),
+                {job_entry_placed_on(state::active_job_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})},
+                {job_entry_placed_on(state::terminating_job_key(kJob), spec, {{kFirst, 1}, {kSecond, 1}})});
   EXPECT_EQ(controller_.find_inconsistency(), std::nullopt);
   ASSERT_TRUE(controller_.jobs().contains(kJob));
   EXPECT_TRUE(controller_.jobs().at(kJob).cancelled);
-  controller_.on_job_removed(kJob, now_);  // by the watch, which begins at what was read first
-  wire::JobSpec next = job_of(4);
+  controller_.on_job_removed(kJob, now_);  // by the watch, which starts at the revision of the first read
+  wire::JobSpec next = make_job_spec(4);
   next.id = JobId("j-000002");
   controller_.on_job_record(next.id, state::to_value(state::new_job(next, 0)), Revision(20), 0, now_);
-  for (const char* name : {"m-000001", "m-000002", "m-000003"}) (void)heartbeat(MachineId(name), 1, 10, Term(7), {});
-  EXPECT_FALSE(controller_.jobs().at(kJob).allocation_count > 0) << "what is proved gone counts still";
+  for (const char* name : {"m-000001", "m-000002", "m-000003"})
+    (void)send_heartbeat(MachineId(name), 1, 10, Term(7), {});
+  EXPECT_FALSE(controller_.jobs().at(kJob).allocation_count > 0) << "confirmed terminated tasks still count";
   controller_.plan_pass(now_);
-  EXPECT_EQ(controller_.jobs().at(next.id).allocation_count, 4U) << "of 8 CPUs each, for a limit of 32";
+  EXPECT_EQ(controller_.jobs().at(next.id).allocation_count, 4U) << "4 tasks of 8 CPUs each fit the quota of 32";
   const auto write = controller_.begin_write(now_);
   ASSERT_TRUE(write);
   controller_.end_write(*write, {.answer = kv::Answer::ok, .revision = Revision(30), .failed = {}}, now_);
-  EXPECT_FALSE(controller_.jobs().contains(kJob)) << "it is never forgotten";
+  EXPECT_FALSE(controller_.jobs().contains(kJob)) << "the job is never removed";
   EXPECT_EQ(controller_.find_inconsistency(), std::nullopt);
 }
 
-// The watch was too far behind, and the whole list was asked for; its answer was held up until the node leads once more. A
-// job that was accepted meanwhile is not in it, and one that is over is.
-TEST_F(ConcurrentFaults, AListThatAnEarlierLeadReadTellsTheNextOneNothing) {
+// The watch fell too far behind and the leader requested a complete listing. The answer is delayed until the node leads
+// in a later term. A job that was accepted meanwhile is missing from the listing, and a job that has finished is still
+// in it.
+TEST_F(ConcurrentFaults, IgnoresAJobListingReadInAnEarlierTerm) {
   become_leader(Term(7), Revision(1));
-  wire::JobSpec over = job_of(1);
-  over.id = JobId("j-000009");
-  const std::vector<kv::Entry> before{placed(state::active_job_key(over.id), over, {{kFirst, 1}})};
-  become_leader(Term(9), Revision(50), {placed(state::active_job_key(kJob), job_of(1), {{kSecond, 1}})});
-  EXPECT_FALSE(controller_.on_job_list(Term(7), before, 0, now_));
-  EXPECT_FALSE(controller_.jobs().at(kJob).cancelled) << "an accepted job would never run";
-  EXPECT_FALSE(controller_.jobs().contains(over.id)) << "it is over";
-  // What this lead reads counts.
-  EXPECT_TRUE(controller_.on_job_list(Term(9), before, 0, now_));
+  wire::JobSpec finished = make_job_spec(1);
+  finished.id = JobId("j-000009");
+  const std::vector<kv::Entry> earlier_listing{
+      job_entry_placed_on(state::active_job_key(finished.id), finished, {{kFirst, 1}})};
+  become_leader(Term(9), Revision(50),
+                {job_entry_placed_on(state::active_job_key(kJob), make_job_spec(1), {{kSecond, 1}})});
+  EXPECT_FALSE(controller_.on_job_list(Term(7), earlier_listing, 0, now_));
+  EXPECT_FALSE(controller_.jobs().at(kJob).cancelled) << "the accepted job would never run";
+  EXPECT_FALSE(controller_.jobs().contains(finished.id)) << "the job is finished";
+  // A listing read in the current term is applied.
+  EXPECT_TRUE(controller_.on_job_list(Term(9), earlier_listing, 0, now_));
   EXPECT_TRUE(controller_.jobs().at(kJob).cancelled);
-  EXPECT_TRUE(controller_.jobs().contains(over.id));
+  EXPECT_TRUE(controller_.jobs().contains(finished.id));
 }
 
-// Tasks that are to be spread over zones lose their leader and a machine that nobody has heard of since: until it is known
-// where that one stands, the next task may be one too many in its zone.
-TEST_F(ConcurrentFaults, NoTaskIsSpreadBesideOneWhoseZoneIsUnknown) {
-  wire::JobSpec spec = job_of(2);
+// A job's tasks are to be spread over zones. After a failover, a machine with one of them has not reported yet. Until
+// its zone is known, placing the next task may exceed the limit of that zone.
+TEST_F(ConcurrentFaults, PlacesNoTaskOfASpreadJobWhileAZoneIsUnknown) {
+  wire::JobSpec spec = make_job_spec(2);
   spec.spread = true;
-  become_leader(Term(7), Revision(1), {placed(state::active_job_key(kJob), spec, {{kSecond, 1}})});
-  (void)heartbeat(kFirst, 1, 10, Term(7), {});
+  become_leader(Term(7), Revision(1), {job_entry_placed_on(state::active_job_key(kJob), spec, {{kSecond, 1}})});
+  (void)send_heartbeat(kFirst, 1, 10, Term(7), {});
   controller_.plan_pass(now_);
   EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 1U);
-  (void)heartbeat(kSecond, 1, 10, Term(7), {task(0, TaskState::running)});  // in zone a as well
+  (void)send_heartbeat(kSecond, 1, 10, Term(7), {task_status(0, TaskState::running)});  // in zone a as well
   controller_.plan_pass(now_);
   EXPECT_EQ(controller_.jobs().at(kJob).allocation_count, 1U);
 }
 
-// Leaders, users and a state service that carries a transaction out when the test says so.
-class ConcurrentFaultsAtTheStore : public ConcurrentFaults {
+// Two controllers, a user and a state store. The test decides when the store executes each transaction.
+class ConcurrentFaultsWithStore : public ConcurrentFaults {
  protected:
-  ConcurrentFaultsAtTheStore() : next_(settings()) { next_.on_machine_types(controller_.machine_types()); }
+  ConcurrentFaultsWithStore() : next_controller_(settings()) {
+    next_controller_.on_machine_types(controller_.machine_types());
+  }
 
   void acquire_leadership(Controller& controller, const NodeName& node) {
     const state::LeadershipView view =
@@ -201,18 +213,18 @@
 
   kv::TxnResult submit(const wire::JobSpec& spec) { return store_.txn(state::create_job_txn(state::new_job(spec, 0))); }
 
-  // The job is accepted, the first controller leads, its only machine reports, and a pass places what fits.
+  // Submits the job, makes the first controller leader, sends a heartbeat of its only machine and runs a planning pass.
   void accept_and_plan(const wire::JobSpec& spec) {
     ASSERT_EQ(submit(spec).answer, kv::Answer::ok);
     acquire_leadership(controller_, NodeName("node-0"));
-    (void)report_to(controller_);
+    (void)send_heartbeat_to(controller_);
     controller_.plan_pass(now_);
   }
 
-  // What the leader's watch tells.
-  void watch(Controller& controller) {
-    const kv::WatchResult news = store_.watch(state::kActiveJobPrefix, seen_);
-    for (const kv::Event& event : news.events) {
+  // Delivers the store's events on active jobs since the last call to the controller.
+  void deliver_watch_events(Controller& controller) {
+    const kv::WatchResult watch_result = store_.watch(state::kActiveJobPrefix, watched_revision_);
+    for (const kv::Event& event : watch_result.events) {
       const JobId id = *state::job_of_key(event.key);
       if (event.data) {
         controller.on_job_record(id, *event.data, event.revision, 0, now_);
@@ -220,199 +232,203 @@
         controller.on_job_removed(id, now_);
       }
     }
-    seen_ = news.revision;
+    watched_revision_ = watch_result.revision;
   }
 
-  std::optional<std::vector<wire::Command>> report_to(Controller& controller,
-                                                      std::vector<wire::TaskStatus> tasks = {}) {
-    wire::Heartbeat made;
-    made.machine = kFirst;
-    made.address = "127.0.0.1:1";
-    made.type = "plain";
-    made.zone = "a";
-    made.incarnation = AgentIncarnation(1);
-    made.sequence = ++sequence_;
-    made.term = controller.term();
-    made.tasks = std::move(tasks);
-    return controller.on_heartbeat(made, now_);
+  std::optional<std::vector<wire::Command>> send_heartbeat_to(Controller& controller,
+                                                              std::vector<wire::TaskStatus> tasks = {}) {
+    wire::Heartbeat heartbeat;
+    heartbeat.machine = kFirst;
+    heartbeat.address = "127.0.0.1:1";
+    heartbeat.type = "plain";
+    heartbeat.zone = "a";
+    heartbeat.incarnation = AgentIncarnation(1);
+    heartbeat.sequence = ++sequence_;
+    heartbeat.term = controller.term();
+    heartbeat.tasks = std::move(tasks);
+    return controller.on_heartbeat(heartbeat, now_);
   }
 
-  // The write that the controller wants next; what becomes of it is the test's.
-  WriteBatch written(Controller& controller) {
+  // Begins the controller's next write. The test decides whether and when it is executed.
+  WriteBatch begin_next_write(Controller& controller) {
     const auto batch = controller.begin_write(now_);
     EXPECT_TRUE(batch);
     return batch.value_or(WriteBatch{});
   }
-  void carry_out(Controller& controller) {
-    const WriteBatch batch = written(controller);
+  void complete_next_write(Controller& controller) {
+    const WriteBatch batch = begin_next_write(controller);
     controller.end_write(batch, store_.txn(batch.txn), now_);
   }
-  void lose_answer(Controller& controller, const WriteBatch& batch) {
+  void end_without_answer(Controller& controller, const WriteBatch& batch) {
     controller.end_write(batch, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
   }
-  static bool starts(const std::optional<std::vector<wire::Command>>& commands) {
+  static bool has_run_command(const std::optional<std::vector<wire::Command>>& commands) {
     return commands && std::ranges::any_of(
                            *commands, [](const wire::Command& command) { return command.kind == CommandKind::run; });
   }
-  [[nodiscard]] bool is_live() const { return store_.get(state::active_job_key(kJob)).answer == kv::Answer::ok; }
+  [[nodiscard]] bool is_job_active() const { return store_.get(state::active_job_key(kJob)).answer == kv::Answer::ok; }
 
   standins::StateStore store_;
-  Controller next_;
-  Revision seen_;
+  Controller next_controller_;
+  Revision watched_revision_;
   std::uint64_t sequence_ = 0;
 };
 
-// New machines get work at once while writes lag, and the leader ends: its placement is carried out when its successor has
-// taken the lead and read the records, which know of none.
-TEST_F(ConcurrentFaultsAtTheStore, APlacementThatLagsIsRefusedOnceTheNextLeads) {
-  accept_and_plan(job_of(1));
-  const WriteBatch late = written(controller_);
-  lose_answer(controller_, late);
-  EXPECT_FALSE(starts(report_to(controller_))) << "it may never be written";
+// A placement write is delayed and its leader fails. The store executes the write after the next leader has acquired
+// leadership and has read the records, which do not contain the placement.
+TEST_F(ConcurrentFaultsWithStore, ADelayedPlacementWriteFailsUnderTheNextLeader) {
+  accept_and_plan(make_job_spec(1));
+  const WriteBatch delayed = begin_next_write(controller_);
+  end_without_answer(controller_, delayed);
+  EXPECT_FALSE(has_run_command(send_heartbeat_to(controller_))) << "the placement may never become durable";
   store_.expire(now_ + Millis(9000));
-  acquire_leadership(next_, NodeName("node-1"));
-  EXPECT_EQ(store_.txn(late.txn).answer, kv::Answer::conflict);
-  (void)report_to(next_);
-  next_.plan_pass(now_);
-  carry_out(next_);
-  EXPECT_TRUE(starts(report_to(next_))) << "written at once, as nothing came between";
+  acquire_leadership(next_controller_, NodeName("node-1"));
+  EXPECT_EQ(store_.txn(delayed.txn).answer, kv::Answer::conflict);
+  (void)send_heartbeat_to(next_controller_);
+  next_controller_.plan_pass(now_);
+  complete_next_write(next_controller_);
+  EXPECT_TRUE(has_run_command(send_heartbeat_to(next_controller_))) << "the write succeeds at once, without a conflict";
 }
 
-// A transaction without an answer is carried out after newer ones of the same controller: the job has run and is over.
-TEST_F(ConcurrentFaultsAtTheStore, APlacementThatLagsBringsNothingBackThatIsOver) {
-  accept_and_plan(job_of(1));
-  const WriteBatch late = written(controller_);
-  lose_answer(controller_, late);
-  carry_out(controller_);
-  ASSERT_TRUE(starts(report_to(controller_)));
-  (void)report_to(controller_, {task(0, TaskState::ended, EndReason::done)});
-  carry_out(controller_);
-  ASSERT_FALSE(is_live());
-  EXPECT_EQ(store_.txn(late.txn).answer, kv::Answer::conflict);
-  EXPECT_FALSE(is_live()) << "it would run again, and its user would hear that it waits";
+// A transaction without an answer is executed after newer ones of the same controller, when the job has run and
+// finished.
+TEST_F(ConcurrentFaultsWithStore, ADelayedPlacementWriteDoesNotReviveAFinishedJob) {
+  accept_and_plan(make_job_spec(1));
+  const WriteBatch delayed = begin_next_write(controller_);
+  end_without_answer(controller_, delayed);
+  complete_next_write(controller_);
+  ASSERT_TRUE(has_run_command(send_heartbeat_to(controller_)));
+  (void)send_heartbeat_to(controller_, {task_status(0, TaskState::ended, EndReason::done)});
+  complete_next_write(controller_);
+  ASSERT_FALSE(is_job_active());
+  EXPECT_EQ(store_.txn(delayed.txn).answer, kv::Answer::conflict);
+  EXPECT_FALSE(is_job_active()) << "the job would run again, and its user would see it as waiting";
 }
 
-// A write on a part of a large job gets no answer and is carried out after a newer one on the same part, while the job's own
-// record has not changed: the outcomes that the newer one tells would be lost.
-TEST_F(ConcurrentFaultsAtTheStore, AWriteOnAPartThatLagsTakesNothingBack) {
-  wire::JobSpec spec = job_of(constants::kTasksPerShard + 2);
+// A write on a shard of a large job gets no answer and is executed after a newer write on the same shard. The job's own
+// record has not changed. If the delayed write succeeded, the task outcomes in the newer one would be lost.
+TEST_F(ConcurrentFaultsWithStore, ADelayedShardWriteDoesNotOverwriteANewerOne) {
+  wire::JobSpec spec = make_job_spec(constants::kTasksPerShard + 2);
   spec.cpus = 0.1;
   accept_and_plan(spec);
-  carry_out(controller_);
-  ASSERT_TRUE(starts(report_to(controller_)));
-  const wire::TaskStatus first = task(0, TaskState::ended, EndReason::done);
-  wire::TaskStatus second = task(1, TaskState::ended, EndReason::done);
+  complete_next_write(controller_);
+  ASSERT_TRUE(has_run_command(send_heartbeat_to(controller_)));
+  const wire::TaskStatus first = task_status(0, TaskState::ended, EndReason::done);
+  wire::TaskStatus second = task_status(1, TaskState::ended, EndReason::done);
   second.attempt = AttemptNumber(2);
-  (void)report_to(controller_, {first});
-  const WriteBatch late = written(controller_);
-  lose_answer(controller_, late);
-  (void)report_to(controller_, {first, second});
-  carry_out(controller_);
+  (void)send_heartbeat_to(controller_, {first});
+  const WriteBatch delayed = begin_next_write(controller_);
+  end_without_answer(controller_, delayed);
+  (void)send_heartbeat_to(controller_, {first, second});
+  complete_next_write(controller_);
   const auto done = [&] {
     const kv::GetResult found = store_.get(state::job_shard_key(kJob, 0));
     return state::job_shard_from(found.entry.data, constants::kTasksPerShard).done;
   };
   ASSERT_TRUE(done()[0] && done()[1]);
-  EXPECT_EQ(store_.txn(late.txn).answer, kv::Answer::conflict);
+  EXPECT_EQ(store_.txn(delayed.txn).answer, kv::Answer::conflict);
   EXPECT_TRUE(done()[1]);
 }
 
-// Only the answer is lost, and others read what was written: the next write meets it, reads it again, and goes on from there.
-TEST_F(ConcurrentFaultsAtTheStore, AWriteWhoseAnswerIsLostIsReadAgain) {
-  accept_and_plan(job_of(1));
-  const WriteBatch first = written(controller_);
+// A write succeeds but its answer is lost. The next write conflicts with it; the controller rereads the record and
+// continues from its revision.
+TEST_F(ConcurrentFaultsWithStore, AWriteWithoutAnAnswerIsReread) {
+  accept_and_plan(make_job_spec(1));
+  const WriteBatch first = begin_next_write(controller_);
   ASSERT_EQ(store_.txn(first.txn).answer, kv::Answer::ok);
-  lose_answer(controller_, first);
-  carry_out(controller_);
-  EXPECT_FALSE(starts(report_to(controller_))) << "what is there has not been looked at";
+  end_without_answer(controller_, first);
+  complete_next_write(controller_);
+  EXPECT_FALSE(has_run_command(send_heartbeat_to(controller_))) << "the record has not been reread yet";
   const auto reload = controller_.next_reload();
   ASSERT_TRUE(reload);
   controller_.on_reloaded(*reload, store_.get(reload->key()).entry.revision, now_);
-  carry_out(controller_);
-  EXPECT_TRUE(starts(report_to(controller_)));
+  complete_next_write(controller_);
+  EXPECT_TRUE(has_run_command(send_heartbeat_to(controller_)));
 }
 
-// A user's cancellation is carried out late, when the job that it read as waiting runs: it would leave no word of the task.
-// The repeated one does, and the next leader knows of it.
-TEST_F(ConcurrentFaultsAtTheStore, ACancellationThatLagsMissesNoPlacement) {
-  ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
+// A user's cancellation read the job as waiting and is executed when the job runs. If it succeeded, no record of the
+// running task would remain. The repeated cancellation keeps such a record, and the next leader stops the task.
+TEST_F(ConcurrentFaultsWithStore, ADelayedCancellationMissesNoPlacement) {
+  ASSERT_EQ(submit(make_job_spec(1)).answer, kv::Answer::ok);
   acquire_leadership(controller_, NodeName("node-0"));
   const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
-  const kv::Txn late = state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision);
-  (void)report_to(controller_);
+  const kv::Txn delayed = state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision);
+  (void)send_heartbeat_to(controller_);
   controller_.plan_pass(now_);
-  carry_out(controller_);
-  ASSERT_TRUE(starts(report_to(controller_)));
-  EXPECT_EQ(store_.txn(late).answer, kv::Answer::conflict);
-  const kv::GetResult runs = store_.get(state::active_job_key(kJob));
-  ASSERT_EQ(runs.answer, kv::Answer::ok);
-  EXPECT_EQ(store_.txn(state::cancel_job_txn(state::job_from(runs.entry.data), runs.entry.revision)).answer,
-            kv::Answer::ok);
+  complete_next_write(controller_);
+  ASSERT_TRUE(has_run_command(send_heartbeat_to(controller_)));
+  EXPECT_EQ(store_.txn(delayed).answer, kv::Answer::conflict);
+  const kv::GetResult running_job = store_.get(state::active_job_key(kJob));
+  ASSERT_EQ(running_job.answer, kv::Answer::ok);
+  EXPECT_EQ(
+      store_.txn(state::cancel_job_txn(state::job_from(running_job.entry.data), running_job.entry.revision)).answer,
+      kv::Answer::ok);
   store_.expire(now_ + Millis(9000));
-  acquire_leadership(next_, NodeName("node-1"));
-  ASSERT_TRUE(next_.jobs().contains(kJob)) << "nobody would stop its task, nor count it";
-  EXPECT_EQ(next_.jobs().at(kJob).allocation_count, 1U);
-  const auto answer = report_to(next_, {task(0, TaskState::running)});
+  acquire_leadership(next_controller_, NodeName("node-1"));
+  ASSERT_TRUE(next_controller_.jobs().contains(kJob)) << "nobody would stop its task or count it against the quota";
+  EXPECT_EQ(next_controller_.jobs().at(kJob).allocation_count, 1U);
+  const auto answer = send_heartbeat_to(next_controller_, {task_status(0, TaskState::running)});
   ASSERT_TRUE(answer);
   EXPECT_EQ(std::ranges::count(*answer, CommandKind::stop, &wire::Command::kind), 1);
 }
 
-// A cancellation is confirmed while a placement is on its way: the placement fails, and is never started.
-TEST_F(ConcurrentFaultsAtTheStore, APlacementMeetsAConfirmedCancellation) {
-  ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
+// A cancellation is confirmed while a placement write is in progress. The write fails and the task is never started.
+TEST_F(ConcurrentFaultsWithStore, APlacementWriteFailsAfterAConfirmedCancellation) {
+  ASSERT_EQ(submit(make_job_spec(1)).answer, kv::Answer::ok);
   acquire_leadership(controller_, NodeName("node-0"));
-  seen_ = store_.revision();
-  (void)report_to(controller_);
+  watched_revision_ = store_.revision();
+  (void)send_heartbeat_to(controller_);
   controller_.plan_pass(now_);
-  const WriteBatch batch = written(controller_);
+  const WriteBatch batch = begin_next_write(controller_);
   const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
   ASSERT_EQ(store_.txn(state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision)).answer,
             kv::Answer::ok);
   controller_.end_write(batch, store_.txn(batch.txn), now_);
-  EXPECT_FALSE(starts(report_to(controller_)));
-  EXPECT_FALSE(is_live()) << "called off for its user, it would run";
-  watch(controller_);
+  EXPECT_FALSE(has_run_command(send_heartbeat_to(controller_)));
+  EXPECT_FALSE(is_job_active()) << "the job would run after its cancellation was confirmed";
+  deliver_watch_events(controller_);
   if (const auto reload = controller_.next_reload()) controller_.on_reloaded(*reload, std::nullopt, now_);
-  EXPECT_FALSE(starts(report_to(controller_)));
+  EXPECT_FALSE(has_run_command(send_heartbeat_to(controller_)));
   EXPECT_EQ(controller_.jobs().contains(kJob) ? controller_.jobs().at(kJob).allocation_count : 0, 0U);
 }
 
-// A cancellation that has read the job as running is carried out just after its last task's end was written, or just before:
-// one of the two fails, and the user hears the other for good.
-TEST_F(ConcurrentFaultsAtTheStore, ACancellationMeetsTheEndOfTheLastTask) {
+// A cancellation that read the job as running is executed just after, or just before, the write of its last task's end.
+// One of the two fails, and the user permanently sees the result of the other.
+TEST_F(ConcurrentFaultsWithStore, ACancellationRacesWithTheEndOfTheLastTask) {
   for (const bool end_first : {true, false}) {
     SCOPED_TRACE(end_first);
     store_ = {};
     sequence_ = 0;
-    ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
+    ASSERT_EQ(submit(make_job_spec(1)).answer, kv::Answer::ok);
     acquire_leadership(controller_, NodeName("node-0"));
-    (void)report_to(controller_);
+    (void)send_heartbeat_to(controller_);
     controller_.plan_pass(now_);
-    carry_out(controller_);
-    ASSERT_TRUE(starts(report_to(controller_)));
-    const kv::GetResult runs = store_.get(state::active_job_key(kJob));
-    const kv::Txn cancellation = state::cancel_job_txn(state::job_from(runs.entry.data), runs.entry.revision);
-    (void)report_to(controller_, {task(0, TaskState::ended, EndReason::done)});
-    const WriteBatch end = written(controller_);
+    complete_next_write(controller_);
+    ASSERT_TRUE(has_run_command(send_heartbeat_to(controller_)));
+    const kv::GetResult running_job = store_.get(state::active_job_key(kJob));
+    const kv::Txn cancellation =
+        state::cancel_job_txn(state::job_from(running_job.entry.data), running_job.entry.revision);
+    (void)send_heartbeat_to(controller_, {task_status(0, TaskState::ended, EndReason::done)});
+    const WriteBatch end = begin_next_write(controller_);
     EXPECT_EQ(store_.txn(end_first ? end.txn : cancellation).answer, kv::Answer::ok);
     EXPECT_EQ(store_.txn(end_first ? cancellation : end.txn).answer, kv::Answer::conflict);
-    const kv::GetResult over = store_.get(state::finished_job_key(kJob));
-    ASSERT_EQ(over.answer, kv::Answer::ok);
-    EXPECT_EQ(state::finished_job_from(kJob, over.entry.data).state,
+    const kv::GetResult finished = store_.get(state::finished_job_key(kJob));
+    ASSERT_EQ(finished.answer, kv::Answer::ok);
+    EXPECT_EQ(state::finished_job_from(kJob, finished.entry.data).state,
               end_first ? wire::JobState::done : wire::JobState::cancelled);
-    EXPECT_FALSE(is_live());
+    EXPECT_FALSE(is_job_active());
   }
 }
 
-// A submission without an answer is carried out when the repeated one has been accepted and its job is over.
-TEST_F(ConcurrentFaultsAtTheStore, ASubmissionThatLagsIsRefusedOnceItsJobIsOver) {
-  const kv::Txn late = state::create_job_txn(state::new_job(job_of(1), 0));
-  ASSERT_EQ(submit(job_of(1)).answer, kv::Answer::ok);
+// A submission without an answer is executed after the repeated submission was accepted and its job has finished.
+TEST_F(ConcurrentFaultsWithStore, ADelayedSubmissionFailsOnceItsJobIsFinished) {
+  const kv::Txn delayed = state::create_job_txn(state::new_job(make_job_spec(1), 0));
+  ASSERT_EQ(submit(make_job_spec(1)).answer, kv::Answer::ok);
   const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
   ASSERT_EQ(store_.txn(state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision)).answer,
             kv::Answer::ok);
-  EXPECT_EQ(store_.txn(late).answer, kv::Answer::conflict);
-  EXPECT_FALSE(is_live());
+  EXPECT_EQ(store_.txn(delayed).answer, kv::Answer::conflict);
+  EXPECT_FALSE(is_job_active());
 }
 
 }  // namespace
