--- a/src/aging/aging.cpp
+++ b/src/aging/aging.cpp
@@ -6,39 +6,39 @@
 
 namespace foxshunt::aging {
 
-void JobSizes::learn(const std::string& job_class, std::uint32_t tasks, plan::Instant submitted) {
-  const auto known = peaks_.find(job_class);
-  if (known == peaks_.end() && peaks_.size() >= constants::kMaxTrackedClasses) return;
-  Peak& peak =
-      known == peaks_.end() ? peaks_.emplace(job_class, Peak{.since = submitted}).first->second : known->second;
-  const plan::Millis passed = submitted - peak.since;
-  if (passed >= constants::kJobSizesWindow) {
-    peak.earlier = passed < 2 * constants::kJobSizesWindow ? peak.current : 0;
-    peak.current = 0;
-    peak.since = submitted;
+void JobSizeTracker::record_job(const std::string& job_class, std::uint32_t tasks, plan::Instant submitted) {
+  const auto entry = peaks_.find(job_class);
+  if (entry == peaks_.end() && peaks_.size() >= constants::kMaxTrackedClasses) return;
+  SizePeak& peak = entry == peaks_.end() ? peaks_.emplace(job_class, SizePeak{.window_start = submitted}).first->second
+                                         : entry->second;
+  const plan::Millis elapsed = submitted - peak.window_start;
+  if (elapsed >= constants::kJobSizesWindow) {
+    peak.previous_max = elapsed < 2 * constants::kJobSizesWindow ? peak.current_max : 0;
+    peak.current_max = 0;
+    peak.window_start = submitted;
   }
-  peak.current = std::max(peak.current, tasks);
+  peak.current_max = std::max(peak.current_max, tasks);
 }
 
-std::uint32_t JobSizes::most(const std::string& job_class) const {
-  const auto known = peaks_.find(job_class);
-  return known == peaks_.end() ? 0 : std::max(known->second.current, known->second.earlier);
+std::uint32_t JobSizeTracker::max_tasks(const std::string& job_class) const {
+  const auto entry = peaks_.find(job_class);
+  return entry == peaks_.end() ? 0 : std::max(entry->second.current_max, entry->second.previous_max);
 }
 
-bool JobSizes::largest(const std::string& job_class, std::uint32_t tasks) const {
+bool JobSizeTracker::is_among_largest(const std::string& job_class, std::uint32_t tasks) const {
   if (tasks < 2 || !peaks_.contains(job_class)) return false;
-  return tasks >= most(job_class) * constants::kLargestShare;
+  return tasks >= max_tasks(job_class) * constants::kLargestShare;
 }
 
 plan::Millis bypass_limit(const WaitingJob& job) {
-  return job.largest ? constants::kMaxBypassOfLargest : constants::kMaxBypass;
+  return job.is_among_largest ? constants::kMaxBypassOfLargest : constants::kMaxBypass;
 }
 
-bool overdue(const WaitingJob& job, plan::Instant now) { return now - job.submitted >= bypass_limit(job); }
+bool is_overdue(const WaitingJob& job, plan::Instant now) { return now - job.submitted >= bypass_limit(job); }
 
 plan::Instant effective_submission(const WaitingJob& job, plan::Instant now) {
   // In a backlog of four minutes all are overdue, and in the order of submission the largest would begin too late.
-  if (overdue(job, now)) return job.largest ? job.submitted - constants::kLargestHeadStart : job.submitted;
+  if (is_overdue(job, now)) return job.is_among_largest ? job.submitted - constants::kLargestHeadStart : job.submitted;
   return job.submitted + std::min(job.aging_penalty, constants::kMaxAgingPenalty);
 }
 
--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -19,15 +19,15 @@
 }
 
 void Autoscaler::learn_gpu_demand(const ClusterState& cluster, Instant now) {
-  plan::Items wanted = 0;
+  plan::MilliUnits wanted = 0;
   for (const auto& [unused, job] : cluster.jobs) {
-    if (!job.cancelled) wanted += job.each.of[1] * (job.spec.tasks - job.done_count);
+    if (!job.cancelled) wanted += job.each.values[1] * (job.spec.tasks - job.done_count);
   }
-  plan::Items there = 0;
+  plan::MilliUnits there = 0;
   for (const auto& [unused, machine] : cluster.machines) {
     if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster.usable(machine, now)))
       continue;
-    there += machine.planned->info.capacity.of[1];
+    there += machine.planned->spec.capacity.values[1];
   }
   demand_.learn_gpus(wanted, there, now);
 }
@@ -41,7 +41,7 @@
     MachineId machine;
     std::int64_t fit;
   };
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   std::vector<Spare> found;
   for (const auto& [id, machine] : cluster.machines) {
     if (machine.state != MachineState::booting && !cluster.usable(machine, now)) continue;
@@ -49,10 +49,10 @@
     if (kind == nullptr || machine.planned == nullptr ||
         !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
-    if (each.count_in(pricing(cluster).offered(spec, *kind)) <= 0) continue;
+    if (each.count_fitting_in(pricing(cluster).offered(spec, *kind)) <= 0) continue;
     if (!cluster.pools.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
     const Instant from = std::max(now, machine.ready);
-    const std::int64_t fit = each.count_in(machine.planned->use.free(from, from + constants::kStartTimeout));
+    const std::int64_t fit = each.count_fitting_in(machine.planned->usage.free(from, from + constants::kStartTimeout));
     if (fit <= 0) continue;
     const double hourly = hourly_price(*kind, machine.spot);
     found.push_back({.price = hourly / static_cast<double>(fit), .machine = id, .fit = fit});
@@ -68,10 +68,10 @@
 
 std::int64_t Autoscaler::wanted_spare_capacity(const ClusterState& cluster, const std::string& job_class,
                                                const wire::JobSpec& sample, Instant now) {
-  const Amounts each = task_amounts(sample);
+  const ResourceAmounts each = task_amounts(sample);
   double boot_s = 0;
   for (const wire::MachineType& kind : cluster.types) {
-    if (each.count_in(pricing(cluster).offered(sample, kind)) > 0)
+    if (each.count_fitting_in(pricing(cluster).offered(sample, kind)) > 0)
       boot_s = boot_s == 0 ? kind.boot_s : std::min(boot_s, kind.boot_s);
   }
   return demand_.expected(job_class, boot_s * constants::kBootSlackFactor + cluster.settings.heartbeat_interval_s, now);
--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -15,7 +15,7 @@
   CloudCapacityTracker::Kind key{kind.name, zone, spot};
   if (!capacity_.is_available(key, have_, now_)) return std::nullopt;
   // As a whole: a GPU machine that is rented for plain work is beyond what GPU work wants.
-  const std::int64_t fit = task_amounts(spec).count_in(capacity_of(kind));
+  const std::int64_t fit = task_amounts(spec).count_fitting_in(capacity_of(kind));
   const double hourly = hourly_price(kind, spot);
   return Offer{.key = std::move(key),
                .price = hourly / static_cast<double>(std::min(fit, tasks)),
@@ -25,10 +25,10 @@
 
 std::optional<CloudOffers::Offer> CloudOffers::cheapest(const wire::JobSpec& spec, std::int64_t tasks,
                                                         double max_price_ratio, Millis max_startup) const {
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   std::optional<Offer> best;
   for (const wire::MachineType& kind : cluster_.types) {
-    if (each.count_in(capacity_of(kind)) <= 0) continue;
+    if (each.count_fitting_in(capacity_of(kind)) <= 0) continue;
     if (from_seconds(kind.boot_s) + constants::kCloudCallTimeout + cluster_.fetch_time(spec, kind.name) > max_startup)
       continue;
     for (const std::string& zone : kind.zones) {
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -25,7 +25,7 @@
 
 void ClusterState::rebind_planned_nodes() {
   for (auto& [id, machine] : machines) {
-    if (machine.planned != nullptr) machine.planned = planner.node(id);
+    if (machine.planned != nullptr) machine.planned = planner.find_machine(id);
   }
 }
 
@@ -48,16 +48,16 @@
 }
 
 void ClusterState::refresh_plan_machine(Machine& machine) {
-  if (machine.planned != nullptr && machine.planned->info.ready == machine.ready) return;
+  if (machine.planned != nullptr && machine.planned->spec.ready_at == machine.ready) return;
   const wire::MachineType* kind = type(machine.type);
   if (kind == nullptr) return;
   planner.set_machine({.id = machine.id,
                        .type = machine.type,
                        .zone = machine.zone,
                        .spot = machine.spot,
-                       .capacity = Amounts::from(kind->cpus, kind->gpus, kind->ram_gb),
-                       .ready = machine.ready});
-  machine.planned = planner.node(machine.id);
+                       .capacity = ResourceAmounts::from(kind->cpus, kind->gpus, kind->ram_gb),
+                       .ready_at = machine.ready});
+  machine.planned = planner.find_machine(machine.id);
   plan_wanted = true;
 }
 
@@ -101,7 +101,7 @@
 }
 
 bool has_bookings(const Machine& machine) {
-  return machine.planned != nullptr && !machine.planned->use.of(0).slots().empty();
+  return machine.planned != nullptr && !machine.planned->usage.usage_of(0).slots().empty();
 }
 
 }  // namespace foxshunt::control
--- a/src/control/cluster_state.h
+++ b/src/control/cluster_state.h
@@ -22,9 +22,9 @@
 
 namespace foxshunt::control {
 
-using plan::Amounts;
 using plan::Instant;
 using plan::Millis;
+using plan::ResourceAmounts;
 
 using inventory::Machine;
 using inventory::MachineState;
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -20,10 +20,10 @@
 
 void set_team_quotas(ClusterState& cluster) {
   const auto limit = [](double most) {
-    return most > 0 ? std::optional<plan::Items>(Amounts::from(most, 0, 0).of[0]) : std::nullopt;
+    return most > 0 ? std::optional<plan::MilliUnits>(ResourceAmounts::from(most, 0, 0).values[0]) : std::nullopt;
   };
   for (const config::Team& team : cluster.settings.teams) {
-    cluster.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
+    cluster.planner.set_team_limit(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
   }
 }
 
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -13,17 +13,17 @@
 namespace {
 
 std::uint64_t task_count(const plan::Booking& booking, const Job& job) {
-  return static_cast<std::uint64_t>(booking.amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
+  return static_cast<std::uint64_t>(booking.amounts.values[0] / std::max<plan::MilliUnits>(1, job.each.values[0]));
 }
 
 // How many tasks the places have room for, so early that these end by that time; counted up to `enough`.
-std::int64_t timely_room(const Job& job, const std::vector<plan::Place>& places, Instant by, std::uint32_t enough,
-                         Instant now) {
+std::int64_t timely_room(const Job& job, const std::vector<plan::EligibleMachine>& places, Instant by,
+                         std::uint32_t enough, Instant now) {
   std::int64_t room = 0;
-  for (const plan::Place& place : places) {
-    const Instant from = std::max(now, place.node->info.ready);
-    if (from + place.before + run_time(job) > by) continue;
-    room += job.each.count_in(place.node->use.free(from, from + place.before + estimate(job)));
+  for (const plan::EligibleMachine& place : places) {
+    const Instant from = std::max(now, place.machine->spec.ready_at);
+    if (from + place.setup_time + run_time(job) > by) continue;
+    room += job.each.count_fitting_in(place.machine->usage.free(from, from + place.setup_time + estimate(job)));
     if (room >= enough) break;
   }
   return room;
@@ -35,14 +35,14 @@
   Instant end;
   const Millis beyond = run_time_beyond_booking(job);
   for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = cluster.planner.booking(booking);
+    const plan::Booking* found = cluster.planner.find_booking(booking);
     if (found == nullptr) continue;
     end = std::max(end, found->stop + beyond);
     booked += task_count(*found, job);
   }
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
-      const plan::Booking* found = cluster.planner.booking(allocation.booking);
+      const plan::Booking* found = cluster.planner.find_booking(allocation.booking);
       if (found != nullptr) end = std::max(end, found->stop);
     }
   }
@@ -53,7 +53,7 @@
 std::uint64_t tasks_booked_by(const plan::Planner& planner, const Job& job, Instant by) {
   std::uint64_t timely = 0;
   for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = planner.booking(booking);
+    const plan::Booking* found = planner.find_booking(booking);
     if (found == nullptr || found->stop + run_time_beyond_booking(job) > by) continue;
     timely += task_count(*found, job);
   }
@@ -62,7 +62,7 @@
 
 std::optional<foresight::Kind> rentable_kind(const PlanView& view, const Job& job, const wire::MachineType& kind,
                                              double price_most, const CloudCapacityTracker::Held& have) {
-  const std::int64_t fit = job.each.count_in(TaskPricing(view.cluster, view.demand).offered(job.spec, kind));
+  const std::int64_t fit = job.each.count_fitting_in(TaskPricing(view.cluster, view.demand).offered(job.spec, kind));
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
                         .boot = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
@@ -155,14 +155,15 @@
   return deadline_forecasts;
 }
 
-std::uint32_t DeadlinePlanner::overdue(const PlanView& view, const Job& job, const std::vector<plan::Placing>& placings,
-                                       const std::vector<plan::Place>& places, Instant now) const {
+std::uint32_t DeadlinePlanner::overdue(const PlanView& view, const Job& job,
+                                       const std::vector<plan::Placement>& placements,
+                                       const std::vector<plan::EligibleMachine>& places, Instant now) const {
   const auto due = due_jobs_.find(job.spec.id);
   if (due == due_jobs_.end()) return 0;
   const Instant by = due->second.by;
   std::uint32_t late = 0;
-  for (const plan::Placing& placing : placings) {
-    if (placing.stop + run_time_beyond_booking(job) > by) late += placing.count;
+  for (const plan::Placement& placement : placements) {
+    if (placement.stop + run_time_beyond_booking(job) > by) late += placement.count;
   }
   if (late == 0) return 0;
   const foresight::Work work = work_of(view, job, by, {});
--- a/src/control/deadline_planner.h
+++ b/src/control/deadline_planner.h
@@ -40,8 +40,9 @@
   // When the plan says that other jobs end; those without a booking are left out.
   [[nodiscard]] std::map<JobId, Instant> planned_ends(const ClusterState& cluster) const;
   // How many of the tasks are planned to end too late, if machines rented now would keep the deadline.
-  [[nodiscard]] std::uint32_t overdue(const PlanView& view, const Job& job, const std::vector<plan::Placing>& placings,
-                                      const std::vector<plan::Place>& places, Instant now) const;
+  [[nodiscard]] std::uint32_t overdue(const PlanView& view, const Job& job,
+                                      const std::vector<plan::Placement>& placements,
+                                      const std::vector<plan::EligibleMachine>& places, Instant now) const;
   // How long a machine may take until it runs tasks of the job, for its calendar deadline.
   [[nodiscard]] Millis max_startup_for_deadline(const Job& job, Instant now) const;
   // How long the job's tasks may wait from now on before machines are rented for them.
--- a/src/control/demand_estimator.cpp
+++ b/src/control/demand_estimator.cpp
@@ -9,42 +9,43 @@
 
 namespace foxshunt::control {
 
-using plan::Amounts;
+using plan::ResourceAmounts;
 
-void DemandEstimator::learn(const wire::JobSpec& spec, const Amounts& each, plan::Instant submitted) {
+void DemandEstimator::learn(const wire::JobSpec& spec, const ResourceAmounts& each, plan::Instant submitted) {
   ClassDemand& demand = classes_[spec.job_class];
   demand.sample = spec;
   demand.arrivals.emplace_back(submitted, spec.tasks);
   // Nobody asks what most classes expect: what is too old to count must not pile up.
   while (demand.arrivals.front().first < submitted - constants::kDemandWindow) demand.arrivals.pop_front();
-  sizes_.learn(spec.job_class, spec.tasks, submitted);
-  if (each.of[1] <= 0) return;
+  sizes_.record_job(spec.job_class, spec.tasks, submitted);
+  if (each.values[1] <= 0) return;
   for (const std::size_t r : {0U, 2U}) {
-    beside_gpu_.of[r] = std::max(beside_gpu_.of[r], each.of[r] * 1000 / each.of[1]);
+    beside_gpu_.values[r] = std::max(beside_gpu_.values[r], each.values[r] * 1000 / each.values[1]);
   }
 }
 
-void DemandEstimator::learn_gpus(plan::Items wanted, plan::Items there, plan::Instant now) {
+void DemandEstimator::learn_gpus(plan::MilliUnits wanted, plan::MilliUnits there, plan::Instant now) {
   while (!gpu_demand_.empty() && gpu_demand_.back().second <= wanted) gpu_demand_.pop_back();
   gpu_demand_.emplace_back(now, wanted);
   while (gpu_demand_.front().first < now - constants::kGpuDemandWindow) gpu_demand_.pop_front();
-  gpus_spare_ = std::max<plan::Items>(0, there - gpu_demand_.front().second);
+  gpus_spare_ = std::max<plan::MilliUnits>(0, there - gpu_demand_.front().second);
 }
 
 // PAPER 5.4, "expensive resources": X cores are kept free for jobs requesting GPUs.
-Amounts DemandEstimator::offered(const wire::JobSpec& spec, const wire::MachineType& kind,
-                                 const std::vector<wire::MachineType>& types) const {
-  Amounts all = capacity_of(kind);
+ResourceAmounts DemandEstimator::offered(const wire::JobSpec& spec, const wire::MachineType& kind,
+                                         const std::vector<wire::MachineType>& types) const {
+  ResourceAmounts all = capacity_of(kind);
   if (spec.gpus > 0 || kind.gpus <= 0) return all;
   const bool elsewhere = std::ranges::any_of(types, [&](const wire::MachineType& other) {
     return other.gpus <= 0 && is_type_allowed(spec, other.name) &&
-           Amounts::from(spec.cpus, 0, spec.ram_gb).fits(Amounts::from(other.cpus, 0, other.ram_gb));
+           ResourceAmounts::from(spec.cpus, 0, spec.ram_gb).fits_in(ResourceAmounts::from(other.cpus, 0, other.ram_gb));
   });
   if (!elsewhere) return all;  // it can't run without
   for (const std::size_t r : {0U, 2U}) {
     // As long as no task with a GPU was seen, each GPU's share of the machine.
-    const plan::Items beside = beside_gpu_.of[r] > 0 ? beside_gpu_.of[r] * all.of[1] / 1000 : all.of[r];
-    all.of[r] = std::max<plan::Items>(0, all.of[r] - beside);
+    const plan::MilliUnits beside =
+        beside_gpu_.values[r] > 0 ? beside_gpu_.values[r] * all.values[1] / 1000 : all.values[r];
+    all.values[r] = std::max<plan::MilliUnits>(0, all.values[r] - beside);
   }
   return all;
 }
@@ -68,7 +69,7 @@
 // ---- hints ----
 
 void DemandEstimator::hint_largest(const std::string& job_class, std::uint32_t tasks, plan::Instant now) {
-  sizes_.learn(job_class, tasks, now);
+  sizes_.record_job(job_class, tasks, now);
 }
 
 void DemandEstimator::hint_sample(const wire::JobSpec& sample) {
@@ -86,7 +87,7 @@
   known->second.arrivals = std::move(before);
 }
 
-void DemandEstimator::hint_gpus(const GpuPeaks& peaks, plan::Items cpus_beside, plan::Items ram_beside) {
+void DemandEstimator::hint_gpus(const GpuPeaks& peaks, plan::MilliUnits cpus_beside, plan::MilliUnits ram_beside) {
   GpuPeaks all;
   for (const GpuPeaks* some : {&peaks, static_cast<const GpuPeaks*>(&gpu_demand_)}) {
     for (const auto& [when, items] : *some) {
@@ -95,8 +96,8 @@
     }
   }
   gpu_demand_ = std::move(all);
-  beside_gpu_.of[0] = std::max(beside_gpu_.of[0], cpus_beside);
-  beside_gpu_.of[2] = std::max(beside_gpu_.of[2], ram_beside);
+  beside_gpu_.values[0] = std::max(beside_gpu_.values[0], cpus_beside);
+  beside_gpu_.values[2] = std::max(beside_gpu_.values[2], ram_beside);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/demand_estimator.h
+++ b/src/control/demand_estimator.h
@@ -22,43 +22,43 @@
 class DemandEstimator {
  public:
   // `each`: what one of its tasks takes.
-  void learn(const wire::JobSpec& spec, const plan::Amounts& each, plan::Instant submitted);
+  void learn(const wire::JobSpec& spec, const plan::ResourceAmounts& each, plan::Instant submitted);
   // GPUs that all jobs want at once, and that machines which are up or booting have.
-  void learn_gpus(plan::Items wanted, plan::Items there, plan::Instant now);
+  void learn_gpus(plan::MilliUnits wanted, plan::MilliUnits there, plan::Instant now);
 
   [[nodiscard]] const std::map<std::string, ClassDemand>& classes() const { return classes_; }
   // Whether a job of so many tasks is among the largest of its class.
   [[nodiscard]] bool largest(const std::string& job_class, std::uint32_t tasks) const {
-    return sizes_.largest(job_class, tasks);
+    return sizes_.is_among_largest(job_class, tasks);
   }
   // GPUs that machines have beyond what was wanted at once of late: plain work may take these machines as a whole.
-  [[nodiscard]] plan::Items gpus_spare() const { return gpus_spare_; }
+  [[nodiscard]] plan::MilliUnits gpus_spare() const { return gpus_spare_; }
   // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
-  [[nodiscard]] plan::Amounts offered(const wire::JobSpec& spec, const wire::MachineType& kind,
-                                      const std::vector<wire::MachineType>& types) const;
+  [[nodiscard]] plan::ResourceAmounts offered(const wire::JobSpec& spec, const wire::MachineType& kind,
+                                              const std::vector<wire::MachineType>& types) const;
   // How many tasks of the class most likely come within `cover_s`, by what came of late.
   [[nodiscard]] std::int64_t expected(const std::string& job_class, double cover_s, plan::Instant now);
 
   // ---- for and by a standby's hints ----
   using Arrivals = std::deque<std::pair<plan::Instant, std::uint32_t>>;
-  using GpuPeaks = std::deque<std::pair<plan::Instant, plan::Items>>;
-  [[nodiscard]] std::uint32_t most(const std::string& job_class) const { return sizes_.most(job_class); }
+  using GpuPeaks = std::deque<std::pair<plan::Instant, plan::MilliUnits>>;
+  [[nodiscard]] std::uint32_t most(const std::string& job_class) const { return sizes_.max_tasks(job_class); }
   [[nodiscard]] const GpuPeaks& gpu_peaks() const { return gpu_demand_; }
-  [[nodiscard]] const plan::Amounts& beside_gpu() const { return beside_gpu_; }
+  [[nodiscard]] const plan::ResourceAmounts& beside_gpu() const { return beside_gpu_; }
   void hint_largest(const std::string& job_class, std::uint32_t tasks, plan::Instant now);
   // Of a class that no job known here is of.
   void hint_sample(const wire::JobSpec& sample);
   // In place of the arrivals up to `taken` that records tell, which are of jobs that are not done yet.
   void hint_arrivals(const std::string& job_class, Arrivals before, plan::Instant taken);
-  void hint_gpus(const GpuPeaks& peaks, plan::Items cpus_beside, plan::Items ram_beside);
+  void hint_gpus(const GpuPeaks& peaks, plan::MilliUnits cpus_beside, plan::MilliUnits ram_beside);
 
  private:
   std::map<std::string, ClassDemand> classes_;
-  aging::JobSizes sizes_;
-  std::deque<std::pair<plan::Instant, plan::Items>>
-      gpu_demand_;              // wanted at once, falling: its front is the latest peak
-  plan::Items gpus_spare_ = 0;  // that machines have beyond it
-  plan::Amounts beside_gpu_;    // most that tasks take beside each GPU, as far as seen
+  aging::JobSizeTracker sizes_;
+  std::deque<std::pair<plan::Instant, plan::MilliUnits>>
+      gpu_demand_;                    // wanted at once, falling: its front is the latest peak
+  plan::MilliUnits gpus_spare_ = 0;   // that machines have beyond it
+  plan::ResourceAmounts beside_gpu_;  // most that tasks take beside each GPU, as far as seen
 };
 
 }  // namespace foxshunt::control
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -114,31 +114,31 @@
 // another attempt; when the attempt is ended, the fetches of the others are given up. So those that would wait for too
 // long are placed when the others are nearly there: a gang whose fetches differ by more would never begin. A task is
 // never started twice with the same attempt on the same machine, since an old report could then tell of either.
-std::vector<plan::Placing> GangCoordinator::members_due(ClusterState& cluster, Job& job,
-                                                        const std::vector<plan::Placing>& placings, Instant now) {
+std::vector<plan::Placement> GangCoordinator::members_due(ClusterState& cluster, Job& job,
+                                                          const std::vector<plan::Placement>& placements, Instant now) {
   Millis last{};
   Millis first = Millis::max();
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations)
       last = std::max(last, image_left(cluster, job, allocation, now));
   }
-  for (const plan::Placing& placing : placings) {
-    const Millis wait = image_wait(cluster, job, cluster.machines.at(placing.machine));
+  for (const plan::Placement& placement : placements) {
+    const Millis wait = image_wait(cluster, job, cluster.machines.at(placement.machine));
     last = std::max(last, wait);
     first = std::min(first, wait);
   }
   if (last - first > from_seconds(cluster.settings.gang_wait_s) / constants::kGangFetchSpreadDivisor)
     job.in_stages = true;
-  if (!job.in_stages) return placings;
-  std::vector<plan::Placing> due;
-  for (const plan::Placing& placing : placings) {
-    if (image_wait(cluster, job, cluster.machines.at(placing.machine)) >= last) {
-      due.push_back(placing);
+  if (!job.in_stages) return placements;
+  std::vector<plan::Placement> due;
+  for (const plan::Placement& placement : placements) {
+    if (image_wait(cluster, job, cluster.machines.at(placement.machine)) >= last) {
+      due.push_back(placement);
     } else {
-      book_ahead(cluster, job, placing);
+      book_ahead(cluster, job, placement);
     }
   }
-  if (due.size() < placings.size() && !job.gather_until)
+  if (due.size() < placements.size() && !job.gather_until)
     job.gather_until = now + last + barrier_timeout(cluster.settings);
   return due;
 }
@@ -149,39 +149,40 @@
   reservation_.choose(reservation_candidates(cluster, demand, now), now);
 }
 
-std::vector<plan::Placing> GangCoordinator::plan_reserved(const plan::Planner& planner, plan::Request request) const {
-  for (plan::Place& place : request.places) place.preferred = reservation_.keeps(place.node->info.id);
-  std::vector<plan::Placing> placings = planner.plan(request);
-  if (!request.one_zone || placings.empty() || reservation_.zone().empty()) return placings;
+std::vector<plan::Placement> GangCoordinator::plan_reserved(const plan::Planner& planner,
+                                                            plan::PlacementRequest request) const {
+  for (plan::EligibleMachine& place : request.machines) place.preferred = reservation_.keeps(place.machine->spec.id);
+  std::vector<plan::Placement> placements = planner.plan(request);
+  if (!request.one_zone || placements.empty() || reservation_.zone().empty()) return placements;
   // What was kept so far would go to others if it moved to the zone that looks best by the estimates of the moment. It moves
   // only where it can start at once.
-  if (placings.front().start <= request.from) return placings;
+  if (placements.front().start <= request.earliest_start) return placements;
   // Bound to the zone where it is planned already, the same plan would be found again.
-  if (planner.node(placings.front().machine)->info.zone == reservation_.zone()) return placings;
-  request.zone_bound = reservation_.zone();
-  std::vector<plan::Placing> there = planner.plan(request);
-  return there.empty() ? placings : there;
+  if (planner.find_machine(placements.front().machine)->spec.zone == reservation_.zone()) return placements;
+  request.required_zone = reservation_.zone();
+  std::vector<plan::Placement> there = planner.plan(request);
+  return there.empty() ? placements : there;
 }
 
-void GangCoordinator::keep_machines_free(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings,
-                                         Instant now) {
+void GangCoordinator::keep_machines_free(ClusterState& cluster, Job& job,
+                                         const std::vector<plan::Placement>& placements, Instant now) {
   std::set<MachineId> kept;
-  for (const plan::Placing& placing : placings) {
-    const plan::PlanNode* node = cluster.planner.node(placing.machine);
-    const Amounts amounts = job.each.times(placing.count);
-    const plan::Spans free =
-        node->use.free_spans(amounts, constants::kTick, std::max(now, node->info.ready), placing.start);
-    if (free.empty() || free.back().stop != placing.start) continue;
+  for (const plan::Placement& placement : placements) {
+    const plan::PlannedMachine* node = cluster.planner.find_machine(placement.machine);
+    const ResourceAmounts amounts = job.each.times(placement.count);
+    const plan::TimeIntervals free =
+        node->usage.free_intervals(amounts, constants::kTick, std::max(now, node->spec.ready_at), placement.start);
+    if (free.empty() || free.back().stop != placement.start) continue;
     // Its team does not use it yet: others of the team may still reach the team's limit.
-    job.booked.push_back(cluster.planner.book({.machine = placing.machine,
+    job.booked.push_back(cluster.planner.book({.machine = placement.machine,
                                                .team = {},
                                                .amounts = amounts,
                                                .start = free.back().start,
                                                .stop = free.back().stop}));
-    if (free.back().start <= now) kept.insert(placing.machine);
+    if (free.back().start <= now) kept.insert(placement.machine);
   }
-  const bool one_zone = job.spec.one_zone && !placings.empty();
-  reservation_.plan(one_zone ? cluster.machines.at(placings.front().machine).zone : std::string(), std::move(kept));
+  const bool one_zone = job.spec.one_zone && !placements.empty();
+  reservation_.plan(one_zone ? cluster.machines.at(placements.front().machine).zone : std::string(), std::move(kept));
 }
 
 }  // namespace foxshunt::control
--- a/src/control/gang_coordinator.h
+++ b/src/control/gang_coordinator.h
@@ -35,17 +35,19 @@
   [[nodiscard]] static bool survives_loss(ClusterState& cluster, Job& job, bool had_run, Instant now);
   [[nodiscard]] static MissingMembers missing_members(const ClusterState& cluster, Job& job, Instant now);
   // Of a gang's tasks those that are to be placed now; the others' places are booked, see docs/design/gathering.md.
-  [[nodiscard]] static std::vector<plan::Placing> members_due(ClusterState& cluster, Job& job,
-                                                              const std::vector<plan::Placing>& placings, Instant now);
+  [[nodiscard]] static std::vector<plan::Placement> members_due(ClusterState& cluster, Job& job,
+                                                                const std::vector<plan::Placement>& placements,
+                                                                Instant now);
 
   // ---- backfill reservation ----
   // Begins a planning pass.
   void choose_holder(const ClusterState& cluster, const DemandEstimator& demand, Instant now);
   [[nodiscard]] bool holds_reservation(const JobId& job) const { return reservation_.held_by(job); }
   // Plans the gang that holds the reservation: in the zone and on the machines that are kept for it.
-  [[nodiscard]] std::vector<plan::Placing> plan_reserved(const plan::Planner& planner, plan::Request request) const;
+  [[nodiscard]] std::vector<plan::Placement> plan_reserved(const plan::Planner& planner,
+                                                           plan::PlacementRequest request) const;
   // Books the span from which each of the gang's machines is free until its planned start.
-  void keep_machines_free(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  void keep_machines_free(ClusterState& cluster, Job& job, const std::vector<plan::Placement>& placements, Instant now);
 
  private:
   GangReservation reservation_;
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -15,18 +15,18 @@
 
 namespace {
 
-std::vector<plan::Placing> plan_one_per_machine(const plan::Planner& planner, plan::Request request) {
-  std::vector<plan::Placing> placings;
-  const std::vector<plan::Place> places = std::move(request.places);
+std::vector<plan::Placement> plan_one_per_machine(const plan::Planner& planner, plan::PlacementRequest request) {
+  std::vector<plan::Placement> placements;
+  const std::vector<plan::EligibleMachine> places = std::move(request.machines);
   std::uint32_t left = std::exchange(request.count, 1);
   for (auto place = places.begin(); place != places.end() && left > 0; ++place) {
-    request.places = {*place};
-    for (const plan::Placing& placing : planner.plan(request)) {
-      placings.push_back(placing);
+    request.machines = {*place};
+    for (const plan::Placement& placement : planner.plan(request)) {
+      placements.push_back(placement);
       --left;
     }
   }
-  return placings;
+  return placements;
 }
 
 AttemptNumber gang_attempt(const Job& job) {
@@ -47,8 +47,8 @@
   bool joins = false;     // in place of members that a gang lost before its start
   bool warms = false;     // its tasks warm the machines of a pool
   bool reserves = false;  // the gang holds the backfill reservation
-  plan::Request request;
-  std::vector<plan::Placing> placings;
+  plan::PlacementRequest request;
+  std::vector<plan::Placement> placements;
 };
 
 bool JobPlanner::may_replace_members(Job& job, Instant now) {
@@ -65,33 +65,33 @@
   return static_cast<std::uint32_t>(queue_.ranking().room(job.spec, count, gang));
 }
 
-void JobPlanner::add_zones_taken(const Job& job, plan::Request& request) const {
+void JobPlanner::add_zones_taken(const Job& job, plan::PlacementRequest& request) const {
   if (!job.spec.spread && !job.spec.one_zone) return;
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
       const auto machine = cluster_.machines.find(allocation.machine);
       if (machine == cluster_.machines.end()) continue;
-      ++request.zone_taken[machine->second.zone];
-      if (job.spec.one_zone) request.zone_bound = machine->second.zone;
+      ++request.tasks_by_zone[machine->second.zone];
+      if (job.spec.one_zone) request.required_zone = machine->second.zone;
     }
   }
 }
 
-std::vector<plan::Placing> JobPlanner::plan_turn(const JobTurn& turn) const {
+std::vector<plan::Placement> JobPlanner::plan_turn(const JobTurn& turn) const {
   if (turn.reserves) return gangs_.plan_reserved(cluster_.planner, turn.request);
   return turn.warms ? plan_one_per_machine(cluster_.planner, turn.request) : cluster_.planner.plan(turn.request);
 }
 
 std::size_t JobPlanner::find_placings(Job& job, JobTurn& turn, Instant now) {
-  turn.request.places = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
-  std::size_t places = turn.request.places.size();
-  turn.placings = plan_turn(turn);
-  if (!turn.placings.empty() || job.failed_on.empty()) return places;
+  turn.request.machines = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
+  std::size_t places = turn.request.machines.size();
+  turn.placements = plan_turn(turn);
+  if (!turn.placements.empty() || job.failed_on.empty()) return places;
   // It is kept off the machines that it failed on only as long as there are others.
   job.failed_on.clear();
-  turn.request.places = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
-  places += turn.request.places.size();
-  turn.placings = plan_turn(turn);
+  turn.request.machines = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
+  places += turn.request.machines.size();
+  turn.placements = plan_turn(turn);
   return places;
 }
 
@@ -100,9 +100,9 @@
   // Renting helps only a task that a machine rented now would start earlier; those that boot are waited for.
   const Instant rent_after =
       now + std::max(deadlines_.scale_out_delay(job, now), autoscaler_.pricing(cluster_).longest_boot(job.spec));
-  for (const plan::Placing& placing : turn.placings) {
-    planned += placing.count;
-    if (placing.start > rent_after + constants::kTick) job.late_tasks += placing.count;
+  for (const plan::Placement& placement : turn.placements) {
+    planned += placement.count;
+    if (placement.start > rent_after + constants::kTick) job.late_tasks += placement.count;
   }
   if (planned < turn.request.count) job.late_tasks += turn.request.count - planned;
   // The pool's machines are rented by the pool.
@@ -110,11 +110,11 @@
   return planned;
 }
 
-void JobPlanner::book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  for (const plan::Placing& placing : placings) {
-    if (placing.start <= now && cluster_.machines.at(placing.machine).state == MachineState::up) continue;
-    if (!job.planned_start || placing.start < *job.planned_start) job.planned_start = placing.start;
-    book_ahead(cluster_, job, placing);
+void JobPlanner::book_later_starts(Job& job, const std::vector<plan::Placement>& placements, Instant now) {
+  for (const plan::Placement& placement : placements) {
+    if (placement.start <= now && cluster_.machines.at(placement.machine).state == MachineState::up) continue;
+    if (!job.planned_start || placement.start < *job.planned_start) job.planned_start = placement.start;
+    book_ahead(cluster_, job, placement);
   }
 }
 
@@ -144,52 +144,52 @@
   const std::uint32_t planned = count_late_tasks(job, turn, now);
   if (queue_.ranking().on() && !turn.joins) queue_.ranking().take(job.spec, planned);
   const std::uint32_t pending_before = job.pending();
-  if (place_due(job, turn.placings, now) && turn.gang) return places;
-  book_later_starts(job, turn.placings, now);
-  if (turn.reserves) gangs_.keep_machines_free(cluster_, job, turn.placings, now);
+  if (place_due(job, turn.placements, now) && turn.gang) return places;
+  book_later_starts(job, turn.placements, now);
+  if (turn.reserves) gangs_.keep_machines_free(cluster_, job, turn.placements, now);
   if (!turn.warms && !turn.joins)
     job.overdue_tasks = deadlines_.overdue({cluster_, autoscaler_.demand(), autoscaler_.capacity(), queue_.ranking()},
-                                           job, turn.placings, turn.request.places, now);
+                                           job, turn.placements, turn.request.machines, now);
   // Under a cap only what was planned may displace anything.
   const std::uint32_t left = queue_.ranking().on() ? count - (pending_before - job.pending()) : job.pending();
   if (left == 0) return places;
   if (!turn.joins && may_preempt(job, now))
-    Preemptor(cluster_, queue_, tasks_).preempt_for(job, left, turn.request.places, now);
+    Preemptor(cluster_, queue_, tasks_).preempt_for(job, left, turn.request.machines, now);
   if (queue_.ranking().on() && quota_for(cluster_, job, turn.gang ? left : 1)) queue_.ranking().lacks_room(job.spec.id);
   return places;
 }
 
-bool JobPlanner::gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const {
-  const bool all_fit = std::ranges::all_of(placings, [&](const plan::Placing& placing) {
-    const Machine& machine = cluster_.machines.at(placing.machine);
-    return placing.start <= now && cluster_.usable(machine, now) && room_for(cluster_, job, machine, placing.count) &&
-           place_allowed(cluster_, job, machine, placing.count);
+bool JobPlanner::gang_fits_now(const Job& job, const std::vector<plan::Placement>& placements, Instant now) const {
+  const bool all_fit = std::ranges::all_of(placements, [&](const plan::Placement& placement) {
+    const Machine& machine = cluster_.machines.at(placement.machine);
+    return placement.start <= now && cluster_.usable(machine, now) &&
+           room_for(cluster_, job, machine, placement.count) && place_allowed(cluster_, job, machine, placement.count);
   });
-  return all_fit && !placings.empty() && quota_for(cluster_, job, job.pending());
+  return all_fit && !placements.empty() && quota_for(cluster_, job, job.pending());
 }
 
-bool JobPlanner::place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  if (!gang_fits_now(job, placings, now)) return false;
+bool JobPlanner::place_gang(Job& job, const std::vector<plan::Placement>& placements, Instant now) {
+  if (!gang_fits_now(job, placements, now)) return false;
   const AttemptNumber attempt = gang_attempt(job);
   const std::vector<std::uint32_t> tasks = jobs::JobTable::pending_tasks(job, job.spec.tasks);
   auto next = tasks.begin();
-  for (const plan::Placing& placing : GangCoordinator::members_due(cluster_, job, placings, now)) {
-    for (std::uint32_t at = 0; at < placing.count && next != tasks.end(); ++at, ++next) {
-      tasks_.place(job, *next, attempt, cluster_.machines.at(placing.machine), now);
+  for (const plan::Placement& placement : GangCoordinator::members_due(cluster_, job, placements, now)) {
+    for (std::uint32_t at = 0; at < placement.count && next != tasks.end(); ++at, ++next) {
+      tasks_.place(job, *next, attempt, cluster_.machines.at(placement.machine), now);
     }
   }
   if (next == tasks.end()) job.gather_until.reset();
   return true;
 }
 
-bool JobPlanner::place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
+bool JobPlanner::place_due(Job& job, const std::vector<plan::Placement>& placements, Instant now) {
   if (!tasks_.can_start_anything(now)) return false;
-  if (is_gang(job)) return place_gang(job, placings, now);
+  if (is_gang(job)) return place_gang(job, placements, now);
   bool any = false;
-  for (const plan::Placing& placing : placings) {
-    Machine& machine = cluster_.machines.at(placing.machine);
-    if (placing.start > now || !cluster_.usable(machine, now)) continue;
-    for (const std::uint32_t index : jobs::JobTable::pending_tasks(job, placing.count)) {
+  for (const plan::Placement& placement : placements) {
+    Machine& machine = cluster_.machines.at(placement.machine);
+    if (placement.start > now || !cluster_.usable(machine, now)) continue;
+    for (const std::uint32_t index : jobs::JobTable::pending_tasks(job, placement.count)) {
       if (!room_for(cluster_, job, machine, 1) || !quota_for(cluster_, job, 1) ||
           !place_allowed(cluster_, job, machine, 1))
         break;
@@ -209,16 +209,16 @@
   if (!due) return 0;
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
                                            : std::min(job.stranded, std::uint32_t{constants::kMaxTasksPlannedPerPass});
-  plan::Request request = planning_request(job, count, std::max(now, job.stranded_until));
-  request.places = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
+  plan::PlacementRequest request = planning_request(job, count, std::max(now, job.stranded_until));
+  request.machines = MachineFilter(cluster_, autoscaler_.demand()).places_for(job, now);
   std::uint32_t planned = 0;
-  for (const plan::Placing& placing : cluster_.planner.plan(request)) {
-    planned += placing.count;
-    if (placing.start > request.from + constants::kTick) job.late_tasks += placing.count;
-    book_ahead(cluster_, job, placing);
+  for (const plan::Placement& placement : cluster_.planner.plan(request)) {
+    planned += placement.count;
+    if (placement.start > request.earliest_start + constants::kTick) job.late_tasks += placement.count;
+    book_ahead(cluster_, job, placement);
   }
   if (planned < request.count) job.late_tasks += static_cast<std::uint32_t>(request.count - planned);
-  return request.places.size();
+  return request.machines.size();
 }
 
 }  // namespace foxshunt::control
--- a/src/control/job_planner.h
+++ b/src/control/job_planner.h
@@ -40,18 +40,18 @@
   [[nodiscard]] bool may_replace_members(Job& job, Instant now);
   // How many of the job's tasks the pass plans: all of a gang, a portion of others, less what its class's cap keeps back.
   [[nodiscard]] std::uint32_t tasks_to_plan(const Job& job, bool joins);
-  void add_zones_taken(const Job& job, plan::Request& request) const;
-  [[nodiscard]] std::vector<plan::Placing> plan_turn(const JobTurn& turn) const;
-  // Fills in the turn's placings. How many places it looked at.
+  void add_zones_taken(const Job& job, plan::PlacementRequest& request) const;
+  [[nodiscard]] std::vector<plan::Placement> plan_turn(const JobTurn& turn) const;
+  // Fills in the turn's placements. How many places it looked at.
   std::size_t find_placings(Job& job, JobTurn& turn, Instant now);
   // Notes how many tasks start later than on a machine rented now. How many are planned at all.
   std::uint32_t count_late_tasks(Job& job, const JobTurn& turn, Instant now) const;
-  void book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  void book_later_starts(Job& job, const std::vector<plan::Placement>& placements, Instant now);
   [[nodiscard]] bool may_preempt(const Job& job, Instant now) const;
-  [[nodiscard]] bool gang_fits_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const;
-  bool place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  [[nodiscard]] bool gang_fits_now(const Job& job, const std::vector<plan::Placement>& placements, Instant now) const;
+  bool place_gang(Job& job, const std::vector<plan::Placement>& placements, Instant now);
   // Places what may start now. Whether anything was placed.
-  bool place_due(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  bool place_due(Job& job, const std::vector<plan::Placement>& placements, Instant now);
 
   ClusterState& cluster_;
   SchedulingQueue& queue_;
--- a/src/control/job_requirements.cpp
+++ b/src/control/job_requirements.cpp
@@ -7,10 +7,12 @@
 
 namespace foxshunt::control {
 
-plan::Amounts task_amounts(const wire::JobSpec& spec) { return plan::Amounts::from(spec.cpus, spec.gpus, spec.ram_gb); }
+plan::ResourceAmounts task_amounts(const wire::JobSpec& spec) {
+  return plan::ResourceAmounts::from(spec.cpus, spec.gpus, spec.ram_gb);
+}
 
-plan::Amounts capacity_of(const wire::MachineType& type) {
-  return plan::Amounts::from(type.cpus, type.gpus, type.ram_gb);
+plan::ResourceAmounts capacity_of(const wire::MachineType& type) {
+  return plan::ResourceAmounts::from(type.cpus, type.gpus, type.ram_gb);
 }
 
 bool is_type_allowed(const wire::JobSpec& spec, const std::string& type) {
@@ -34,16 +36,16 @@
 
 plan::Millis run_time_beyond_booking(const jobs::Job& job) { return run_time(job) - estimate(job); }
 
-plan::Request planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from) {
-  plan::Request request;
+plan::PlacementRequest planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from) {
+  plan::PlacementRequest request;
   request.team = job.spec.team;
-  request.each = job.each;
+  request.per_task = job.each;
   request.count = count;
   request.duration = estimate(job);
-  request.from = from;
-  request.together = is_gang(job);
+  request.earliest_start = from;
+  request.is_gang = is_gang(job);
   request.one_zone = job.spec.one_zone;
-  if (job.spec.spread) request.zone_most = max_tasks_per_zone(job.spec);
+  if (job.spec.spread) request.zone_task_limit = max_tasks_per_zone(job.spec);
   return request;
 }
 
--- a/src/control/job_requirements.h
+++ b/src/control/job_requirements.h
@@ -11,9 +11,9 @@
 namespace foxshunt::control {
 
 // What one task takes.
-[[nodiscard]] plan::Amounts task_amounts(const wire::JobSpec& spec);
+[[nodiscard]] plan::ResourceAmounts task_amounts(const wire::JobSpec& spec);
 // What a whole machine of the type has.
-[[nodiscard]] plan::Amounts capacity_of(const wire::MachineType& type);
+[[nodiscard]] plan::ResourceAmounts capacity_of(const wire::MachineType& type);
 
 [[nodiscard]] bool is_type_allowed(const wire::JobSpec& spec, const std::string& type);
 [[nodiscard]] bool is_machine_allowed(const wire::JobSpec& spec, const std::string& type, const std::string& zone,
@@ -34,6 +34,6 @@
 
 // Asks the planner for so many of the job's tasks from a moment on; places and what the job has placed already are added by
 // the caller.
-[[nodiscard]] plan::Request planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from);
+[[nodiscard]] plan::PlacementRequest planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from);
 
 }  // namespace foxshunt::control
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -26,7 +26,7 @@
   const wire::MachineType* type;
   bool allowed;
   bool guards_gpus;  // plain work leaves the room beside its GPUs
-  Amounts offered;
+  ResourceAmounts offered;
   Millis fetch;
 };
 
@@ -52,17 +52,17 @@
 
 // Whether a job without GPUs leaves a GPU machine the room that GPU work needs beside it. Where it takes the machine as a
 // whole, the machine's GPUs are taken from the spare ones.
-bool MachineFilter::leaves_gpu_room(const Job& job, const Machine& machine, const Amounts& offered,
-                                    plan::Items& spare_gpus) const {
-  Amounts plain = job.each;
-  Amounts gpu_work;
+bool MachineFilter::leaves_gpu_room(const Job& job, const Machine& machine, const ResourceAmounts& offered,
+                                    plan::MilliUnits& spare_gpus) const {
+  ResourceAmounts plain = job.each;
+  ResourceAmounts gpu_work;
   for (const TaskKey& key : machine.allocations) {
     const Job& other = cluster_.jobs.at(key.job);
     (other.spec.gpus <= 0 ? plain : gpu_work) += other.each;
   }
-  if (plain.fits(offered)) return true;
-  const plan::Items gpus = machine.planned->info.capacity.of[1];
-  if (gpu_work.of[1] > 0 || spare_gpus < gpus) return false;
+  if (plain.fits_in(offered)) return true;
+  const plan::MilliUnits gpus = machine.planned->spec.capacity.values[1];
+  if (gpu_work.values[1] > 0 || spare_gpus < gpus) return false;
   spare_gpus -= gpus;
   return true;
 }
@@ -79,11 +79,11 @@
 }
 
 // Where the job may run at all, and what each machine has to do before it does.
-std::vector<plan::Place> MachineFilter::places_for(const Job& job, Instant now) const {
+std::vector<plan::EligibleMachine> MachineFilter::places_for(const Job& job, Instant now) const {
   const std::vector<TypeFit> fits = type_fits(job);
   const std::optional<std::size_t> warms = cluster_.pools.warms(job.spec, now - job.submitted);
-  plan::Items spare_gpus = demand_.gpus_spare();
-  std::vector<plan::Place> places;
+  plan::MilliUnits spare_gpus = demand_.gpus_spare();
+  std::vector<plan::EligibleMachine> places;
   const TypeFit* fit = nullptr;  // of the machine before, which mostly is of the same type
   for (const auto& [id, machine] : cluster_.machines) {
     if (!may_plan_on(job, machine, now)) continue;
@@ -94,7 +94,7 @@
     }
     if (!fit->allowed || job.failed_on.contains(id) || !do_pools_allow(job, warms, machine, now)) continue;
     if (fit->guards_gpus && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
-    places.push_back({.node = machine.planned, .before = preparation_time(job, machine, fit->fetch, now)});
+    places.push_back({.machine = machine.planned, .setup_time = preparation_time(job, machine, fit->fetch, now)});
   }
   return places;
 }
--- a/src/control/machine_filter.h
+++ b/src/control/machine_filter.h
@@ -20,14 +20,14 @@
       : cluster_(cluster), demand_(demand), pricing_(cluster, demand) {}
 
   // Where the job may run at all, and what each machine has to do before it does.
-  [[nodiscard]] std::vector<plan::Place> places_for(const Job& job, Instant now) const;
+  [[nodiscard]] std::vector<plan::EligibleMachine> places_for(const Job& job, Instant now) const;
 
  private:
   struct TypeFit;
   [[nodiscard]] std::vector<TypeFit> type_fits(const Job& job) const;
   [[nodiscard]] bool may_plan_on(const Job& job, const Machine& machine, Instant now) const;
-  [[nodiscard]] bool leaves_gpu_room(const Job& job, const Machine& machine, const Amounts& offered,
-                                     plan::Items& spare_gpus) const;
+  [[nodiscard]] bool leaves_gpu_room(const Job& job, const Machine& machine, const ResourceAmounts& offered,
+                                     plan::MilliUnits& spare_gpus) const;
   [[nodiscard]] Millis preparation_time(const Job& job, const Machine& machine, Millis fetch, Instant now) const;
   // Whether pools leave the machine to the job. `warms`: the pool that its tasks are to warm.
   [[nodiscard]] bool do_pools_allow(const Job& job, std::optional<std::size_t> warms, const Machine& machine,
--- a/src/control/placement_rules.cpp
+++ b/src/control/placement_rules.cpp
@@ -11,15 +11,15 @@
 bool room_for(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
   const wire::MachineType* kind = cluster.type(machine.type);
   if (kind == nullptr) return false;
-  Amounts used = job.each.times(count);
+  ResourceAmounts used = job.each.times(count);
   for (const TaskKey& key : machine.allocations) used += cluster.jobs.at(key.job).each;
-  return used.fits(capacity_of(*kind));
+  return used.fits_in(capacity_of(*kind));
 }
 
 bool quota_for(const ClusterState& cluster, const Job& job, std::uint32_t count) {
   const config::Team* team = cluster.settings.team(job.spec.team);
   if (team == nullptr) return false;
-  Amounts used = job.each.times(count);
+  ResourceAmounts used = job.each.times(count);
   if (guards::kept(guards::Guard::quota_placed)) used += cluster.jobs.team_use(job.spec.team);
   return TeamQuota(*team).allows(used);
 }
--- a/src/control/planned_bookings.cpp
+++ b/src/control/planned_bookings.cpp
@@ -2,12 +2,12 @@
 
 namespace foxshunt::control {
 
-void book_ahead(ClusterState& cluster, Job& job, const plan::Placing& placing) {
-  job.booked.push_back(cluster.planner.book({.machine = placing.machine,
+void book_ahead(ClusterState& cluster, Job& job, const plan::Placement& placement) {
+  job.booked.push_back(cluster.planner.book({.machine = placement.machine,
                                              .team = job.spec.team,
-                                             .amounts = job.each.times(placing.count),
-                                             .start = placing.start,
-                                             .stop = placing.stop}));
+                                             .amounts = job.each.times(placement.count),
+                                             .start = placement.start,
+                                             .stop = placement.stop}));
 }
 
 void revoke_bookings(ClusterState& cluster, Job& job) {
--- a/src/control/planned_bookings.h
+++ b/src/control/planned_bookings.h
@@ -8,7 +8,7 @@
 namespace foxshunt::control {
 
 // For tasks that start later; revoked by the next pass.
-void book_ahead(ClusterState& cluster, Job& job, const plan::Placing& placing);
+void book_ahead(ClusterState& cluster, Job& job, const plan::Placement& placement);
 void revoke_bookings(ClusterState& cluster, Job& job);
 
 }  // namespace foxshunt::control
--- a/src/control/preemptor.cpp
+++ b/src/control/preemptor.cpp
@@ -32,17 +32,18 @@
   const Millis ran = now - *allocation.running_since;
   const std::uint32_t tasks = whole ? other.allocation_count : 1;
   const Millis repeated = other.spec.checkpoint_s > 0 ? from_seconds(other.spec.save_s) : ran;
-  const plan::Booking* booking = cluster_.planner.booking(allocation.booking);
-  preempt::Victim victim{.job = key.job,
-                         .tasks = {key},
-                         .priority = other.spec.priority,
-                         .borrowed = other.borrowed,
-                         .same_team = other.spec.team == asks.spec.team,
-                         .ran = ran,
-                         .lost = repeated * tasks,
-                         .left = booking == nullptr ? Millis(0) : std::max(Millis(0), booking->stop - now),
-                         .spared = other.displaced ? std::optional(now - *other.displaced) : std::nullopt};
-  victim.kept = queue_.ranking().on() && queue_.is_protected_by_rank(other, victim, asks);
+  const plan::Booking* booking = cluster_.planner.find_booking(allocation.booking);
+  preempt::Victim victim{
+      .job = key.job,
+      .tasks = {key},
+      .priority = other.spec.priority,
+      .borrowed = other.borrowed,
+      .same_team = other.spec.team == asks.spec.team,
+      .running_time = ran,
+      .lost_work = repeated * tasks,
+      .remaining = booking == nullptr ? Millis(0) : std::max(Millis(0), booking->stop - now),
+      .since_last_displaced = other.displaced ? std::optional(now - *other.displaced) : std::nullopt};
+  victim.is_protected = queue_.ranking().on() && queue_.is_protected_by_rank(other, victim, asks);
   if (!whole) return victim;
   victim.tasks.clear();
   for (const JobShard& shard : other.shards) {
@@ -65,21 +66,21 @@
   return number;
 }
 
-std::vector<preempt::Contested> Preemptor::contested_machines(const Job& job, const std::vector<plan::Place>& places,
-                                                              Victims& victims, Instant now) {
-  std::vector<preempt::Contested> machines;
-  for (const plan::Place& place : places) {
-    const Machine& machine = cluster_.machines.at(place.node->info.id);
+std::vector<preempt::PreemptionCandidate> Preemptor::contested_machines(
+    const Job& job, const std::vector<plan::EligibleMachine>& places, Victims& victims, Instant now) {
+  std::vector<preempt::PreemptionCandidate> machines;
+  for (const plan::EligibleMachine& place : places) {
+    const Machine& machine = cluster_.machines.at(place.machine->spec.id);
     if (machine.state != MachineState::up || !place_allowed(cluster_, job, machine, 1)) continue;
-    preempt::Contested contested{
-        .machine = machine.id, .zone = machine.zone, .free = place.node->info.capacity, .held = {}};
-    std::map<std::size_t, Amounts> held;
+    preempt::PreemptionCandidate contested{
+        .machine = machine.id, .zone = machine.zone, .free = place.machine->spec.capacity, .victim_amounts = {}};
+    std::map<std::size_t, ResourceAmounts> held;
     for (const TaskKey& key : machine.allocations) {
-      const Amounts& each = cluster_.jobs.at(key.job).each;
+      const ResourceAmounts& each = cluster_.jobs.at(key.job).each;
       contested.free -= each;
       if (const auto number = victim_of(key, job, victims, now)) held[*number] += each;
     }
-    contested.held.assign(held.begin(), held.end());
+    contested.victim_amounts.assign(held.begin(), held.end());
     machines.push_back(std::move(contested));
   }
   return machines;
@@ -96,26 +97,28 @@
   return victim.tasks.size();
 }
 
-void Preemptor::preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now) {
+void Preemptor::preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::EligibleMachine>& places,
+                            Instant now) {
   if (!tasks_.can_start_anything(now)) return;
   const std::uint32_t count = tasks_to_preempt_for(job, tasks_most);
   if (count == 0) return;
-  const preempt::Need need{.each = job.each,
-                           .count = count,
-                           .together = is_gang(job),
-                           .one_zone = job.spec.one_zone,
-                           .priority = job.spec.priority,
-                           .guaranteed = !job.borrowed,
-                           .wait = std::min(job.planned_start.value_or(plan::kForever) - now, constants::kPlanHorizon)};
+  const preempt::PreemptionRequest need{
+      .per_task = job.each,
+      .count = count,
+      .is_gang = is_gang(job),
+      .one_zone = job.spec.one_zone,
+      .priority = job.spec.priority,
+      .guaranteed = !job.borrowed,
+      .expected_wait = std::min(job.planned_start.value_or(plan::kForever) - now, constants::kPlanHorizon)};
   Victims victims;
-  const std::vector<preempt::Contested> machines = contested_machines(job, places, victims, now);
+  const std::vector<preempt::PreemptionCandidate> machines = contested_machines(job, places, victims, now);
   const std::vector<std::size_t> chosen = preempt::choose_victims(need, victims.all, machines);
   job.displaces_after = now + constants::kPreemptionInterval;
   std::size_t stopped = 0;
   for (const std::size_t number : chosen) stopped += stop_victim(victims.all[number], now);
   if (stopped == 0) return;
   spdlog::info("{} tasks of {} jobs are stopped to make room for {} of job {}, which would wait {:.0f} s", stopped,
-               chosen.size(), count, job.spec.id.text(), to_seconds(need.wait));
+               chosen.size(), count, job.spec.id.text(), to_seconds(need.expected_wait));
 }
 
 }  // namespace foxshunt::control
--- a/src/control/preemptor.h
+++ b/src/control/preemptor.h
@@ -23,7 +23,7 @@
       : cluster_(cluster), queue_(queue), tasks_(tasks) {}
 
   // Stops work that has to give way to the job, if that makes room for it.
-  void preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::Place>& places, Instant now);
+  void preempt_for(Job& job, std::uint32_t tasks_most, const std::vector<plan::EligibleMachine>& places, Instant now);
 
  private:
   struct Victims;
@@ -32,9 +32,8 @@
                                                 const Job& asks, Instant now) const;
   [[nodiscard]] std::optional<std::size_t> victim_of(const TaskKey& key, const Job& asks, Victims& victims,
                                                      Instant now);
-  [[nodiscard]] std::vector<preempt::Contested> contested_machines(const Job& job,
-                                                                   const std::vector<plan::Place>& places,
-                                                                   Victims& victims, Instant now);
+  [[nodiscard]] std::vector<preempt::PreemptionCandidate> contested_machines(
+      const Job& job, const std::vector<plan::EligibleMachine>& places, Victims& victims, Instant now);
   // How many tasks it stops.
   std::size_t stop_victim(const preempt::Victim& victim, Instant now);
 
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -15,7 +15,7 @@
 void extend_overrunning(ClusterState& cluster, const Job& job, Instant now) {
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
-      const plan::Booking* booking = cluster.planner.booking(allocation.booking);
+      const plan::Booking* booking = cluster.planner.find_booking(allocation.booking);
       if (booking != nullptr && booking->stop <= now + constants::kTick) {
         cluster.planner.extend(allocation.booking, now + estimate(job));
       }
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -18,11 +18,12 @@
 // How much later than it was submitted a job counts as submitted: the more it takes, the later, and later still once it
 // has missed what its class is hoped to wait at most.
 Millis aging_penalty(const ClusterState& cluster, const Job& job, Instant now) {
-  const Amounts fleet = cluster.planner.fleet().capacity();
+  const ResourceAmounts fleet = cluster.planner.fleet().capacity();
   double share = 0;
-  for (std::size_t r = 0; r < plan::kResources; ++r) {
-    if (fleet.of[r] <= 0) continue;
-    share = std::max(share, static_cast<double>(job.each.of[r]) * job.spec.tasks / static_cast<double>(fleet.of[r]));
+  for (std::size_t r = 0; r < plan::kResourceCount; ++r) {
+    if (fleet.values[r] <= 0) continue;
+    share = std::max(share,
+                     static_cast<double>(job.each.values[r]) * job.spec.tasks / static_cast<double>(fleet.values[r]));
   }
   const Millis work = from_seconds(share * to_seconds(estimate(job)) * constants::kAgingPenaltyPerWork);
   // What was hoped for a job and can't be had any more must not cost those that can still have it.
@@ -37,7 +38,7 @@
 aging::WaitingJob waiting_job(const ClusterState& cluster, const DemandEstimator& demand, const Job& job, Instant now) {
   return {.submitted = job.submitted,
           .aging_penalty = aging_penalty(cluster, job, now),
-          .largest = demand.largest(job.spec.job_class, job.spec.tasks)};
+          .is_among_largest = demand.largest(job.spec.job_class, job.spec.tasks)};
 }
 
 // When the job counts as submitted, in the planning order.
@@ -146,7 +147,7 @@
   return std::ranges::any_of(ranking_.lacking(), [&](const classes::Rank* rank) {
     preempt::Victim seen{.priority = victim.priority, .borrowed = victim.borrowed};
     seen.same_team = rank->team == runs.spec.team;
-    return !preempt::entitled({.priority = rank->priority, .guaranteed = !rank->borrowed}, seen);
+    return !preempt::is_preemption_allowed({.priority = rank->priority, .guaranteed = !rank->borrowed}, seen);
   });
 }
 
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -51,11 +51,13 @@
   return jobs;
 }
 
-plan::Items items_of(std::uint64_t count) {
-  return static_cast<plan::Items>(std::min<std::uint64_t>(count, std::uint64_t{1} << 40));
+plan::MilliUnits items_of(std::uint64_t count) {
+  return static_cast<plan::MilliUnits>(std::min<std::uint64_t>(count, std::uint64_t{1} << 40));
 }
 
-std::uint64_t count_of(plan::Items items) { return static_cast<std::uint64_t>(std::max<plan::Items>(0, items)); }
+std::uint64_t count_of(plan::MilliUnits items) {
+  return static_cast<std::uint64_t>(std::max<plan::MilliUnits>(0, items));
+}
 
 void add_machines(std::vector<SoftStateEntry>& entries, const ClusterState& cluster) {
   for (const auto& [id, machine] : cluster.machines) {
@@ -165,8 +167,8 @@
 
 void add_gpu_demand(std::vector<SoftStateEntry>& entries, const DemandEstimator& demand) {
   standby::GpuDemand gpus{.peaks = {},
-                          .cpus_beside = count_of(demand.beside_gpu().of[0]),
-                          .ram_beside = count_of(demand.beside_gpu().of[2])};
+                          .cpus_beside = count_of(demand.beside_gpu().values[0]),
+                          .ram_beside = count_of(demand.beside_gpu().values[2])};
   for (const auto& [when, items] : demand.gpu_peaks()) {
     if (gpus.peaks.size() < constants::kMaxStandbyList / 2) gpus.peaks.emplace_back(when, count_of(items));
   }
--- a/src/control/task_pricing.cpp
+++ b/src/control/task_pricing.cpp
@@ -8,17 +8,17 @@
 
 namespace foxshunt::control {
 
-Amounts TaskPricing::offered(const wire::JobSpec& spec, const wire::MachineType& kind) const {
+ResourceAmounts TaskPricing::offered(const wire::JobSpec& spec, const wire::MachineType& kind) const {
   return demand_.offered(spec, kind, cluster_.types);
 }
 
 // The longest, as it isn't known yet which kind will be rented: a shorter one would have tasks that wait for a slow
 // kind rent again in every pass until the cloud has no more.
 Millis TaskPricing::longest_boot(const wire::JobSpec& spec) const {
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   double longest_s = 0;
   for (const wire::MachineType& kind : cluster_.types) {
-    if (is_type_allowed(spec, kind.name) && each.count_in(offered(spec, kind)) > 0)
+    if (is_type_allowed(spec, kind.name) && each.count_fitting_in(offered(spec, kind)) > 0)
       longest_s = std::max(longest_s, kind.boot_s);
   }
   return from_seconds(longest_s) + constants::kCloudCallTimeout;
@@ -35,10 +35,10 @@
 
 // From the wish for a machine to a task that runs on it.
 double TaskPricing::shortest_startup_s(const wire::JobSpec& spec) const {
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   double cover_s = 0;
   for (const wire::MachineType& kind : cluster_.types) {
-    if (each.count_in(offered(spec, kind)) <= 0) continue;
+    if (each.count_fitting_in(offered(spec, kind)) <= 0) continue;
     const double kind_s = kind.boot_s * constants::kBootSlackFactor + to_seconds(cluster_.fetch_time(spec, kind.name)) +
                           cluster_.settings.heartbeat_interval_s;
     cover_s = cover_s == 0 ? kind_s : std::min(cover_s, kind_s);
@@ -61,7 +61,7 @@
     const wire::JobSpec& spec = entry.second.sample;
     if (!is_urgent_class(entry.first, spec) || !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       return false;
-    const std::int64_t fit = task_amounts(spec).count_in(offered(spec, *kind));
+    const std::int64_t fit = task_amounts(spec).count_fitting_in(offered(spec, *kind));
     const double hourly = hourly_price(*kind, machine.spot);
     return fit > 0 && hourly / static_cast<double>(fit) <= constants::kMaxReservePriceFactor * lowest_price(spec);
   });
@@ -79,10 +79,10 @@
 }
 
 double TaskPricing::lowest_price(const wire::JobSpec& spec) const {
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   double least = 0;
   for (const wire::MachineType& kind : cluster_.types) {
-    const std::int64_t fit = each.count_in(offered(spec, kind));
+    const std::int64_t fit = each.count_fitting_in(offered(spec, kind));
     if (fit <= 0 || !is_type_allowed(spec, kind.name)) continue;
     const double price = (spec.spot ? std::min(kind.spot_price, kind.price) : kind.price) / static_cast<double>(fit);
     if (least == 0 || price < least) least = price;
--- a/src/control/task_pricing.h
+++ b/src/control/task_pricing.h
@@ -21,7 +21,7 @@
   TaskPricing(const ClusterState& cluster, const DemandEstimator& demand) : cluster_(cluster), demand_(demand) {}
 
   // What a machine of the kind has for the job: work without GPUs leaves room for those that have use for them.
-  [[nodiscard]] Amounts offered(const wire::JobSpec& spec, const wire::MachineType& kind) const;
+  [[nodiscard]] ResourceAmounts offered(const wire::JobSpec& spec, const wire::MachineType& kind) const;
   // An hour of the cheapest kind for one task of the job, whether there is one to rent or not.
   [[nodiscard]] double lowest_price(const wire::JobSpec& spec) const;
   // How long tasks of the job wait for a machine that boots rather than for another one to be rented.
--- a/src/control/team_quota.cpp
+++ b/src/control/team_quota.cpp
@@ -5,24 +5,26 @@
 namespace foxshunt::control {
 
 TeamQuota::TeamQuota(const config::Team& team) {
-  const plan::Amounts limit = plan::Amounts::from(team.cpus_max, team.gpus_max, 0);
-  if (team.cpus_max > 0) limits_[0] = limit.of[0];
-  if (team.gpus_max > 0) limits_[1] = limit.of[1];
+  const plan::ResourceAmounts limit = plan::ResourceAmounts::from(team.cpus_max, team.gpus_max, 0);
+  if (team.cpus_max > 0) limits_[0] = limit.values[0];
+  if (team.gpus_max > 0) limits_[1] = limit.values[1];
 }
 
-bool TeamQuota::allows(const plan::Amounts& used) const {
-  for (std::size_t resource = 0; resource < plan::kResources; ++resource) {
-    if (limits_[resource] && used.of[resource] > *limits_[resource]) return false;
+bool TeamQuota::allows(const plan::ResourceAmounts& used) const {
+  for (std::size_t resource = 0; resource < plan::kResourceCount; ++resource) {
+    if (limits_[resource] && used.values[resource] > *limits_[resource]) return false;
   }
   return true;
 }
 
-std::optional<std::uint64_t> TeamQuota::remaining_tasks(const plan::Amounts& each, const plan::Amounts& used) const {
+std::optional<std::uint64_t> TeamQuota::remaining_tasks(const plan::ResourceAmounts& each,
+                                                        const plan::ResourceAmounts& used) const {
   std::optional<std::uint64_t> remaining;
-  for (std::size_t resource = 0; resource < plan::kResources; ++resource) {
+  for (std::size_t resource = 0; resource < plan::kResourceCount; ++resource) {
     // A quota that rounds to nothing is none to a forecast.
-    if (!limits_[resource] || *limits_[resource] <= 0 || each.of[resource] <= 0) continue;
-    const plan::Items left = std::max<plan::Items>(0, *limits_[resource] - used.of[resource]) / each.of[resource];
+    if (!limits_[resource] || *limits_[resource] <= 0 || each.values[resource] <= 0) continue;
+    const plan::MilliUnits left =
+        std::max<plan::MilliUnits>(0, *limits_[resource] - used.values[resource]) / each.values[resource];
     remaining = std::min(remaining.value_or(UINT64_MAX), static_cast<std::uint64_t>(left));
   }
   return remaining;
--- a/src/control/team_quota.h
+++ b/src/control/team_quota.h
@@ -15,13 +15,13 @@
   explicit TeamQuota(const config::Team& team);
 
   // Whether the team may use so much at once.
-  [[nodiscard]] bool allows(const plan::Amounts& used) const;
+  [[nodiscard]] bool allows(const plan::ResourceAmounts& used) const;
   // How many tasks more may run beside what is used; nothing if the quota bounds nothing that a task takes.
-  [[nodiscard]] std::optional<std::uint64_t> remaining_tasks(const plan::Amounts& each,
-                                                             const plan::Amounts& used) const;
+  [[nodiscard]] std::optional<std::uint64_t> remaining_tasks(const plan::ResourceAmounts& each,
+                                                             const plan::ResourceAmounts& used) const;
 
  private:
-  std::array<std::optional<plan::Items>, plan::kResources> limits_;  // nothing: unlimited
+  std::array<std::optional<plan::MilliUnits>, plan::kResourceCount> limits_;  // nothing: unlimited
 };
 
 }  // namespace foxshunt::control
--- a/src/inventory/machine_inventory.h
+++ b/src/inventory/machine_inventory.h
@@ -79,8 +79,8 @@
   std::optional<Instant> idle_since;
   Instant known;  // first heard of by this leader
   Listing listed;
-  std::string why;                          // it is drained or returned
-  const plan::PlanNode* planned = nullptr;  // of the planner, once its type is known
+  std::string why;                                // it is drained or returned
+  const plan::PlannedMachine* planned = nullptr;  // of the planner, once its type is known
 
   // Empty while only a sibling's word tells it: what grants and placements may not be wrong about is not taken from that.
   [[nodiscard]] std::string seen_zone() const { return hinted == Hinted::no ? zone : std::string(); }
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -16,9 +16,9 @@
 
 namespace foxshunt::jobs {
 
-using plan::Amounts;
 using plan::Instant;
 using plan::Millis;
+using plan::ResourceAmounts;
 
 class JobTable;
 
@@ -111,7 +111,7 @@
 
 struct Job : SchedulingState {
   wire::JobSpec spec;
-  Amounts each;
+  ResourceAmounts each;
   Instant submitted;
   std::int64_t submitted_wall_ms = 0;
   Revision revision;  // of live/<job>
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -28,9 +28,9 @@
   return tasks;
 }
 
-Amounts JobTable::team_use(const std::string& team) const {
+ResourceAmounts JobTable::team_use(const std::string& team) const {
   const auto known = team_use_.find(team);
-  return known == team_use_.end() ? Amounts{} : known->second;
+  return known == team_use_.end() ? ResourceAmounts{} : known->second;
 }
 
 bool JobTable::settled(const TaskKey& task) const {
@@ -51,7 +51,7 @@
                    inventory::MachineInventory& machines, Instant now) {
   Job& job = jobs_[record.spec.id];
   job.spec = record.spec;
-  job.each = Amounts::from(record.spec.cpus, record.spec.gpus, record.spec.ram_gb);
+  job.each = ResourceAmounts::from(record.spec.cpus, record.spec.gpus, record.spec.ram_gb);
   job.submitted_wall_ms = record.submitted_wall_ms;
   job.submitted = now - Millis(std::max<std::int64_t>(0, wall_ms - record.submitted_wall_ms));
   job.not_before = job.submitted;
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -60,7 +60,7 @@
   // Tasks that are neither done nor placed, lowest first.
   [[nodiscard]] static std::vector<std::uint32_t> pending_tasks(const Job& job, std::uint32_t most);
   // Everything that is placed and not proved gone.
-  [[nodiscard]] Amounts team_use(const std::string& team) const;
+  [[nodiscard]] ResourceAmounts team_use(const std::string& team) const;
   // Whether the record says how the task ended, or nobody asks any more.
   [[nodiscard]] bool settled(const TaskKey& task) const;
   [[nodiscard]] static bool all_durable(const Job& job);
@@ -128,9 +128,9 @@
   static void make_durable(JobShard& shard, const std::vector<AllocationReference>& written, Instant now);
 
   std::map<JobId, Job> jobs_;
-  DirtyParts dirty_;                         // memory is ahead of their records
-  std::set<JobId> ended_;                    // removed by us; the watch may still tell of them
-  std::map<std::string, Amounts> team_use_;  // everything placed and not proved gone
+  DirtyParts dirty_;                                 // memory is ahead of their records
+  std::set<JobId> ended_;                            // removed by us; the watch may still tell of them
+  std::map<std::string, ResourceAmounts> team_use_;  // everything placed and not proved gone
 };
 
 }  // namespace foxshunt::jobs
--- a/src/jobs/job_table_consistency.cpp
+++ b/src/jobs/job_table_consistency.cpp
@@ -86,7 +86,7 @@
 
   const JobTable& table_;
   const inventory::MachineInventory& machines_;
-  std::map<std::string, Amounts> used_;          // by team, as the runs say
+  std::map<std::string, ResourceAmounts> used_;  // by team, as the runs say
   std::map<MachineId, std::size_t> on_machine_;  // runs, as the jobs say
 };
 
--- a/src/plan/planner.cpp
+++ b/src/plan/planner.cpp
@@ -5,57 +5,57 @@
 
 namespace foxshunt::plan {
 
-void Planner::set_team(const std::string& team, const TeamLimit& limit) { limits_[team] = limit; }
+void Planner::set_team_limit(const std::string& team, const TeamLimit& limit) { team_limits_[team] = limit; }
 
-std::size_t Planner::zone_number(const std::string& zone) {
+std::size_t Planner::find_or_add_zone(const std::string& zone) {
   const auto known = std::ranges::find(zones_, zone);
   if (known != zones_.end()) return static_cast<std::size_t>(known - zones_.begin());
   zones_.push_back(zone);
   return zones_.size() - 1;
 }
 
-void Planner::set_machine(const PlanMachine& machine) {
-  Amounts total = fleet_.capacity();
-  const auto [entry, fresh] = nodes_.try_emplace(machine.id);
-  if (!fresh) total -= entry->second.info.capacity;
+void Planner::set_machine(const MachineSpec& machine) {
+  ResourceAmounts total = fleet_.capacity();
+  const auto [entry, inserted] = machines_.try_emplace(machine.id);
+  if (!inserted) total -= entry->second.spec.capacity;
   total += machine.capacity;
-  entry->second.info = machine;
-  entry->second.use.set_capacity(machine.capacity);
-  entry->second.zone = zone_number(machine.zone);
+  entry->second.spec = machine;
+  entry->second.usage.set_capacity(machine.capacity);
+  entry->second.zone_index = find_or_add_zone(machine.zone);
   fleet_.set_capacity(total);
   // After a takeover what runs on a machine is known from its record before the machine is. Left out of the machine's use,
   // it would be taken from it all the same when it is revoked: the machine then seemed to have more room than it has, work
   // was booked there that could not be placed, and machines that were really free went back to the cloud as idle.
-  const auto waiting = homeless_.find(machine.id);
-  if (waiting == homeless_.end()) return;
-  for (const BookingId id : waiting->second) {
-    if (const Booking* kept = booking(id)) entry->second.use.book(kept->amounts, kept->start, kept->stop);
+  const auto pending = bookings_without_machine_.find(machine.id);
+  if (pending == bookings_without_machine_.end()) return;
+  for (const BookingId id : pending->second) {
+    if (const Booking* found = find_booking(id)) entry->second.usage.book(found->amounts, found->start, found->stop);
   }
-  homeless_.erase(waiting);
+  bookings_without_machine_.erase(pending);
 }
 
-void Planner::remove_machine(const MachineId& machine) {
-  const auto entry = nodes_.find(machine);
-  if (entry == nodes_.end()) return;
-  Amounts total = fleet_.capacity();
-  total -= entry->second.info.capacity;
+void Planner::remove_machine(const MachineId& machine_id) {
+  const auto entry = machines_.find(machine_id);
+  if (entry == machines_.end()) return;
+  ResourceAmounts total = fleet_.capacity();
+  total -= entry->second.spec.capacity;
   fleet_.set_capacity(total);
-  nodes_.erase(entry);
+  machines_.erase(entry);
 }
 
-const PlanNode* Planner::node(const MachineId& machine) const {
-  const auto entry = nodes_.find(machine);
-  return entry == nodes_.end() ? nullptr : &entry->second;
+const PlannedMachine* Planner::find_machine(const MachineId& machine_id) const {
+  const auto entry = machines_.find(machine_id);
+  return entry == machines_.end() ? nullptr : &entry->second;
 }
 
 BookingId Planner::book(const Booking& booking) {
   const BookingId id = next_booking_++;
   fleet_.book(booking.amounts, booking.start, booking.stop);
-  teams_[booking.team].book(booking.amounts, booking.start, booking.stop);
-  if (const auto node = nodes_.find(booking.machine); node != nodes_.end()) {
-    node->second.use.book(booking.amounts, booking.start, booking.stop);
+  usage_by_team_[booking.team].book(booking.amounts, booking.start, booking.stop);
+  if (const auto machine = machines_.find(booking.machine); machine != machines_.end()) {
+    machine->second.usage.book(booking.amounts, booking.start, booking.stop);
   } else {
-    homeless_[booking.machine].push_back(id);
+    bookings_without_machine_[booking.machine].push_back(id);
   }
   bookings_.emplace(id, booking);
   return id;
@@ -66,9 +66,9 @@
   if (entry == bookings_.end()) return;
   const Booking& booking = entry->second;
   fleet_.revoke(booking.amounts, booking.start, booking.stop);
-  teams_[booking.team].revoke(booking.amounts, booking.start, booking.stop);
-  if (const auto node = nodes_.find(booking.machine); node != nodes_.end()) {
-    node->second.use.revoke(booking.amounts, booking.start, booking.stop);
+  usage_by_team_[booking.team].revoke(booking.amounts, booking.start, booking.stop);
+  if (const auto machine = machines_.find(booking.machine); machine != machines_.end()) {
+    machine->second.usage.revoke(booking.amounts, booking.start, booking.stop);
   }
   bookings_.erase(entry);
 }
@@ -78,22 +78,22 @@
   if (entry == bookings_.end() || stop <= entry->second.stop) return;
   Booking& booking = entry->second;
   fleet_.book(booking.amounts, booking.stop, stop);
-  teams_[booking.team].book(booking.amounts, booking.stop, stop);
-  if (const auto node = nodes_.find(booking.machine); node != nodes_.end()) {
-    node->second.use.book(booking.amounts, booking.stop, stop);
+  usage_by_team_[booking.team].book(booking.amounts, booking.stop, stop);
+  if (const auto machine = machines_.find(booking.machine); machine != machines_.end()) {
+    machine->second.usage.book(booking.amounts, booking.stop, stop);
   }
   booking.stop = stop;
 }
 
-const Booking* Planner::booking(BookingId id) const {
+const Booking* Planner::find_booking(BookingId id) const {
   const auto entry = bookings_.find(id);
   return entry == bookings_.end() ? nullptr : &entry->second;
 }
 
 void Planner::forget_before(Instant when) {
   fleet_.forget_before(when);
-  for (auto& [unused, node] : nodes_) node.use.forget_before(when);
-  for (auto& [unused, use] : teams_) use.forget_before(when);
+  for (auto& [unused, machine] : machines_) machine.usage.forget_before(when);
+  for (auto& [unused, usage] : usage_by_team_) usage.forget_before(when);
 }
 
 }  // namespace foxshunt::plan
--- a/src/plan/planner_search.cpp
+++ b/src/plan/planner_search.cpp
@@ -11,15 +11,15 @@
 
 // How many tasks of a gang the machines of each zone could hold at a moment, if each that has room for one task were empty:
 // a bound that changes where a machine's span begins and after the last start that fits it. The moment only moves on.
-class ZoneBounds {
+class ZoneCapacityBounds {
  public:
-  explicit ZoneBounds(std::size_t zones) : tasks_(zones, 0) {}
+  explicit ZoneCapacityBounds(std::size_t zones) : tasks_by_zone_(zones, 0) {}
 
   // A machine of the zone holds so many tasks in the span; each takes `duration` there.
-  void add(std::size_t zone, std::int64_t tasks, const Span& span, Millis duration) {
-    edges_.push_back({.at = span.start, .ends = false, .tasks = tasks, .zone = zone});
-    if (span.stop == kForever) return;
-    edges_.push_back({.at = span.stop - duration, .ends = true, .tasks = tasks, .zone = zone});
+  void add(std::size_t zone, std::int64_t tasks, const TimeInterval& interval, Millis duration) {
+    edges_.push_back({.at = interval.start, .ends = false, .tasks = tasks, .zone = zone});
+    if (interval.stop == kForever) return;
+    edges_.push_back({.at = interval.stop - duration, .ends = true, .tasks = tasks, .zone = zone});
   }
 
   // After all are added, before the first move.
@@ -28,16 +28,18 @@
     std::ranges::sort(edges_, {}, [](const Edge& edge) { return std::pair(edge.at, edge.ends); });
   }
 
-  void move_to(Instant start) {
-    for (; passed_ < edges_.size(); ++passed_) {
-      const Edge& edge = edges_[passed_];
+  void advance_to(Instant start) {
+    for (; next_edge_ < edges_.size(); ++next_edge_) {
+      const Edge& edge = edges_[next_edge_];
       if (edge.at > start || (edge.at == start && edge.ends)) return;
-      tasks_[edge.zone] += edge.ends ? -edge.tasks : edge.tasks;
+      tasks_by_zone_[edge.zone] += edge.ends ? -edge.tasks : edge.tasks;
     }
   }
 
-  [[nodiscard]] std::int64_t of(std::size_t zone) const { return tasks_[zone]; }
-  [[nodiscard]] std::int64_t total() const { return std::accumulate(tasks_.begin(), tasks_.end(), std::int64_t{0}); }
+  [[nodiscard]] std::int64_t tasks_in(std::size_t zone) const { return tasks_by_zone_[zone]; }
+  [[nodiscard]] std::int64_t total() const {
+    return std::accumulate(tasks_by_zone_.begin(), tasks_by_zone_.end(), std::int64_t{0});
+  }
 
  private:
   struct Edge {
@@ -47,260 +49,285 @@
     std::size_t zone = 0;
   };
   std::vector<Edge> edges_;
-  std::size_t passed_ = 0;
-  std::vector<std::int64_t> tasks_;
+  std::size_t next_edge_ = 0;
+  std::vector<std::int64_t> tasks_by_zone_;
 };
 
 }  // namespace
 
 // W = max over resources of (its share of the fleet), times the fleet's cores, plus priority times cores.
-double Planner::weight(const PlanNode& node) const {
-  const Amounts total = fleet_.capacity();
+double Planner::weight(const PlannedMachine& machine) const {
+  const ResourceAmounts total = fleet_.capacity();
   double share = 0;
-  for (std::size_t r = 0; r < kResources; ++r) {
-    if (total.of[r] > 0) {
-      share = std::max(share, static_cast<double>(node.info.capacity.of[r]) / static_cast<double>(total.of[r]));
+  for (std::size_t r = 0; r < kResourceCount; ++r) {
+    if (total.values[r] > 0) {
+      share =
+          std::max(share, static_cast<double>(machine.spec.capacity.values[r]) / static_cast<double>(total.values[r]));
     }
   }
-  const double cores = static_cast<double>(total.of[0]);
-  return share * cores + node.info.priority * cores;
+  const double cores = static_cast<double>(total.values[0]);
+  return share * cores + machine.spec.priority * cores;
 }
 
 // The paper's uRS: the fleet's use plus what is kept free, within the team's limit.
-Planner::View Planner::view_of(const Request& request) const {
-  static const ResourceSet kUnused;
-  const auto team_entry = teams_.find(request.team);
-  const ResourceSet& team = team_entry == teams_.end() ? kUnused : team_entry->second;
-  const auto limit_entry = limits_.find(request.team);
-  const TeamLimit limit = limit_entry == limits_.end() ? TeamLimit{} : limit_entry->second;
-  const std::array<std::optional<Items>, kResources> limits{limit.cpus, limit.gpus, std::nullopt};
-  View view;
-  for (std::size_t r = 0; r < kResources; ++r) {
-    if (request.each.of[r] <= 0) continue;
-    if (request.keep_free.of[r] > 0) {
-      UsageVector kept = fleet_.of(r);
-      kept.add({request.from, kForever, request.keep_free.of[r]});
-      view[r] = limits[r] ? UsageVector::min_free(kept, *limits[r], team.of(r)) : std::move(kept);
+Planner::UsageView Planner::make_usage_view(const PlacementRequest& request) const {
+  static const ResourceUsage kNoUsage;
+  const auto team_entry = usage_by_team_.find(request.team);
+  const ResourceUsage& team_usage = team_entry == usage_by_team_.end() ? kNoUsage : team_entry->second;
+  const auto limit_entry = team_limits_.find(request.team);
+  const TeamLimit limit = limit_entry == team_limits_.end() ? TeamLimit{} : limit_entry->second;
+  const std::array<std::optional<MilliUnits>, kResourceCount> limits{limit.cpus, limit.gpus, std::nullopt};
+  UsageView view;
+  for (std::size_t r = 0; r < kResourceCount; ++r) {
+    if (request.per_task.values[r] <= 0) continue;
+    if (request.keep_free.values[r] > 0) {
+      UsageVector fleet_usage = fleet_.usage_of(r);
+      fleet_usage.add({request.earliest_start, kForever, request.keep_free.values[r]});
+      view[r] =
+          limits[r] ? UsageVector::min_free(fleet_usage, *limits[r], team_usage.usage_of(r)) : std::move(fleet_usage);
     } else {
-      view[r] = limits[r] ? UsageVector::min_free(fleet_.of(r), *limits[r], team.of(r)) : fleet_.of(r);
+      view[r] = limits[r] ? UsageVector::min_free(fleet_.usage_of(r), *limits[r], team_usage.usage_of(r))
+                          : fleet_.usage_of(r);
     }
   }
   return view;
 }
 
-std::vector<std::uint32_t> Planner::taken_by_zone(const Request& request) const {
-  std::vector<std::uint32_t> taken(zones_.size(), 0);
+std::vector<std::uint32_t> Planner::count_tasks_by_zone(const PlacementRequest& request) const {
+  std::vector<std::uint32_t> placed_tasks(zones_.size(), 0);
   for (std::size_t zone = 0; zone < zones_.size(); ++zone) {
-    if (const auto entry = request.zone_taken.find(zones_[zone]); entry != request.zone_taken.end())
-      taken[zone] = entry->second;
+    if (const auto entry = request.tasks_by_zone.find(zones_[zone]); entry != request.tasks_by_zone.end())
+      placed_tasks[zone] = entry->second;
   }
-  return taken;
+  return placed_tasks;
 }
 
 struct Planner::Candidate {
-  const PlanNode* node = nullptr;
-  Millis before{};  // fetching
+  const PlannedMachine* machine = nullptr;
+  Millis setup_time{};  // fetching
   bool preferred = false;
   double weight = 0;
-  Spans spans;  // where one task fits for `before` + duration
+  TimeIntervals intervals;  // where one task fits for `before` + duration
 };
 
-std::vector<Placing> Planner::plan(const Request& request) const {
+std::vector<Placement> Planner::plan(const PlacementRequest& request) const {
   if (request.count == 0) return {};
   std::vector<Candidate> candidates;
-  candidates.reserve(request.places.size());
-  for (const Place& place : request.places) {
-    const PlanNode& node = *place.node;
-    if (!request.each.fits(node.info.capacity)) continue;
-    const Instant from = std::max(request.from, node.info.ready);
-    Spans spans = node.use.free_spans(request.each, place.before + request.duration, from, node.info.until);
-    if (spans.empty()) continue;
-    candidates.push_back({.node = &node,
-                          .before = place.before,
-                          .preferred = place.preferred,
-                          .weight = weight(node),
-                          .spans = std::move(spans)});
+  candidates.reserve(request.machines.size());
+  for (const EligibleMachine& eligible : request.machines) {
+    const PlannedMachine& machine = *eligible.machine;
+    if (!request.per_task.fits_in(machine.spec.capacity)) continue;
+    const Instant from = std::max(request.earliest_start, machine.spec.ready_at);
+    TimeIntervals intervals = machine.usage.free_intervals(request.per_task, eligible.setup_time + request.duration,
+                                                           from, machine.spec.available_until);
+    if (intervals.empty()) continue;
+    candidates.push_back({.machine = &machine,
+                          .setup_time = eligible.setup_time,
+                          .preferred = eligible.preferred,
+                          .weight = weight(machine),
+                          .intervals = std::move(intervals)});
   }
   if (candidates.empty()) return {};
-  return request.together ? plan_together(request, candidates) : plan_apart(request, std::move(candidates));
+  return request.is_gang ? plan_gang(request, candidates) : plan_independent_tasks(request, std::move(candidates));
 }
 
 // What plan_apart has placed so far counts against the fleet, the team and the zones at once.
 struct Planner::Progress {
-  View view;
-  std::vector<std::uint32_t> in_zone;
-  std::optional<std::string> zone_bound;
-  std::map<const PlanNode*, ResourceSet> uses;  // of machines
+  UsageView view;
+  std::vector<std::uint32_t> tasks_in_zone;
+  std::optional<std::string> required_zone;
+  std::map<const PlannedMachine*, ResourceUsage> usage_by_machine;  // of machines
 };
 
-std::optional<Planner::Choice> Planner::earliest_start(const Request& request, std::vector<Candidate>& candidates,
-                                                       const Spans& free, const Progress& progress) {
+std::optional<Planner::Choice> Planner::find_earliest_start(const PlacementRequest& request,
+                                                            std::vector<Candidate>& candidates,
+                                                            const TimeIntervals& free, const Progress& progress) {
   std::optional<Choice> best;
   std::pair<Millis::rep, double> best_rank{};
-  for (Candidate& entry : candidates) {
-    if (entry.spans.empty()) continue;
-    const PlanNode& node = *entry.node;
-    if (progress.zone_bound && node.info.zone != *progress.zone_bound) continue;
-    if (request.zone_most && progress.in_zone[node.zone] >= *request.zone_most) continue;
-    const auto common = first_common(entry.spans, free, entry.before + request.duration);
-    if (!common || *common > request.to) continue;
+  for (Candidate& candidate : candidates) {
+    if (candidate.intervals.empty()) continue;
+    const PlannedMachine& machine = *candidate.machine;
+    if (progress.required_zone && machine.spec.zone != *progress.required_zone) continue;
+    if (request.zone_task_limit && progress.tasks_in_zone[machine.zone_index] >= *request.zone_task_limit) continue;
+    const auto common = find_first_common_start(candidate.intervals, free, candidate.setup_time + request.duration);
+    if (!common || *common > request.latest_start) continue;
     // Whole seconds: a start that is a little earlier is not worth a dear machine.
-    const auto runs = std::chrono::floor<std::chrono::seconds>((*common + entry.before).time_since_epoch());
-    const std::pair<Millis::rep, double> rank{runs.count(), entry.weight};
+    const auto run_start =
+        std::chrono::floor<std::chrono::seconds>((*common + candidate.setup_time).time_since_epoch());
+    const std::pair<Millis::rep, double> rank{run_start.count(), candidate.weight};
     if (best && !(rank < best_rank)) continue;
-    best = Choice{.candidate = &entry, .start = *common};
+    best = Choice{.candidate = &candidate, .start = *common};
     best_rank = rank;
   }
   return best;
 }
 
-std::int64_t Planner::tasks_at(const Request& request, const Choice& choice, std::uint32_t left,
-                               const Progress& progress, const ResourceSet& use) {
+std::int64_t Planner::count_startable_tasks(const PlacementRequest& request, const Choice& choice,
+                                            std::uint32_t remaining, const Progress& progress,
+                                            const ResourceUsage& usage) {
   const Candidate& candidate = *choice.candidate;
-  const Instant stop = plus(choice.start, candidate.before + request.duration);
-  std::int64_t count = std::min<std::int64_t>(left, request.each.count_in(use.free(choice.start, stop)));
-  if (request.zone_most) {
-    count = std::min<std::int64_t>(count, *request.zone_most - progress.in_zone[candidate.node->zone]);
+  const Instant stop = add_saturating(choice.start, candidate.setup_time + request.duration);
+  std::int64_t count =
+      std::min<std::int64_t>(remaining, request.per_task.count_fitting_in(usage.free(choice.start, stop)));
+  if (request.zone_task_limit) {
+    count =
+        std::min<std::int64_t>(count, *request.zone_task_limit - progress.tasks_in_zone[candidate.machine->zone_index]);
   }
   if (count < 1) return 0;
   // As many as fleet and team allow at once; one is allowed, it was looked for.
   std::int64_t allowed = count;
-  for (std::size_t r = 0; r < kResources; ++r) {
-    const std::optional<UsageVector>& seen = progress.view[r];
-    if (!seen) continue;
-    const Items room = seen->available() - seen->peak(choice.start, plus(choice.start, request.duration));
-    allowed = std::min(allowed, room / request.each.of[r]);
+  for (std::size_t r = 0; r < kResourceCount; ++r) {
+    const std::optional<UsageVector>& used = progress.view[r];
+    if (!used) continue;
+    const MilliUnits room =
+        used->available() - used->peak_usage(choice.start, add_saturating(choice.start, request.duration));
+    allowed = std::min(allowed, room / request.per_task.values[r]);
   }
   return std::max<std::int64_t>(1, allowed);
 }
 
-std::vector<Placing> Planner::plan_apart(const Request& request, std::vector<Candidate> candidates) const {
-  Progress progress{.view = view_of(request), .in_zone = taken_by_zone(request), .zone_bound = {}, .uses = {}};
-  if (!request.zone_bound.empty()) progress.zone_bound = request.zone_bound;
-  std::vector<Placing> placed;
-  std::uint32_t left = request.count;
-  while (left > 0) {
-    const Spans free = spans_of(addresses_of(progress.view), request.each, request.duration, request.from, kForever);
+std::vector<Placement> Planner::plan_independent_tasks(const PlacementRequest& request,
+                                                       std::vector<Candidate> candidates) const {
+  Progress progress{.view = make_usage_view(request),
+                    .tasks_in_zone = count_tasks_by_zone(request),
+                    .required_zone = {},
+                    .usage_by_machine = {}};
+  if (!request.required_zone.empty()) progress.required_zone = request.required_zone;
+  std::vector<Placement> placements;
+  std::uint32_t remaining = request.count;
+  while (remaining > 0) {
+    const TimeIntervals free = find_free_intervals(pointers_to(progress.view), request.per_task, request.duration,
+                                                   request.earliest_start, kForever);
     if (free.empty()) break;
-    const std::optional<Choice> choice = earliest_start(request, candidates, free, progress);
+    const std::optional<Choice> choice = find_earliest_start(request, candidates, free, progress);
     if (!choice) break;
     Candidate& best = *choice->candidate;
-    const PlanMachine& info = best.node->info;
-    ResourceSet& use = progress.uses.try_emplace(best.node, best.node->use).first->second;
-    const auto count = static_cast<std::uint32_t>(tasks_at(request, *choice, left, progress, use));
+    const MachineSpec& spec = best.machine->spec;
+    ResourceUsage& usage = progress.usage_by_machine.try_emplace(best.machine, best.machine->usage).first->second;
+    const auto count = static_cast<std::uint32_t>(count_startable_tasks(request, *choice, remaining, progress, usage));
     if (count == 0) break;
-    const Millis whole = best.before + request.duration;
-    const Instant stop = plus(choice->start, whole);
-    const Amounts taken = request.each.times(count);
-    use.book(taken, choice->start, stop);
-    best.spans = use.free_spans(request.each, whole, std::max(request.from, info.ready), info.until);
+    const Millis booked_time = best.setup_time + request.duration;
+    const Instant stop = add_saturating(choice->start, booked_time);
+    const ResourceAmounts amounts = request.per_task.times(count);
+    usage.book(amounts, choice->start, stop);
+    best.intervals = usage.free_intervals(request.per_task, booked_time,
+                                          std::max(request.earliest_start, spec.ready_at), spec.available_until);
     // Fleet and team grow by the same, and so does what is the larger of them.
-    for (std::size_t r = 0; r < kResources; ++r) {
-      if (progress.view[r]) progress.view[r]->add({choice->start, stop, taken.of[r]});
+    for (std::size_t r = 0; r < kResourceCount; ++r) {
+      if (progress.view[r]) progress.view[r]->add({choice->start, stop, amounts.values[r]});
     }
-    progress.in_zone[best.node->zone] += count;
-    if (request.one_zone) progress.zone_bound = info.zone;
-    placed.push_back({.machine = info.id, .start = choice->start, .stop = stop, .count = count});
-    left -= count;
+    progress.tasks_in_zone[best.machine->zone_index] += count;
+    if (request.one_zone) progress.required_zone = spec.zone;
+    placements.push_back({.machine = spec.id, .start = choice->start, .stop = stop, .count = count});
+    remaining -= count;
   }
-  return placed;
+  return placements;
 }
 
 // All tasks of a gang at that start on the machines in this order; nothing if they don't fit.
-std::vector<Placing> Planner::map_at(const Request& request, Instant start, const std::vector<const Candidate*>& ranked,
-                                     std::vector<std::uint32_t> in_zone) {
-  std::vector<Placing> placed;
-  std::uint32_t left = request.count;
+std::vector<Placement> Planner::place_gang_at(const PlacementRequest& request, Instant start,
+                                              const std::vector<const Candidate*>& ranked,
+                                              std::vector<std::uint32_t> tasks_in_zone) {
+  std::vector<Placement> placements;
+  std::uint32_t remaining = request.count;
   for (const Candidate* candidate : ranked) {
-    const PlanNode& node = *candidate->node;
-    const Instant stop = plus(start, candidate->before + request.duration);
-    const bool fits = std::ranges::any_of(candidate->spans,
-                                          [&](const Span& span) { return span.start <= start && stop <= span.stop; });
+    const PlannedMachine& machine = *candidate->machine;
+    const Instant stop = add_saturating(start, candidate->setup_time + request.duration);
+    const bool fits = std::ranges::any_of(candidate->intervals, [&](const TimeInterval& interval) {
+      return interval.start <= start && stop <= interval.stop;
+    });
     if (!fits) continue;
-    std::int64_t count = std::min<std::int64_t>(left, request.each.count_in(node.use.free(start, stop)));
-    if (request.zone_most) {
-      count = std::min<std::int64_t>(count, *request.zone_most - std::min(in_zone[node.zone], *request.zone_most));
+    std::int64_t count =
+        std::min<std::int64_t>(remaining, request.per_task.count_fitting_in(machine.usage.free(start, stop)));
+    if (request.zone_task_limit) {
+      count = std::min<std::int64_t>(
+          count, *request.zone_task_limit - std::min(tasks_in_zone[machine.zone_index], *request.zone_task_limit));
     }
     if (count <= 0) continue;
-    in_zone[node.zone] += static_cast<std::uint32_t>(count);
-    left -= static_cast<std::uint32_t>(count);
-    placed.push_back(
-        {.machine = node.info.id, .start = start, .stop = stop, .count = static_cast<std::uint32_t>(count)});
-    if (left == 0) return placed;
+    tasks_in_zone[machine.zone_index] += static_cast<std::uint32_t>(count);
+    remaining -= static_cast<std::uint32_t>(count);
+    placements.push_back(
+        {.machine = machine.spec.id, .start = start, .stop = stop, .count = static_cast<std::uint32_t>(count)});
+    if (remaining == 0) return placements;
   }
   return {};
 }
 
-std::vector<const Planner::Candidate*> Planner::rank(const std::vector<Candidate>& candidates) {
+std::vector<const Planner::Candidate*> Planner::rank_candidates(const std::vector<Candidate>& candidates) {
   std::vector<const Candidate*> ranked;
   ranked.reserve(candidates.size());
   for (const Candidate& candidate : candidates) ranked.push_back(&candidate);
   // Equals stay in the order of their names.
-  std::ranges::stable_sort(ranked, {},
-                           [](const Candidate* one) { return std::tuple(!one->preferred, one->weight, one->before); });
+  std::ranges::stable_sort(ranked, {}, [](const Candidate* candidate) {
+    return std::tuple(!candidate->preferred, candidate->weight, candidate->setup_time);
+  });
   return ranked;
 }
 
 // Where a task's room becomes free on some machine, or the fleet has room again, the gang may begin.
-std::vector<Instant> Planner::possible_starts(const Spans& free, const std::vector<Candidate>& candidates) {
+std::vector<Instant> Planner::list_possible_starts(const TimeIntervals& free,
+                                                   const std::vector<Candidate>& candidates) {
   std::vector<Instant> starts;
-  for (const Span& span : free) starts.push_back(span.start);
+  for (const TimeInterval& interval : free) starts.push_back(interval.start);
   for (const Candidate& candidate : candidates) {
-    for (const Span& span : candidate.spans) starts.push_back(span.start);
+    for (const TimeInterval& interval : candidate.intervals) starts.push_back(interval.start);
   }
   std::ranges::sort(starts);
   starts.erase(std::ranges::unique(starts).begin(), starts.end());
   return starts;
 }
 
-std::vector<std::size_t> Planner::zones_by_name() const {
+std::vector<std::size_t> Planner::sort_zones_by_name() const {
   std::vector<std::size_t> order(zones_.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::ranges::sort(order, {}, [this](std::size_t zone) { return zones_[zone]; });
   return order;
 }
 
-std::vector<Placing> Planner::plan_together(const Request& request, const std::vector<Candidate>& candidates) const {
-  const Spans free = spans_of(addresses_of(view_of(request)), request.each.times(request.count), request.duration,
-                              request.from, kForever);
+std::vector<Placement> Planner::plan_gang(const PlacementRequest& request,
+                                          const std::vector<Candidate>& candidates) const {
+  const TimeIntervals free =
+      find_free_intervals(pointers_to(make_usage_view(request)), request.per_task.times(request.count),
+                          request.duration, request.earliest_start, kForever);
   if (free.empty()) return {};
-  const std::vector<const Candidate*> ranked = rank(candidates);
+  const std::vector<const Candidate*> ranked = rank_candidates(candidates);
   std::vector<std::vector<const Candidate*>> by_zone(zones_.size());
   // A zone is looked at only while its machines could hold the whole gang.
-  ZoneBounds bounds(zones_.size());
+  ZoneCapacityBounds bounds(zones_.size());
   for (const Candidate* candidate : ranked) {
-    const PlanNode& node = *candidate->node;
-    if (request.one_zone && !request.zone_bound.empty() && node.info.zone != request.zone_bound) continue;
-    by_zone[node.zone].push_back(candidate);
-    const std::int64_t tasks = request.each.count_in(node.info.capacity);
-    for (const Span& span : candidate->spans) {
-      bounds.add(node.zone, tasks, span, candidate->before + request.duration);
+    const PlannedMachine& machine = *candidate->machine;
+    if (request.one_zone && !request.required_zone.empty() && machine.spec.zone != request.required_zone) continue;
+    by_zone[machine.zone_index].push_back(candidate);
+    const std::int64_t tasks = request.per_task.count_fitting_in(machine.spec.capacity);
+    for (const TimeInterval& interval : candidate->intervals) {
+      bounds.add(machine.zone_index, tasks, interval, candidate->setup_time + request.duration);
     }
   }
   bounds.sort();
-  const std::vector<std::size_t> zone_order = zones_by_name();
-  const std::vector<std::uint32_t> taken = taken_by_zone(request);
-  const auto map_in_one_zone = [&](Instant start) -> std::vector<Placing> {
+  const std::vector<std::size_t> zone_order = sort_zones_by_name();
+  const std::vector<std::uint32_t> placed_tasks = count_tasks_by_zone(request);
+  const auto place_in_one_zone = [&](Instant start) -> std::vector<Placement> {
     for (const std::size_t zone : zone_order) {
-      if (bounds.of(zone) < request.count) continue;
-      if (auto placed = map_at(request, start, by_zone[zone], taken); !placed.empty()) return placed;
+      if (bounds.tasks_in(zone) < request.count) continue;
+      if (auto placements = place_gang_at(request, start, by_zone[zone], placed_tasks); !placements.empty())
+        return placements;
     }
     return {};
   };
-  auto span = free.begin();
-  for (const Instant start : possible_starts(free, candidates)) {
-    if (start > request.to) break;
-    bounds.move_to(start);
-    while (span != free.end() && span->stop <= start) ++span;
-    if (span == free.end()) break;
-    if (span->start > start || !lasts({start, span->stop}, request.duration)) continue;
-    std::vector<Placing> placed;
+  auto fleet_interval = free.begin();
+  for (const Instant start : list_possible_starts(free, candidates)) {
+    if (start > request.latest_start) break;
+    bounds.advance_to(start);
+    while (fleet_interval != free.end() && fleet_interval->stop <= start) ++fleet_interval;
+    if (fleet_interval == free.end()) break;
+    if (fleet_interval->start > start || !lasts_at_least({start, fleet_interval->stop}, request.duration)) continue;
+    std::vector<Placement> placements;
     if (request.one_zone) {
-      placed = map_in_one_zone(start);
+      placements = place_in_one_zone(start);
     } else if (bounds.total() >= request.count) {
-      placed = map_at(request, start, ranked, taken);
+      placements = place_gang_at(request, start, ranked, placed_tasks);
     }
-    if (!placed.empty()) return placed;
+    if (!placements.empty()) return placements;
   }
   return {};
 }
--- a/src/plan/resources.cpp
+++ b/src/plan/resources.cpp
@@ -9,78 +9,80 @@
 namespace foxshunt::plan {
 namespace {
 
-Items thousandths(double amount) { return static_cast<Items>(std::llround(amount * 1000.0)); }
+MilliUnits to_milli_units(double units) { return static_cast<MilliUnits>(std::llround(units * 1000.0)); }
 
 }  // namespace
 
-Amounts Amounts::from(double cpus, double gpus, double ram_gb) {
-  return {{thousandths(cpus), thousandths(gpus), thousandths(ram_gb)}};
+ResourceAmounts ResourceAmounts::from(double cpus, double gpus, double ram_gb) {
+  return {{to_milli_units(cpus), to_milli_units(gpus), to_milli_units(ram_gb)}};
 }
 
-Amounts& Amounts::operator+=(const Amounts& other) {
-  for (std::size_t r = 0; r < kResources; ++r) of[r] += other.of[r];
+ResourceAmounts& ResourceAmounts::operator+=(const ResourceAmounts& other) {
+  for (std::size_t r = 0; r < kResourceCount; ++r) values[r] += other.values[r];
   return *this;
 }
 
-Amounts& Amounts::operator-=(const Amounts& other) {
-  for (std::size_t r = 0; r < kResources; ++r) of[r] -= other.of[r];
+ResourceAmounts& ResourceAmounts::operator-=(const ResourceAmounts& other) {
+  for (std::size_t r = 0; r < kResourceCount; ++r) values[r] -= other.values[r];
   return *this;
 }
 
-Amounts Amounts::times(std::int64_t count) const {
-  Amounts product = *this;
-  for (Items& items : product.of) items *= count;
+ResourceAmounts ResourceAmounts::times(std::int64_t count) const {
+  ResourceAmounts product = *this;
+  for (MilliUnits& amount : product.values) amount *= count;
   return product;
 }
 
-bool Amounts::fits(const Amounts& room) const {
-  for (std::size_t r = 0; r < kResources; ++r) {
-    if (of[r] > room.of[r]) return false;
+bool ResourceAmounts::fits_in(const ResourceAmounts& room) const {
+  for (std::size_t r = 0; r < kResourceCount; ++r) {
+    if (values[r] > room.values[r]) return false;
   }
   return true;
 }
 
-std::int64_t Amounts::count_in(const Amounts& room) const {
+std::int64_t ResourceAmounts::count_fitting_in(const ResourceAmounts& room) const {
   std::int64_t count = std::numeric_limits<std::int32_t>::max();
-  for (std::size_t r = 0; r < kResources; ++r) {
-    if (of[r] > 0) count = std::min(count, std::max<Items>(0, room.of[r]) / of[r]);
+  for (std::size_t r = 0; r < kResourceCount; ++r) {
+    if (values[r] > 0) count = std::min(count, std::max<MilliUnits>(0, room.values[r]) / values[r]);
   }
   return count;
 }
 
-ResourceSet::ResourceSet(const Amounts& capacity) { set_capacity(capacity); }
+ResourceUsage::ResourceUsage(const ResourceAmounts& capacity) { set_capacity(capacity); }
 
-void ResourceSet::set_capacity(const Amounts& capacity) {
-  for (std::size_t r = 0; r < kResources; ++r) vectors_[r].set_max(capacity.of[r]);
+void ResourceUsage::set_capacity(const ResourceAmounts& capacity) {
+  for (std::size_t r = 0; r < kResourceCount; ++r) vectors_[r].set_max_available(capacity.values[r]);
 }
 
-Amounts ResourceSet::capacity() const {
-  Amounts amounts;
-  for (std::size_t r = 0; r < kResources; ++r) amounts.of[r] = vectors_[r].available();
+ResourceAmounts ResourceUsage::capacity() const {
+  ResourceAmounts amounts;
+  for (std::size_t r = 0; r < kResourceCount; ++r) amounts.values[r] = vectors_[r].available();
   return amounts;
 }
 
-void ResourceSet::book(const Amounts& amounts, Instant start, Instant stop) {
-  for (std::size_t r = 0; r < kResources; ++r) vectors_[r].add({start, stop, amounts.of[r]});
+void ResourceUsage::book(const ResourceAmounts& amounts, Instant start, Instant stop) {
+  for (std::size_t r = 0; r < kResourceCount; ++r) vectors_[r].add({start, stop, amounts.values[r]});
 }
 
-void ResourceSet::revoke(const Amounts& amounts, Instant start, Instant stop) {
-  for (std::size_t r = 0; r < kResources; ++r) vectors_[r].subtract({start, stop, amounts.of[r]});
+void ResourceUsage::revoke(const ResourceAmounts& amounts, Instant start, Instant stop) {
+  for (std::size_t r = 0; r < kResourceCount; ++r) vectors_[r].subtract({start, stop, amounts.values[r]});
 }
 
-Spans ResourceSet::free_spans(const Amounts& amounts, Millis duration, Instant from, Instant to) const {
-  std::array<const UsageVector*, kResources> vectors{};
-  for (std::size_t r = 0; r < kResources; ++r) vectors[r] = amounts.of[r] > 0 ? &vectors_[r] : nullptr;
-  return spans_of(vectors, amounts, duration, from, to);
+TimeIntervals ResourceUsage::free_intervals(const ResourceAmounts& amounts, Millis duration, Instant from,
+                                            Instant to) const {
+  std::array<const UsageVector*, kResourceCount> vectors{};
+  for (std::size_t r = 0; r < kResourceCount; ++r) vectors[r] = amounts.values[r] > 0 ? &vectors_[r] : nullptr;
+  return find_free_intervals(vectors, amounts, duration, from, to);
 }
 
-Amounts ResourceSet::free(Instant from, Instant to) const {
-  Amounts room;
-  for (std::size_t r = 0; r < kResources; ++r) room.of[r] = vectors_[r].available() - vectors_[r].peak(from, to);
+ResourceAmounts ResourceUsage::free(Instant from, Instant to) const {
+  ResourceAmounts room;
+  for (std::size_t r = 0; r < kResourceCount; ++r)
+    room.values[r] = vectors_[r].available() - vectors_[r].peak_usage(from, to);
   return room;
 }
 
-void ResourceSet::forget_before(Instant when) {
+void ResourceUsage::forget_before(Instant when) {
   for (UsageVector& vector : vectors_) vector.forget_before(when);
 }
 
--- a/src/plan/spans.cpp
+++ b/src/plan/spans.cpp
@@ -5,58 +5,60 @@
 
 namespace foxshunt::plan {
 
-Spans spans_of(const std::array<const UsageVector*, kResources>& vectors, const Amounts& amounts, Millis duration,
-               Instant from, Instant to) {
-  Spans found;
-  std::array<std::span<const Slot>, kResources> left;
-  for (std::size_t r = 0; r < kResources; ++r) {
+TimeIntervals find_free_intervals(const std::array<const UsageVector*, kResourceCount>& vectors,
+                                  const ResourceAmounts& amounts, Millis duration, Instant from, Instant to) {
+  TimeIntervals found;
+  std::array<std::span<const Slot>, kResourceCount> remaining;
+  for (std::size_t r = 0; r < kResourceCount; ++r) {
     if (vectors[r] == nullptr) continue;
-    if (amounts.of[r] > vectors[r]->available()) return found;
+    if (amounts.values[r] > vectors[r]->available()) return found;
     const std::vector<Slot>& slots = vectors[r]->slots();
     const auto first = std::ranges::upper_bound(slots, from, {}, &Slot::stop);
-    left[r] = {first, slots.end()};
+    remaining[r] = {first, slots.end()};
   }
   Instant cursor = from;
   while (cursor < to) {
     // The next slot of any resource that leaves too little.
-    Span taken{to, to};
-    for (std::size_t r = 0; r < kResources; ++r) {
+    TimeInterval blocked{to, to};
+    for (std::size_t r = 0; r < kResourceCount; ++r) {
       if (vectors[r] == nullptr) continue;
-      const Items most_used = vectors[r]->available() - amounts.of[r];
-      while (!left[r].empty() && (left[r].front().stop <= cursor || left[r].front().items <= most_used)) {
-        left[r] = left[r].subspan(1);
+      const MilliUnits max_used = vectors[r]->available() - amounts.values[r];
+      while (!remaining[r].empty() &&
+             (remaining[r].front().stop <= cursor || remaining[r].front().amount <= max_used)) {
+        remaining[r] = remaining[r].subspan(1);
       }
-      if (!left[r].empty() && left[r].front().start < taken.start)
-        taken = {left[r].front().start, left[r].front().stop};
+      if (!remaining[r].empty() && remaining[r].front().start < blocked.start)
+        blocked = {remaining[r].front().start, remaining[r].front().stop};
     }
-    if (taken.start > cursor) {
-      const Span free{cursor, taken.start};
-      if (lasts(free, duration)) found.push_back(free);
+    if (blocked.start > cursor) {
+      const TimeInterval free{cursor, blocked.start};
+      if (lasts_at_least(free, duration)) found.push_back(free);
     }
-    cursor = taken.stop;
+    cursor = blocked.stop;
   }
   return found;
 }
 
-std::optional<Instant> first_common(const Spans& left, const Spans& right, Millis duration) {
-  auto a = left.begin();
-  auto b = right.begin();
-  while (a != left.end() && b != right.end()) {
-    const Span both{std::max(a->start, b->start), std::min(a->stop, b->stop)};
-    if (both.start < both.stop && lasts(both, duration)) return both.start;
-    if (a->stop < b->stop) {
-      ++a;
+std::optional<Instant> find_first_common_start(const TimeIntervals& left, const TimeIntervals& right, Millis duration) {
+  auto left_interval = left.begin();
+  auto right_interval = right.begin();
+  while (left_interval != left.end() && right_interval != right.end()) {
+    const TimeInterval common{std::max(left_interval->start, right_interval->start),
+                              std::min(left_interval->stop, right_interval->stop)};
+    if (common.start < common.stop && lasts_at_least(common, duration)) return common.start;
+    if (left_interval->stop < right_interval->stop) {
+      ++left_interval;
     } else {
-      ++b;
+      ++right_interval;
     }
   }
   return std::nullopt;
 }
 
-std::array<const UsageVector*, kResources> addresses_of(
-    const std::array<std::optional<UsageVector>, kResources>& vectors) {
-  std::array<const UsageVector*, kResources> addresses{};
-  for (std::size_t r = 0; r < kResources; ++r) addresses[r] = vectors[r] ? &*vectors[r] : nullptr;
+std::array<const UsageVector*, kResourceCount> pointers_to(
+    const std::array<std::optional<UsageVector>, kResourceCount>& vectors) {
+  std::array<const UsageVector*, kResourceCount> addresses{};
+  for (std::size_t r = 0; r < kResourceCount; ++r) addresses[r] = vectors[r] ? &*vectors[r] : nullptr;
   return addresses;
 }
 
--- a/src/plan/spans.h
+++ b/src/plan/spans.h
@@ -8,22 +8,26 @@
 
 namespace foxshunt::plan {
 
-inline Instant plus(Instant when, Millis duration) { return when >= kForever - duration ? kForever : when + duration; }
+inline Instant add_saturating(Instant when, Millis duration) {
+  return when >= kForever - duration ? kForever : when + duration;
+}
 
-inline bool lasts(const Span& span, Millis duration) {
-  return span.stop == kForever || span.stop - span.start >= duration;
+inline bool lasts_at_least(const TimeInterval& interval, Millis duration) {
+  return interval.stop == kForever || interval.stop - interval.start >= duration;
 }
 
 // Longest spans within [from, to) in which every vector that is there has its amount free, if they last: the
 // paper's intersection of the resources' free slots, in a single sweep.
-[[nodiscard]] Spans spans_of(const std::array<const UsageVector*, kResources>& vectors, const Amounts& amounts,
-                             Millis duration, Instant from, Instant to);
+[[nodiscard]] TimeIntervals find_free_intervals(const std::array<const UsageVector*, kResourceCount>& vectors,
+                                                const ResourceAmounts& amounts, Millis duration, Instant from,
+                                                Instant to);
 
 // Where the two first have `duration` in common.
-[[nodiscard]] std::optional<Instant> first_common(const Spans& left, const Spans& right, Millis duration);
+[[nodiscard]] std::optional<Instant> find_first_common_start(const TimeIntervals& left, const TimeIntervals& right,
+                                                             Millis duration);
 
 // The vectors that are there, by address.
-[[nodiscard]] std::array<const UsageVector*, kResources> addresses_of(
-    const std::array<std::optional<UsageVector>, kResources>& vectors);
+[[nodiscard]] std::array<const UsageVector*, kResourceCount> pointers_to(
+    const std::array<std::optional<UsageVector>, kResourceCount>& vectors);
 
 }  // namespace foxshunt::plan
--- a/src/plan/usage_vector.cpp
+++ b/src/plan/usage_vector.cpp
@@ -6,19 +6,21 @@
 namespace {
 
 // When a stop as late as kForever is compared with start + duration, the sum must not overflow.
-bool lasts(Instant start, Instant stop, Millis duration) { return stop == kForever || stop - start >= duration; }
+bool lasts_at_least(Instant start, Instant stop, Millis duration) {
+  return stop == kForever || stop - start >= duration;
+}
 
 }  // namespace
 
-void UsageVector::add(const Slot& slot) { change(slot, 1); }
-void UsageVector::subtract(const Slot& slot) { change(slot, -1); }
+void UsageVector::add(const Slot& slot) { apply_change(slot, 1); }
+void UsageVector::subtract(const Slot& slot) { apply_change(slot, -1); }
 
-void UsageVector::change(const Slot& slot, Items sign) {
-  if (slot.start >= slot.stop || slot.items == 0) return;
-  const Items delta = sign * slot.items;
+void UsageVector::apply_change(const Slot& slot, MilliUnits sign) {
+  if (slot.start >= slot.stop || slot.amount == 0) return;
+  const MilliUnits delta = sign * slot.amount;
   // First slot that ends after the change begins.
-  auto at = std::ranges::upper_bound(slots_, slot.start, {}, &Slot::stop);
-  const auto first = static_cast<std::size_t>(at - slots_.begin());
+  auto first_slot = std::ranges::upper_bound(slots_, slot.start, {}, &Slot::stop);
+  const auto first = static_cast<std::size_t>(first_slot - slots_.begin());
   std::size_t index = first;
   Instant cursor = slot.start;
   while (cursor < slot.stop) {
@@ -52,25 +54,27 @@
       slots_[index].start = slot.stop;
       slots_.insert(slots_.begin() + static_cast<std::ptrdiff_t>(index), head);
     }
-    slots_[index].items += delta;
+    slots_[index].amount += delta;
     cursor = slots_[index].stop;
     ++index;
   }
-  tidy(first == 0 ? 0 : first - 1, std::min(index + 1, slots_.size()));
+  normalize(first == 0 ? 0 : first - 1, std::min(index + 1, slots_.size()));
 }
 
 // Within [first, last): removes slots without use and joins neighbours that are equal.
-void UsageVector::tidy(std::size_t first, std::size_t last) {
-  std::size_t kept = first;
-  for (std::size_t at = first; at < last; ++at) {
-    if (slots_[at].items <= 0) continue;
-    if (kept > first && slots_[kept - 1].stop == slots_[at].start && slots_[kept - 1].items == slots_[at].items) {
-      slots_[kept - 1].stop = slots_[at].stop;
+void UsageVector::normalize(std::size_t first, std::size_t last) {
+  std::size_t kept_end = first;
+  for (std::size_t source = first; source < last; ++source) {
+    if (slots_[source].amount <= 0) continue;
+    if (kept_end > first && slots_[kept_end - 1].stop == slots_[source].start &&
+        slots_[kept_end - 1].amount == slots_[source].amount) {
+      slots_[kept_end - 1].stop = slots_[source].stop;
     } else {
-      slots_[kept++] = slots_[at];
+      slots_[kept_end++] = slots_[source];
     }
   }
-  slots_.erase(slots_.begin() + static_cast<std::ptrdiff_t>(kept), slots_.begin() + static_cast<std::ptrdiff_t>(last));
+  slots_.erase(slots_.begin() + static_cast<std::ptrdiff_t>(kept_end),
+               slots_.begin() + static_cast<std::ptrdiff_t>(last));
 }
 
 UsageVector& UsageVector::operator+=(const UsageVector& other) {
@@ -83,46 +87,48 @@
   return *this;
 }
 
-Items UsageVector::used_at(Instant when) const {
-  const auto at = std::ranges::upper_bound(slots_, when, {}, &Slot::stop);
-  return at != slots_.end() && at->start <= when ? at->items : 0;
+MilliUnits UsageVector::used_at(Instant when) const {
+  const auto slot = std::ranges::upper_bound(slots_, when, {}, &Slot::stop);
+  return slot != slots_.end() && slot->start <= when ? slot->amount : 0;
 }
 
-Items UsageVector::peak(Instant from, Instant to) const {
-  Items most = 0;
-  for (auto at = std::ranges::upper_bound(slots_, from, {}, &Slot::stop); at != slots_.end() && at->start < to; ++at) {
-    most = std::max(most, at->items);
+MilliUnits UsageVector::peak_usage(Instant from, Instant to) const {
+  MilliUnits highest = 0;
+  for (auto slot = std::ranges::upper_bound(slots_, from, {}, &Slot::stop); slot != slots_.end() && slot->start < to;
+       ++slot) {
+    highest = std::max(highest, slot->amount);
   }
-  return most;
+  return highest;
 }
 
 void UsageVector::forget_before(Instant when) {
-  const auto at = std::ranges::upper_bound(slots_, when, {}, &Slot::stop);
-  slots_.erase(slots_.begin(), at);
+  const auto slot = std::ranges::upper_bound(slots_, when, {}, &Slot::stop);
+  slots_.erase(slots_.begin(), slot);
 }
 
-UsageVector UsageVector::min_free(const UsageVector& system, Items limit, const UsageVector& limited_use) {
+UsageVector UsageVector::min_free(const UsageVector& system, MilliUnits limit, const UsageVector& limited_use) {
   // Free is the smaller of (available - used) and (limit - limited use); as use of `system.available()`, that
   // is the larger of used and available - limit + limited use.
-  const Items base = system.available() - limit;
+  const MilliUnits base = system.available() - limit;
   UsageVector result(system.available());
   result.slots_.reserve(2 * (system.slots_.size() + limited_use.slots_.size()) + 1);
-  auto a = system.slots_.begin();
-  auto b = limited_use.slots_.begin();
-  const auto a_end = system.slots_.end();
-  const auto b_end = limited_use.slots_.end();
+  auto system_slot = system.slots_.begin();
+  auto limited_slot = limited_use.slots_.begin();
+  const auto system_end = system.slots_.end();
+  const auto limited_end = limited_use.slots_.end();
   Instant cursor = Instant::min();
   while (cursor < kForever) {
-    while (a != a_end && a->stop <= cursor) ++a;
-    while (b != b_end && b->stop <= cursor) ++b;
-    const bool in_a = a != a_end && a->start <= cursor;
-    const bool in_b = b != b_end && b->start <= cursor;
+    while (system_slot != system_end && system_slot->stop <= cursor) ++system_slot;
+    while (limited_slot != limited_end && limited_slot->stop <= cursor) ++limited_slot;
+    const bool in_system_slot = system_slot != system_end && system_slot->start <= cursor;
+    const bool in_limited_slot = limited_slot != limited_end && limited_slot->start <= cursor;
     Instant next = kForever;
-    if (a != a_end) next = std::min(next, in_a ? a->stop : a->start);
-    if (b != b_end) next = std::min(next, in_b ? b->stop : b->start);
-    const Items used = std::max(in_a ? a->items : 0, base + (in_b ? b->items : 0));
+    if (system_slot != system_end) next = std::min(next, in_system_slot ? system_slot->stop : system_slot->start);
+    if (limited_slot != limited_end) next = std::min(next, in_limited_slot ? limited_slot->stop : limited_slot->start);
+    const MilliUnits used =
+        std::max(in_system_slot ? system_slot->amount : 0, base + (in_limited_slot ? limited_slot->amount : 0));
     if (used > 0) {
-      if (!result.slots_.empty() && result.slots_.back().stop == cursor && result.slots_.back().items == used) {
+      if (!result.slots_.empty() && result.slots_.back().stop == cursor && result.slots_.back().amount == used) {
         result.slots_.back().stop = next;
       } else {
         result.slots_.push_back({cursor, next, used});
@@ -133,16 +139,16 @@
   return result;
 }
 
-FreeSlots UsageVector::free_slots(Items items, Millis duration, Instant from, Instant to) const {
+FreeSlots UsageVector::free_slots(MilliUnits amount, Millis duration, Instant from, Instant to) const {
   FreeSlots found;
-  const Items most = available();
-  if (items > most) return found;
+  const MilliUnits capacity = available();
+  if (amount > capacity) return found;
   bool open = false;
   Slot current{};
-  const auto piece = [&](Instant start, Instant stop, Items free) {
+  const auto extend_or_close = [&](Instant start, Instant stop, MilliUnits free) {
     if (start >= stop) return;
-    if (free < items) {
-      if (open && lasts(current.start, current.stop, duration)) found.push_back(current);
+    if (free < amount) {
+      if (open && lasts_at_least(current.start, current.stop, duration)) found.push_back(current);
       open = false;
       return;
     }
@@ -151,31 +157,33 @@
       open = true;
     } else {
       current.stop = stop;
-      current.items = std::min(current.items, free);
+      current.amount = std::min(current.amount, free);
     }
   };
   Instant cursor = from;
-  for (auto at = std::ranges::upper_bound(slots_, from, {}, &Slot::stop); at != slots_.end() && at->start < to; ++at) {
-    piece(cursor, std::min(at->start, to), most);
-    piece(std::max(at->start, from), std::min(at->stop, to), most - at->items);
-    cursor = std::min(at->stop, to);
+  for (auto slot = std::ranges::upper_bound(slots_, from, {}, &Slot::stop); slot != slots_.end() && slot->start < to;
+       ++slot) {
+    extend_or_close(cursor, std::min(slot->start, to), capacity);
+    extend_or_close(std::max(slot->start, from), std::min(slot->stop, to), capacity - slot->amount);
+    cursor = std::min(slot->stop, to);
   }
-  piece(cursor, to, most);
-  if (open && lasts(current.start, current.stop, duration)) found.push_back(current);
+  extend_or_close(cursor, to, capacity);
+  if (open && lasts_at_least(current.start, current.stop, duration)) found.push_back(current);
   return found;
 }
 
 FreeSlots intersect(const FreeSlots& left, const FreeSlots& right, Millis duration) {
   FreeSlots found;
-  auto a = left.begin();
-  auto b = right.begin();
-  while (a != left.end() && b != right.end()) {
-    const Slot both{std::max(a->start, b->start), std::min(a->stop, b->stop), std::min(a->items, b->items)};
-    if (both.start < both.stop && lasts(both.start, both.stop, duration)) found.push_back(both);
-    if (a->stop < b->stop) {
-      ++a;
+  auto left_slot = left.begin();
+  auto right_slot = right.begin();
+  while (left_slot != left.end() && right_slot != right.end()) {
+    const Slot common{std::max(left_slot->start, right_slot->start), std::min(left_slot->stop, right_slot->stop),
+                      std::min(left_slot->amount, right_slot->amount)};
+    if (common.start < common.stop && lasts_at_least(common.start, common.stop, duration)) found.push_back(common);
+    if (left_slot->stop < right_slot->stop) {
+      ++left_slot;
     } else {
-      ++b;
+      ++right_slot;
     }
   }
   return found;
--- a/src/plan/usage_vector.h
+++ b/src/plan/usage_vector.h
@@ -13,13 +13,13 @@
 inline constexpr Instant kForever = Instant::max();
 
 // Thousandths of a CPU, GPU or gigabyte: whole numbers, so that adding and taking away leaves nothing behind.
-using Items = std::int64_t;
+using MilliUnits = std::int64_t;
 
 // [start, stop): `items` are used in it (in a UsageVector) or free in it (in FreeSlots).
 struct Slot {
   Instant start;
   Instant stop;
-  Items items = 0;
+  MilliUnits amount = 0;
   friend bool operator==(const Slot&, const Slot&) = default;
 };
 
@@ -28,11 +28,11 @@
 class UsageVector {
  public:
   UsageVector() = default;
-  explicit UsageVector(Items max_available) : max_available_(max_available) {}
+  explicit UsageVector(MilliUnits max_available) : max_available_(max_available) {}
 
-  [[nodiscard]] Items available() const { return max_available_ - defect_; }
-  void set_defect(Items defect) { defect_ = defect; }
-  void set_max(Items max_available) { max_available_ = max_available; }
+  [[nodiscard]] MilliUnits available() const { return max_available_ - unavailable_; }
+  void set_unavailable(MilliUnits unavailable) { unavailable_ = unavailable; }
+  void set_max_available(MilliUnits max_available) { max_available_ = max_available; }
   [[nodiscard]] const std::vector<Slot>& slots() const { return slots_; }
 
   void add(const Slot& slot);       // the paper's (+) with a circle
@@ -40,25 +40,26 @@
   UsageVector& operator+=(const UsageVector& other);
   UsageVector& operator-=(const UsageVector& other);
 
-  [[nodiscard]] Items used_at(Instant when) const;
-  [[nodiscard]] Items peak(Instant from, Instant to) const;
+  [[nodiscard]] MilliUnits used_at(Instant when) const;
+  [[nodiscard]] MilliUnits peak_usage(Instant from, Instant to) const;
   // Forgets what lies wholly before `when`, which planning never asks for again.
   void forget_before(Instant when);
 
   // The paper's mf: at no time more free than `limit` leaves after `limited_use`.
-  [[nodiscard]] static UsageVector min_free(const UsageVector& system, Items limit, const UsageVector& limited_use);
+  [[nodiscard]] static UsageVector min_free(const UsageVector& system, MilliUnits limit,
+                                            const UsageVector& limited_use);
 
   // The paper's getFreeSlots, which the plain planner of the tests uses; Planner sweeps all resources at once.
   // Longest intervals within [from, to) that have at least `items` free throughout and last `duration` at
   // least; `items` of a result are the fewest that are free in it.
-  [[nodiscard]] FreeSlots free_slots(Items items, Millis duration, Instant from, Instant to) const;
+  [[nodiscard]] FreeSlots free_slots(MilliUnits amount, Millis duration, Instant from, Instant to) const;
 
  private:
-  void change(const Slot& slot, Items sign);
-  void tidy(std::size_t first, std::size_t last);
+  void apply_change(const Slot& slot, MilliUnits sign);
+  void normalize(std::size_t first, std::size_t last);
 
-  Items max_available_ = 0;
-  Items defect_ = 0;
+  MilliUnits max_available_ = 0;
+  MilliUnits unavailable_ = 0;
   std::vector<Slot> slots_;  // sorted, disjoint, none without use, neighbours differ
 };
 
--- a/src/preempt/preempt.cpp
+++ b/src/preempt/preempt.cpp
@@ -8,85 +8,88 @@
 
 namespace foxshunt::preempt {
 
-bool entitled(const Need& need, const Victim& victim) {
+bool is_preemption_allowed(const PreemptionRequest& request, const Victim& victim) {
   // Only what is planned before the victim as well, or the room would be the victim's again at once.
-  const bool by_priority = victim.priority < need.priority && (need.guaranteed || victim.borrowed);
-  const bool by_guarantee = need.guaranteed && victim.borrowed && !victim.same_team;
+  const bool by_priority = victim.priority < request.priority && (request.guaranteed || victim.borrowed);
+  const bool by_guarantee = request.guaranteed && victim.borrowed && !victim.same_team;
   return by_priority || by_guarantee;
 }
 
-bool may_displace(const Need& need, const Victim& victim) {
-  if (!entitled(need, victim) || victim.kept) return false;
-  if (victim.ran < constants::kMinRunBeforePreemption || victim.left < constants::kMinRemainingToPreempt) return false;
-  if (victim.spared && *victim.spared < constants::kPreemptionCooldown) return false;
-  return victim.lost <= need.wait;
+bool should_preempt(const PreemptionRequest& request, const Victim& victim) {
+  if (!is_preemption_allowed(request, victim) || victim.is_protected) return false;
+  if (victim.running_time < constants::kMinRunBeforePreemption || victim.remaining < constants::kMinRemainingToPreempt)
+    return false;
+  if (victim.since_last_displaced && *victim.since_last_displaced < constants::kPreemptionCooldown) return false;
+  return victim.lost_work <= request.expected_wait;
 }
 
 namespace {
 
-struct Offer {  // of one machine
-  const Contested* machine = nullptr;
-  std::int64_t pieces = 0;
+struct PreemptionOption {  // of one machine
+  const PreemptionCandidate* candidate = nullptr;
+  std::int64_t task_count = 0;
   std::vector<std::size_t> victims;
-  plan::Millis lost{};
+  plan::Millis lost_work{};
 };
 
 // As few and as cheap victims as make room for another piece, again and again.
-std::vector<Offer> offers_of(const Need& need, const std::vector<Victim>& victims, const Contested& machine) {
-  std::vector<std::pair<std::size_t, plan::Amounts>> held;
-  for (const auto& entry : machine.held) {
-    if (may_displace(need, victims[entry.first])) held.push_back(entry);
+std::vector<PreemptionOption> list_options(const PreemptionRequest& request, const std::vector<Victim>& victims,
+                                           const PreemptionCandidate& candidate) {
+  std::vector<std::pair<std::size_t, plan::ResourceAmounts>> displaceable;
+  for (const auto& entry : candidate.victim_amounts) {
+    if (should_preempt(request, victims[entry.first])) displaceable.push_back(entry);
   }
-  std::ranges::sort(held, {}, [&](const auto& entry) {
+  std::ranges::sort(displaceable, {}, [&](const auto& entry) {
     const Victim& victim = victims[entry.first];
-    return std::tuple(victim.priority, victim.lost, victim.ran, victim.job, entry.first);
+    return std::tuple(victim.priority, victim.lost_work, victim.running_time, victim.job, entry.first);
   });
-  std::vector<Offer> offers;
-  Offer offer{.machine = &machine, .pieces = need.each.count_in(machine.free), .victims = {}};
-  if (offer.pieces > 0) offers.push_back(offer);
-  plan::Amounts free = machine.free;
-  for (const auto& [number, amounts] : held) {
+  std::vector<PreemptionOption> options;
+  PreemptionOption option{
+      .candidate = &candidate, .task_count = request.per_task.count_fitting_in(candidate.free), .victims = {}};
+  if (option.task_count > 0) options.push_back(option);
+  plan::ResourceAmounts free = candidate.free;
+  for (const auto& [index, amounts] : displaceable) {
     free += amounts;
-    offer.victims.push_back(number);
-    offer.lost += victims[number].lost;
-    const std::int64_t pieces = need.each.count_in(free);
-    if (pieces <= offer.pieces) continue;
-    offer.pieces = pieces;
-    offers.push_back(offer);
+    option.victims.push_back(index);
+    option.lost_work += victims[index].lost_work;
+    const std::int64_t task_count = request.per_task.count_fitting_in(free);
+    if (task_count <= option.task_count) continue;
+    option.task_count = task_count;
+    options.push_back(option);
   }
-  return offers;
+  return options;
 }
 
 }  // namespace
 
-std::vector<std::size_t> choose_victims(const Need& need, const std::vector<Victim>& victims,
-                                        const std::vector<Contested>& machines) {
-  std::map<std::string, std::vector<Offer>> by_zone;
-  for (const Contested& machine : machines) {
-    for (Offer& offer : offers_of(need, victims, machine)) {
-      by_zone[need.one_zone ? machine.zone : std::string()].push_back(std::move(offer));
+std::vector<std::size_t> choose_victims(const PreemptionRequest& request, const std::vector<Victim>& victims,
+                                        const std::vector<PreemptionCandidate>& candidates) {
+  std::map<std::string, std::vector<PreemptionOption>> options_by_zone;
+  for (const PreemptionCandidate& candidate : candidates) {
+    for (PreemptionOption& option : list_options(request, victims, candidate)) {
+      options_by_zone[request.one_zone ? candidate.zone : std::string()].push_back(std::move(option));
     }
   }
   std::vector<std::size_t> best;
   std::optional<std::pair<std::int64_t, plan::Millis>> best_rank;  // pieces missing, work lost
-  for (auto& [unused, offers] : by_zone) {
-    std::ranges::stable_sort(offers, {}, [](const Offer& offer) {
-      return std::tuple(offer.lost / std::max<std::int64_t>(1, offer.pieces), offer.victims.size());
+  for (auto& [unused, options] : options_by_zone) {
+    std::ranges::stable_sort(options, {}, [](const PreemptionOption& option) {
+      return std::tuple(option.lost_work / std::max<std::int64_t>(1, option.task_count), option.victims.size());
     });
-    std::set<MachineId> taken;
+    std::set<MachineId> used_machines;
     std::set<std::size_t> chosen;
-    std::int64_t pieces = 0;
-    plan::Millis lost{};
-    for (const Offer& offer : offers) {
-      if (pieces >= need.count) break;
-      if (!taken.insert(offer.machine->machine).second) continue;
-      pieces += offer.pieces;
-      for (const std::size_t victim : offer.victims) {
-        if (chosen.insert(victim).second) lost += victims[victim].lost;
+    std::int64_t task_count = 0;
+    plan::Millis lost_work{};
+    for (const PreemptionOption& option : options) {
+      if (task_count >= request.count) break;
+      if (!used_machines.insert(option.candidate->machine).second) continue;
+      task_count += option.task_count;
+      for (const std::size_t victim : option.victims) {
+        if (chosen.insert(victim).second) lost_work += victims[victim].lost_work;
       }
     }
-    if (chosen.empty() || (need.together && pieces < need.count)) continue;
-    const std::pair rank{std::max<std::int64_t>(0, need.count - pieces), lost};
+    if (chosen.empty() || (request.is_gang && task_count < request.count)) continue;
+    const std::pair rank{std::max<std::int64_t>(0, request.count - task_count), lost_work};
     if (best_rank && *best_rank <= rank) continue;
     best_rank = rank;
     best.assign(chosen.begin(), chosen.end());
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -57,13 +57,13 @@
 TEST_F(DeadlinePlanning, TasksBookedTooLateAreOverdueWhereAMachineRentedNowWouldBeInTime) {
   Job& job = add_job(spec_of("j-000001", 2));
   const Machine& machine = add_machine("m-000001");
-  const std::vector<plan::Placing> placings{
+  const std::vector<plan::Placement> placements{
       {.machine = machine.id, .start = now_ + Millis(200'000), .stop = now_ + Millis(260'000), .count = 2}};
-  EXPECT_EQ(deadlines_.overdue(view(), job, placings, {}, now_), 0U);  // it is not due
+  EXPECT_EQ(deadlines_.overdue(view(), job, placements, {}, now_), 0U);  // it is not due
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
-  EXPECT_EQ(deadlines_.overdue(view(), job, placings, {}, now_), 2U);
+  EXPECT_EQ(deadlines_.overdue(view(), job, placements, {}, now_), 2U);
   // A machine has room for them in time: it is something else that lacks.
-  EXPECT_EQ(deadlines_.overdue(view(), job, placings, {{.node = machine.planned}}, now_), 0U);
+  EXPECT_EQ(deadlines_.overdue(view(), job, placements, {{.machine = machine.planned}}, now_), 0U);
 }
 
 }  // namespace
--- a/tests/unit/demand_and_capacity_test.cpp
+++ b/tests/unit/demand_and_capacity_test.cpp
@@ -94,7 +94,7 @@
     return spec;
   }
   void learn(const wire::JobSpec& spec) {
-    demand_.learn(spec, plan::Amounts::from(spec.cpus, spec.gpus, spec.ram_gb), now_);
+    demand_.learn(spec, plan::ResourceAmounts::from(spec.cpus, spec.gpus, spec.ram_gb), now_);
   }
 
   Instant now_{Millis(10'000'000)};
@@ -136,14 +136,14 @@
   const std::vector<wire::MachineType> types{{.name = "gpu", .cpus = 32, .gpus = 4, .ram_gb = 128},
                                              {.name = "plain", .cpus = 16, .ram_gb = 64}};
   const wire::JobSpec plain = spec_of("render", 1, 2, 0);
-  EXPECT_EQ(demand_.offered(plain, types[0], types).of[0], 0);  // nothing was seen of GPU work yet
+  EXPECT_EQ(demand_.offered(plain, types[0], types).values[0], 0);  // nothing was seen of GPU work yet
   learn(spec_of("train", 1, 4, 1));
-  EXPECT_EQ(demand_.offered(plain, types[0], types).of[0], 16'000);
-  EXPECT_EQ(demand_.offered(plain, types[1], types).of[0], 16'000);
-  EXPECT_EQ(demand_.offered(spec_of("train", 1, 4, 1), types[0], types).of[0], 32'000);
+  EXPECT_EQ(demand_.offered(plain, types[0], types).values[0], 16'000);
+  EXPECT_EQ(demand_.offered(plain, types[1], types).values[0], 16'000);
+  EXPECT_EQ(demand_.offered(spec_of("train", 1, 4, 1), types[0], types).values[0], 32'000);
   wire::JobSpec bound = plain;
   bound.types = {"gpu"};  // it can't run without
-  EXPECT_EQ(demand_.offered(bound, types[0], types).of[0], 32'000);
+  EXPECT_EQ(demand_.offered(bound, types[0], types).values[0], 32'000);
 }
 
 }  // namespace
--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -407,8 +407,8 @@
     EXPECT_TRUE(store_.list(prefix).entries.empty()) << prefix;
   }
   for (const auto& [unused, machine] : machines_) EXPECT_TRUE(machine.allocations.empty());
-  EXPECT_EQ(table_.team_use("red"), Amounts{});
-  EXPECT_EQ(table_.team_use("blue"), Amounts{});
+  EXPECT_EQ(table_.team_use("red"), ResourceAmounts{});
+  EXPECT_EQ(table_.team_use("blue"), ResourceAmounts{});
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomBook, testing::Range(1U, 13U));
--- a/tests/unit/plain_planner.h
+++ b/tests/unit/plain_planner.h
@@ -6,35 +6,37 @@
 
 namespace foxshunt::plan {
 
-class PlainPlanner {
+class ReferencePlanner {
  public:
-  void set_team(const std::string& team, const TeamLimit& limit) { limits_[team] = limit; }
-  void set_machine(const PlanMachine& machine);
+  void set_team_limit(const std::string& team, const TeamLimit& limit) { team_limits_[team] = limit; }
+  void set_machine(const MachineSpec& machine);
   void book(const Booking& booking);
   // `before` by machine; a machine that is not in it is not allowed.
-  [[nodiscard]] std::vector<Placing> plan(const Request& request, const std::map<MachineId, Millis>& before) const;
+  [[nodiscard]] std::vector<Placement> plan(const PlacementRequest& request,
+                                            const std::map<MachineId, Millis>& setup_times) const;
 
  private:
-  struct Node {
-    PlanMachine info;
-    ResourceSet use;
+  struct Machine {
+    MachineSpec spec;
+    ResourceUsage usage;
   };
   struct Candidate {
-    const Node* node = nullptr;
-    Millis before{};
+    const Machine* machine = nullptr;
+    Millis setup_time{};
     double weight = 0;
     FreeSlots slots;
   };
-  [[nodiscard]] FreeSlots fleet_slots(const Request& request, std::int64_t count, const ResourceSet& fleet,
-                                      const ResourceSet& team) const;
-  [[nodiscard]] std::vector<Placing> plan_apart(const Request& request, const std::vector<Candidate>& candidates) const;
-  [[nodiscard]] std::vector<Placing> plan_together(const Request& request,
-                                                   const std::vector<Candidate>& candidates) const;
+  [[nodiscard]] FreeSlots free_fleet_slots(const PlacementRequest& request, std::int64_t count,
+                                           const ResourceUsage& fleet, const ResourceUsage& team) const;
+  [[nodiscard]] std::vector<Placement> plan_independent_tasks(const PlacementRequest& request,
+                                                              const std::vector<Candidate>& candidates) const;
+  [[nodiscard]] std::vector<Placement> plan_gang(const PlacementRequest& request,
+                                                 const std::vector<Candidate>& candidates) const;
 
-  ResourceSet fleet_;
-  std::map<MachineId, Node> machines_;
-  std::map<std::string, TeamLimit> limits_;
-  std::map<std::string, ResourceSet> teams_;
+  ResourceUsage fleet_;
+  std::map<MachineId, Machine> machines_;
+  std::map<std::string, TeamLimit> team_limits_;
+  std::map<std::string, ResourceUsage> usage_by_team_;
 };
 
 }  // namespace foxshunt::plan
--- a/tests/unit/scheduling_cycle_test.cpp
+++ b/tests/unit/scheduling_cycle_test.cpp
@@ -83,9 +83,9 @@
   add_machine("m-000001");
   add_job(spec_of("j-000001", 6));
   plan();
-  const std::size_t bookings = cluster_.planner.bookings();
+  const std::size_t bookings = cluster_.planner.booking_count();
   plan();
-  EXPECT_EQ(cluster_.planner.bookings(), bookings);
+  EXPECT_EQ(cluster_.planner.booking_count(), bookings);
 }
 
 TEST_F(Cycle, AJobMayOnlyBePlannedOnMachinesOfItsZone) {
@@ -95,7 +95,7 @@
   spec.zone = "b";
   const auto places = MachineFilter(cluster_, autoscaler_.demand()).places_for(add_job(spec), now_);
   ASSERT_EQ(places.size(), 1U);
-  EXPECT_EQ(places.front().node->info.id, MachineId("m-000002"));
+  EXPECT_EQ(places.front().machine->spec.id, MachineId("m-000002"));
 }
 
 }  // namespace
--- a/tests/unit/team_quota_test.cpp
+++ b/tests/unit/team_quota_test.cpp
@@ -5,7 +5,7 @@
 namespace foxshunt::control {
 namespace {
 
-using plan::Amounts;
+using plan::ResourceAmounts;
 
 config::Team team_with(double cpus_max, double gpus_max) {
   config::Team team;
@@ -16,25 +16,26 @@
 
 TEST(TeamQuota, AllowsUpToTheLimitOfEachResource) {
   const TeamQuota quota(team_with(10, 2));
-  EXPECT_TRUE(quota.allows(Amounts::from(10, 2, 1000)));
-  EXPECT_FALSE(quota.allows(Amounts::from(10.001, 0, 0)));
-  EXPECT_FALSE(quota.allows(Amounts::from(0, 2.001, 0)));
+  EXPECT_TRUE(quota.allows(ResourceAmounts::from(10, 2, 1000)));
+  EXPECT_FALSE(quota.allows(ResourceAmounts::from(10.001, 0, 0)));
+  EXPECT_FALSE(quota.allows(ResourceAmounts::from(0, 2.001, 0)));
 }
 
 TEST(TeamQuota, ZeroMeansUnlimited) {
   const TeamQuota quota(team_with(0, 0));
-  EXPECT_TRUE(quota.allows(Amounts::from(1e6, 1e6, 1e6)));
-  EXPECT_FALSE(quota.remaining_tasks(Amounts::from(1, 1, 1), Amounts::from(5, 5, 5)).has_value());
+  EXPECT_TRUE(quota.allows(ResourceAmounts::from(1e6, 1e6, 1e6)));
+  EXPECT_FALSE(quota.remaining_tasks(ResourceAmounts::from(1, 1, 1), ResourceAmounts::from(5, 5, 5)).has_value());
 }
 
 TEST(TeamQuota, RemainingTasksAreBoundByTheScarcerResource) {
   const TeamQuota quota(team_with(10, 2));
-  EXPECT_EQ(quota.remaining_tasks(Amounts::from(2, 1, 0), Amounts::from(1, 1, 0)), 1U);
-  EXPECT_EQ(quota.remaining_tasks(Amounts::from(2, 0, 0), Amounts::from(1, 1, 0)), 4U);
+  EXPECT_EQ(quota.remaining_tasks(ResourceAmounts::from(2, 1, 0), ResourceAmounts::from(1, 1, 0)), 1U);
+  EXPECT_EQ(quota.remaining_tasks(ResourceAmounts::from(2, 0, 0), ResourceAmounts::from(1, 1, 0)), 4U);
 }
 
 TEST(TeamQuota, NoTaskRemainsToATeamBeyondItsQuota) {
-  EXPECT_EQ(TeamQuota(team_with(10, 0)).remaining_tasks(Amounts::from(2, 0, 0), Amounts::from(14, 0, 0)), 0U);
+  EXPECT_EQ(
+      TeamQuota(team_with(10, 0)).remaining_tasks(ResourceAmounts::from(2, 0, 0), ResourceAmounts::from(14, 0, 0)), 0U);
 }
 
 }  // namespace
--- a/tests/unit/usage_vector_test.cpp
+++ b/tests/unit/usage_vector_test.cpp
@@ -10,107 +10,109 @@
 
 Instant at(int ms) { return Instant(Millis(ms)); }
 
-constexpr int kSpan = 60;
+constexpr int kLengthMs = 60;
 
 // The same thing as an array with one entry a millisecond.
-struct Naive {
-  std::array<Items, kSpan> used{};
-  void change(int start, int stop, Items items) {
+struct ArrayModel {
+  std::array<MilliUnits, kLengthMs> used{};
+  void change(int start, int stop, MilliUnits amount) {
     for (int t = start; t < stop; ++t)
-      used[static_cast<std::size_t>(t)] = std::max<Items>(0, used[static_cast<std::size_t>(t)] + items);
+      used[static_cast<std::size_t>(t)] = std::max<MilliUnits>(0, used[static_cast<std::size_t>(t)] + amount);
   }
 };
 
-void expect_same(const UsageVector& vector, const Naive& naive) {
-  for (int t = 0; t < kSpan; ++t)
-    ASSERT_EQ(vector.used_at(at(t)), naive.used[static_cast<std::size_t>(t)]) << "at " << t;
+void expect_same(const UsageVector& vector, const ArrayModel& model) {
+  for (int t = 0; t < kLengthMs; ++t)
+    ASSERT_EQ(vector.used_at(at(t)), model.used[static_cast<std::size_t>(t)]) << "at " << t;
   for (std::size_t i = 0; i < vector.slots().size(); ++i) {
     const Slot& slot = vector.slots()[i];
     ASSERT_LT(slot.start, slot.stop);
-    ASSERT_GT(slot.items, 0);
+    ASSERT_GT(slot.amount, 0);
     if (i == 0) continue;
-    const Slot& before = vector.slots()[i - 1];
-    ASSERT_LE(before.stop, slot.start);
-    ASSERT_FALSE(before.stop == slot.start && before.items == slot.items) << "equal neighbours are joined";
+    const Slot& previous = vector.slots()[i - 1];
+    ASSERT_LE(previous.stop, slot.start);
+    ASSERT_FALSE(previous.stop == slot.start && previous.amount == slot.amount) << "equal neighbours are joined";
   }
 }
 
 class UsageVectorRandom : public testing::TestWithParam<unsigned> {};
 
-TEST_P(UsageVectorRandom, AgreesWithAnArray) {
+TEST_P(UsageVectorRandom, AgreesWithTheArrayModel) {
   std::mt19937 random(GetParam());
   const auto pick = [&](int low, int high) { return std::uniform_int_distribution<int>(low, high)(random); };
   UsageVector vector(20);
   UsageVector team(20);
-  Naive naive;
-  Naive naive_team;
+  ArrayModel model;
+  ArrayModel team_model;
   for (int step = 0; step < 120; ++step) {
     UsageVector& changed = pick(0, 1) == 0 ? vector : team;
-    Naive& model = &changed == &vector ? naive : naive_team;
-    const int start = pick(0, kSpan - 1);
-    const int stop = pick(start + 1, kSpan);
-    const Items items = pick(1, 6);
+    ArrayModel& changed_model = &changed == &vector ? model : team_model;
+    const int start = pick(0, kLengthMs - 1);
+    const int stop = pick(start + 1, kLengthMs);
+    const MilliUnits amount = pick(1, 6);
     if (pick(0, 2) > 0) {
-      changed.add({at(start), at(stop), items});
-      model.change(start, stop, items);
+      changed.add({at(start), at(stop), amount});
+      changed_model.change(start, stop, amount);
     } else {
-      changed.subtract({at(start), at(stop), items});
-      model.change(start, stop, -items);
+      changed.subtract({at(start), at(stop), amount});
+      changed_model.change(start, stop, -amount);
     }
-    expect_same(vector, naive);
-    expect_same(team, naive_team);
+    expect_same(vector, model);
+    expect_same(team, team_model);
 
     // Free slots: every moment inside one has the room, and every run of room long enough is inside one.
-    const Items need = pick(1, 20);
+    const MilliUnits needed = pick(1, 20);
     const int duration = pick(1, 12);
-    const FreeSlots free = vector.free_slots(need, Millis(duration), at(0), at(kSpan));
-    std::array<bool, kSpan> in_slot{};
+    const FreeSlots free = vector.free_slots(needed, Millis(duration), at(0), at(kLengthMs));
+    std::array<bool, kLengthMs> in_free_slot{};
     for (const Slot& slot : free) {
       ASSERT_GE(slot.stop - slot.start, Millis(duration));
-      Items fewest = 20;
+      MilliUnits lowest_free = 20;
       for (int t = static_cast<int>(slot.start.time_since_epoch().count()); at(t) < slot.stop; ++t) {
-        in_slot[static_cast<std::size_t>(t)] = true;
-        fewest = std::min(fewest, 20 - naive.used[static_cast<std::size_t>(t)]);
+        in_free_slot[static_cast<std::size_t>(t)] = true;
+        lowest_free = std::min(lowest_free, 20 - model.used[static_cast<std::size_t>(t)]);
       }
-      ASSERT_EQ(slot.items, fewest);
-      ASSERT_GE(fewest, need);
+      ASSERT_EQ(slot.amount, lowest_free);
+      ASSERT_GE(lowest_free, needed);
     }
-    int run = 0;
-    for (int t = 0; t <= kSpan; ++t) {
-      if (t < kSpan && 20 - naive.used[static_cast<std::size_t>(t)] >= need) {
-        ++run;
+    int free_ms = 0;
+    for (int t = 0; t <= kLengthMs; ++t) {
+      if (t < kLengthMs && 20 - model.used[static_cast<std::size_t>(t)] >= needed) {
+        ++free_ms;
         continue;
       }
-      for (int back = t - run; back < t; ++back) ASSERT_EQ(in_slot[static_cast<std::size_t>(back)], run >= duration);
-      run = 0;
+      for (int t_free = t - free_ms; t_free < t; ++t_free)
+        ASSERT_EQ(in_free_slot[static_cast<std::size_t>(t_free)], free_ms >= duration);
+      free_ms = 0;
     }
 
     // minFree: as much is free as both the system and the rest of the limit have.
-    const Items limit = pick(0, 25);
-    const UsageVector view = UsageVector::min_free(vector, limit, team);
-    for (int t = 0; t < kSpan; ++t) {
+    const MilliUnits limit = pick(0, 25);
+    const UsageVector limited = UsageVector::min_free(vector, limit, team);
+    for (int t = 0; t < kLengthMs; ++t) {
       const auto index = static_cast<std::size_t>(t);
-      const Items expected = std::min(20 - naive.used[index], limit - naive_team.used[index]);
-      ASSERT_EQ(20 - view.used_at(at(t)), expected) << "at " << t << " limit " << limit;
+      const MilliUnits expected = std::min(20 - model.used[index], limit - team_model.used[index]);
+      ASSERT_EQ(20 - limited.used_at(at(t)), expected) << "at " << t << " limit " << limit;
     }
 
     // Intersection.
-    const FreeSlots other = team.free_slots(need, Millis(1), at(0), at(kSpan));
-    const FreeSlots both = intersect(vector.free_slots(need, Millis(1), at(0), at(kSpan)), other, Millis(1));
-    std::array<bool, kSpan> in_both{};
-    for (const Slot& slot : both) {
+    const FreeSlots team_free = team.free_slots(needed, Millis(1), at(0), at(kLengthMs));
+    const FreeSlots common =
+        intersect(vector.free_slots(needed, Millis(1), at(0), at(kLengthMs)), team_free, Millis(1));
+    std::array<bool, kLengthMs> in_common_slot{};
+    for (const Slot& slot : common) {
       for (int t = static_cast<int>(slot.start.time_since_epoch().count()); at(t) < slot.stop; ++t)
-        in_both[static_cast<std::size_t>(t)] = true;
+        in_common_slot[static_cast<std::size_t>(t)] = true;
     }
-    for (std::size_t t = 0; t < kSpan; ++t) {
-      ASSERT_EQ(in_both[t], 20 - naive.used[t] >= need && 20 - naive_team.used[t] >= need);
+    for (std::size_t t = 0; t < kLengthMs; ++t) {
+      ASSERT_EQ(in_common_slot[t], 20 - model.used[t] >= needed && 20 - team_model.used[t] >= needed);
     }
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, UsageVectorRandom, testing::Range(1U, 21U));
 
-TEST(UsageVector, SlotsWithoutEnd) {
+TEST(UsageVector, HandlesSlotsWithoutEnd) {
   UsageVector vector(10);
   vector.add({at(5), kForever, 4});
   EXPECT_EQ(vector.used_at(at(1'000'000)), 4);
@@ -122,14 +124,14 @@
   EXPECT_TRUE(vector.slots().empty());
 }
 
-TEST(UsageVector, DefectTakesAwayWhatIsAvailable) {
+TEST(UsageVector, UnavailablePartReducesTheAvailableAmount) {
   UsageVector vector(10);
-  vector.set_defect(4);
+  vector.set_unavailable(4);
   EXPECT_TRUE(vector.free_slots(7, Millis(1), at(0), kForever).empty());
   EXPECT_EQ(vector.free_slots(6, Millis(1), at(0), kForever).size(), 1U);
 }
 
-TEST(UsageVector, ForgetsThePastOnly) {
+TEST(UsageVector, ForgetBeforeDropsOnlySlotsThatHaveEnded) {
   UsageVector vector(10);
   vector.add({at(0), at(10), 1});
   vector.add({at(10), at(20), 2});
