--- a/src/plan/spans.cpp
+++ b/src/plan/spans.cpp
@@ -18,7 +18,7 @@
   }
   Instant cursor = from;
   while (cursor < to) {
-    // The next slot of any resource that leaves too little.
+    // The next slot in which some resource has too little free.
     TimeInterval blocked{to, to};
     for (std::size_t r = 0; r < kResourceCount; ++r) {
       if (vectors[r] == nullptr) continue;
--- a/src/plan/usage_vector.cpp
+++ b/src/plan/usage_vector.cpp
@@ -5,7 +5,8 @@
 namespace foxshunt::plan {
 namespace {
 
-// When a stop as late as kForever is compared with start + duration, the sum must not overflow.
+// Whether [start, stop) lasts at least `duration`. Subtracts start from stop because start + duration could overflow.
+// An interval without an end always lasts long enough.
 bool lasts_at_least(Instant start, Instant stop, Millis duration) {
   return stop == kForever || stop - start >= duration;
 }
@@ -18,14 +19,14 @@
 void UsageVector::apply_change(const Slot& slot, MilliUnits sign) {
   if (slot.start >= slot.stop || slot.amount == 0) return;
   const MilliUnits delta = sign * slot.amount;
-  // First slot that ends after the change begins.
+  // The first slot that ends after the start of the change.
   auto first_slot = std::ranges::upper_bound(slots_, slot.start, {}, &Slot::stop);
   const auto first = static_cast<std::size_t>(first_slot - slots_.begin());
   std::size_t index = first;
   Instant cursor = slot.start;
   while (cursor < slot.stop) {
     if (index == slots_.size() || slots_[index].start >= slot.stop) {
-      // Nothing is used up to the end of the change.
+      // There is no usage from here to the end of the change.
       if (delta > 0) {
         slots_.insert(slots_.begin() + static_cast<std::ptrdiff_t>(index), Slot{cursor, slot.stop, delta});
         ++index;
@@ -61,7 +62,6 @@
   normalize(first == 0 ? 0 : first - 1, std::min(index + 1, slots_.size()));
 }
 
-// Within [first, last): removes slots without use and joins neighbours that are equal.
 void UsageVector::normalize(std::size_t first, std::size_t last) {
   std::size_t kept_end = first;
   for (std::size_t source = first; source < last; ++source) {
@@ -107,8 +107,8 @@
 }
 
 UsageVector UsageVector::min_free(const UsageVector& system, MilliUnits limit, const UsageVector& limited_use) {
-  // Free is the smaller of (available - used) and (limit - limited use); as use of `system.available()`, that
-  // is the larger of used and available - limit + limited use.
+  // The free amount is the smaller of (available - used) and (limit - limited use). Expressed as usage of
+  // `system.available()`, this is the larger of used and (available - limit + limited use).
   const MilliUnits base = system.available() - limit;
   UsageVector result(system.available());
   result.slots_.reserve(2 * (system.slots_.size() + limited_use.slots_.size()) + 1);
@@ -143,8 +143,9 @@
   FreeSlots found;
   const MilliUnits capacity = available();
   if (amount > capacity) return found;
-  bool open = false;
+  bool open = false;  // whether `current` may still grow
   Slot current{};
+  // Takes the next part of [from, to): extends the current slot by it, or closes the slot if too little is free.
   const auto extend_or_close = [&](Instant start, Instant stop, MilliUnits free) {
     if (start >= stop) return;
     if (free < amount) {
--- a/src/plan/usage_vector.h
+++ b/src/plan/usage_vector.h
@@ -1,4 +1,4 @@
-// The resource usage vector of PAPER section 4: time-sorted slots of used items of one resource.
+// The resource usage vector of PAPER section 4: the usage of one resource over time, as sorted slots.
 #pragma once
 
 #include <chrono>
@@ -8,14 +8,17 @@
 namespace foxshunt::plan {
 
 using Millis = std::chrono::milliseconds;
-// A moment of this node's steady clock. Bookings never leave the process, so no other clock meets it.
+// A point in time of this process's steady clock. Bookings never leave the process, so instants of different
+// processes are never compared.
 using Instant = std::chrono::time_point<std::chrono::steady_clock, Millis>;
+// The end of an interval that has no end.
 inline constexpr Instant kForever = Instant::max();
 
-// Thousandths of a CPU, GPU or gigabyte: whole numbers, so that adding and taking away leaves nothing behind.
+// Thousandths of a CPU, of a GPU or of a gigabyte. Integers, so that adding and subtracting an amount leaves no
+// rounding error.
 using MilliUnits = std::int64_t;
 
-// [start, stop): `items` are used in it (in a UsageVector) or free in it (in FreeSlots).
+// An amount that is used (in a UsageVector) or free (in FreeSlots) throughout [start, stop).
 struct Slot {
   Instant start;
   Instant stop;
@@ -23,47 +26,59 @@
   friend bool operator==(const Slot&, const Slot&) = default;
 };
 
+// Slots of free amounts, sorted and disjoint.
 using FreeSlots = std::vector<Slot>;
 
+// Capacity and usage over time of one resource. The usage may exceed the capacity.
 class UsageVector {
  public:
   UsageVector() = default;
   explicit UsageVector(MilliUnits max_available) : max_available_(max_available) {}
 
+  // The capacity without the part that is out of service.
   [[nodiscard]] MilliUnits available() const { return max_available_ - unavailable_; }
+  // Sets the part of the capacity that is out of service (defect in the paper).
   void set_unavailable(MilliUnits unavailable) { unavailable_ = unavailable; }
   void set_max_available(MilliUnits max_available) { max_available_ = max_available; }
+  // Only slots with usage. Adjacent slots differ in their amount.
   [[nodiscard]] const std::vector<Slot>& slots() const { return slots_; }
 
-  void add(const Slot& slot);       // the paper's (+) with a circle
-  void subtract(const Slot& slot);  // its inverse; nothing falls below zero
+  // Adds the slot's amount to the usage in its interval (the paper's circled plus).
+  void add(const Slot& slot);
+  // Reverses add(). The usage does not fall below zero.
+  void subtract(const Slot& slot);
   UsageVector& operator+=(const UsageVector& other);
   UsageVector& operator-=(const UsageVector& other);
 
   [[nodiscard]] MilliUnits used_at(Instant when) const;
+  // The highest usage within [from, to).
   [[nodiscard]] MilliUnits peak_usage(Instant from, Instant to) const;
-  // Forgets what lies wholly before `when`, which planning never asks for again.
+  // Drops the slots that end at or before `when`. Callers no longer ask for usage before it.
   void forget_before(Instant when);
 
-  // The paper's mf: at no time more free than `limit` leaves after `limited_use`.
+  // mf in the paper. Returns a usage vector with the availability of `system`. Its free amount is at any time the
+  // smaller of what is free in `system` and what `limited_use` leaves of `limit`.
   [[nodiscard]] static UsageVector min_free(const UsageVector& system, MilliUnits limit,
                                             const UsageVector& limited_use);
 
-  // The paper's getFreeSlots, which the plain planner of the tests uses; Planner sweeps all resources at once.
-  // Longest intervals within [from, to) that have at least `items` free throughout and last `duration` at
-  // least; `items` of a result are the fewest that are free in it.
+  // getFreeSlots in the paper: the longest intervals within [from, to) in which at least `amount` is free throughout
+  // and which last at least `duration`. The amount of a result is the lowest free amount in its interval. Planner
+  // searches all resources in one sweep instead; the reference planner of the tests uses this function.
   [[nodiscard]] FreeSlots free_slots(MilliUnits amount, Millis duration, Instant from, Instant to) const;
 
  private:
+  // Adds `sign` times the slot's amount to the usage in its interval.
   void apply_change(const Slot& slot, MilliUnits sign);
+  // Removes slots without usage and merges equal adjacent slots among those with an index in [first, last).
   void normalize(std::size_t first, std::size_t last);
 
   MilliUnits max_available_ = 0;
   MilliUnits unavailable_ = 0;
-  std::vector<Slot> slots_;  // sorted, disjoint, none without use, neighbours differ
+  std::vector<Slot> slots_;  // sorted, disjoint, all with usage; adjacent slots differ in their amount
 };
 
-// Where both have a slot, the smaller number of items; pieces shorter than `duration` are left out.
+// The intersections of the slots of both lists, with the smaller amount of the two. Omits those shorter than
+// `duration`.
 [[nodiscard]] FreeSlots intersect(const FreeSlots& left, const FreeSlots& right, Millis duration);
 
 }  // namespace foxshunt::plan
