--- a/src/plan/planner.cpp
+++ b/src/plan/planner.cpp
@@ -1,4 +1,4 @@
-// Machines, teams and bookings.
+// The parts of Planner that keep machines, team limits and bookings.
 #include "plan/planner.h"
 
 #include <algorithm>
@@ -23,9 +23,10 @@
   entry->second.usage.set_capacity(machine.capacity);
   entry->second.zone_index = find_or_add_zone(machine.zone);
   fleet_.set_capacity(total);
-  // After a takeover what runs on a machine is known from its record before the machine is. Left out of the machine's use,
-  // it would be taken from it all the same when it is revoked: the machine then seemed to have more room than it has, work
-  // was booked there that could not be placed, and machines that were really free went back to the cloud as idle.
+  // After a takeover, running tasks are known from their records before their machine is known. Their bookings have to
+  // enter the machine's usage now, because revoke() subtracts them later. Otherwise the machine appeared to have more
+  // room than it has: work was booked there that could not be placed, and machines that were really free were returned
+  // to the cloud as idle.
   const auto pending = bookings_without_machine_.find(machine.id);
   if (pending == bookings_without_machine_.end()) return;
   for (const BookingId id : pending->second) {
--- a/src/plan/planner_search.cpp
+++ b/src/plan/planner_search.cpp
@@ -1,4 +1,4 @@
-// The search for places and times: of tasks one by one, and of gangs.
+// The parts of Planner that search machines and start times: for independent tasks and for gangs.
 #include <algorithm>
 #include <numeric>
 #include <tuple>
@@ -9,22 +9,23 @@
 namespace foxshunt::plan {
 namespace {
 
-// How many tasks of a gang the machines of each zone could hold at a moment, if each that has room for one task were empty:
-// a bound that changes where a machine's span begins and after the last start that fits it. The moment only moves on.
+// Upper bounds of the number of gang tasks that each zone can hold at a start time. A machine counts with its whole
+// capacity while one of its free intervals has room for a task, so the bound changes only where such an interval
+// begins and after the last start that fits into the interval. The start time can only be moved forward.
 class ZoneCapacityBounds {
  public:
   explicit ZoneCapacityBounds(std::size_t zones) : tasks_by_zone_(zones, 0) {}
 
-  // A machine of the zone holds so many tasks in the span; each takes `duration` there.
+  // Adds a machine that can hold up to `tasks` tasks of the given duration within the interval.
   void add(std::size_t zone, std::int64_t tasks, const TimeInterval& interval, Millis duration) {
     edges_.push_back({.at = interval.start, .ends = false, .tasks = tasks, .zone = zone});
     if (interval.stop == kForever) return;
     edges_.push_back({.at = interval.stop - duration, .ends = true, .tasks = tasks, .zone = zone});
   }
 
-  // After all are added, before the first move.
+  // Has to be called once, after the last add() and before the first advance_to().
   void sort() {
-    // At a start that is the last of a span the span still counts.
+    // Begins sort before ends at the same time: an interval still counts at the last start that fits into it.
     std::ranges::sort(edges_, {}, [](const Edge& edge) { return std::pair(edge.at, edge.ends); });
   }
 
@@ -55,7 +56,8 @@
 
 }  // namespace
 
-// W = max over resources of (its share of the fleet), times the fleet's cores, plus priority times cores.
+// W = (largest share of the fleet's capacity over all resources + priority) * the fleet's CPUs. A machine that holds
+// much of a scarce resource such as GPUs gets a high weight.
 double Planner::weight(const PlannedMachine& machine) const {
   const ResourceAmounts total = fleet_.capacity();
   double share = 0;
@@ -69,7 +71,8 @@
   return share * cores + machine.spec.priority * cores;
 }
 
-// The paper's uRS: the fleet's use plus what is kept free, within the team's limit.
+// uRS in the paper: the usage of the fleet plus the capacity that is kept free for others, restricted by the team's
+// limit.
 Planner::UsageView Planner::make_usage_view(const PlacementRequest& request) const {
   static const ResourceUsage kNoUsage;
   const auto team_entry = usage_by_team_.find(request.team);
@@ -104,10 +107,10 @@
 
 struct Planner::Candidate {
   const PlannedMachine* machine = nullptr;
-  Millis setup_time{};  // fetching
+  Millis setup_time{};
   bool preferred = false;
   double weight = 0;
-  TimeIntervals intervals;  // where one task fits for `before` + duration
+  TimeIntervals intervals;  // in which one task fits for `setup_time` + duration
 };
 
 std::vector<Placement> Planner::plan(const PlacementRequest& request) const {
@@ -131,12 +134,12 @@
   return request.is_gang ? plan_gang(request, candidates) : plan_independent_tasks(request, std::move(candidates));
 }
 
-// What plan_apart has placed so far counts against the fleet, the team and the zones at once.
+// The state of plan_independent_tasks(): usage and limits that include the tasks it has placed so far.
 struct Planner::Progress {
   UsageView view;
-  std::vector<std::uint32_t> tasks_in_zone;
+  std::vector<std::uint32_t> tasks_in_zone;  // by zone index
   std::optional<std::string> required_zone;
-  std::map<const PlannedMachine*, ResourceUsage> usage_by_machine;  // of machines
+  std::map<const PlannedMachine*, ResourceUsage> usage_by_machine;  // only of machines that got tasks
 };
 
 std::optional<Planner::Choice> Planner::find_earliest_start(const PlacementRequest& request,
@@ -151,7 +154,8 @@
     if (request.zone_task_limit && progress.tasks_in_zone[machine.zone_index] >= *request.zone_task_limit) continue;
     const auto common = find_first_common_start(candidate.intervals, free, candidate.setup_time + request.duration);
     if (!common || *common > request.latest_start) continue;
-    // Whole seconds: a start that is a little earlier is not worth a dear machine.
+    // Compares start times in whole seconds, because a slightly earlier start does not justify a machine of higher
+    // weight.
     const auto run_start =
         std::chrono::floor<std::chrono::seconds>((*common + candidate.setup_time).time_since_epoch());
     const std::pair<Millis::rep, double> rank{run_start.count(), candidate.weight};
@@ -174,7 +178,8 @@
         std::min<std::int64_t>(count, *request.zone_task_limit - progress.tasks_in_zone[candidate.machine->zone_index]);
   }
   if (count < 1) return 0;
-  // As many as fleet and team allow at once; one is allowed, it was looked for.
+  // Limits the count by the room in the fleet and in the team's limit. One task always fits: the choice was made for
+  // it.
   std::int64_t allowed = count;
   for (std::size_t r = 0; r < kResourceCount; ++r) {
     const std::optional<UsageVector>& used = progress.view[r];
@@ -212,7 +217,7 @@
     usage.book(amounts, choice->start, stop);
     best.intervals = usage.free_intervals(request.per_task, booked_time,
                                           std::max(request.earliest_start, spec.ready_at), spec.available_until);
-    // Fleet and team grow by the same, and so does what is the larger of them.
+    // With a team limit the view is the larger of two usages. Both grow by these amounts, so the view does as well.
     for (std::size_t r = 0; r < kResourceCount; ++r) {
       if (progress.view[r]) progress.view[r]->add({choice->start, stop, amounts.values[r]});
     }
@@ -224,7 +229,6 @@
   return placements;
 }
 
-// All tasks of a gang at that start on the machines in this order; nothing if they don't fit.
 std::vector<Placement> Planner::place_gang_at(const PlacementRequest& request, Instant start,
                                               const std::vector<const Candidate*>& ranked,
                                               std::vector<std::uint32_t> tasks_in_zone) {
@@ -257,14 +261,13 @@
   std::vector<const Candidate*> ranked;
   ranked.reserve(candidates.size());
   for (const Candidate& candidate : candidates) ranked.push_back(&candidate);
-  // Equals stay in the order of their names.
+  // The sort is stable, so that equal candidates stay sorted by machine id.
   std::ranges::stable_sort(ranked, {}, [](const Candidate* candidate) {
     return std::tuple(!candidate->preferred, candidate->weight, candidate->setup_time);
   });
   return ranked;
 }
 
-// Where a task's room becomes free on some machine, or the fleet has room again, the gang may begin.
 std::vector<Instant> Planner::list_possible_starts(const TimeIntervals& free,
                                                    const std::vector<Candidate>& candidates) {
   std::vector<Instant> starts;
@@ -292,7 +295,7 @@
   if (free.empty()) return {};
   const std::vector<const Candidate*> ranked = rank_candidates(candidates);
   std::vector<std::vector<const Candidate*>> by_zone(zones_.size());
-  // A zone is looked at only while its machines could hold the whole gang.
+  // Zones are searched only at starts for which their bound allows the whole gang.
   ZoneCapacityBounds bounds(zones_.size());
   for (const Candidate* candidate : ranked) {
     const PlannedMachine& machine = *candidate->machine;
--- a/src/plan/resources.cpp
+++ b/src/plan/resources.cpp
@@ -1,4 +1,4 @@
-// Amounts of resources, and their use over time.
+// Amounts of resources and their usage over time.
 #include <algorithm>
 #include <cmath>
 #include <limits>
