--- a/src/aging/aging.cpp
+++ b/src/aging/aging.cpp
@@ -37,7 +37,8 @@
 bool is_overdue(const WaitingJob& job, plan::Instant now) { return now - job.submitted >= bypass_limit(job); }
 
 plan::Instant effective_submission(const WaitingJob& job, plan::Instant now) {
-  // In a backlog of four minutes all are overdue, and in the order of submission the largest would begin too late.
+  // In a backlog of four minutes all jobs are overdue. The largest ones need the head start, because they would start
+  // too late in the order of submission.
   if (is_overdue(job, now)) return job.is_among_largest ? job.submitted - constants::kLargestHeadStart : job.submitted;
   return job.submitted + std::min(job.aging_penalty, constants::kMaxAgingPenalty);
 }
--- a/src/preempt/preempt.cpp
+++ b/src/preempt/preempt.cpp
@@ -9,7 +9,8 @@
 namespace foxshunt::preempt {
 
 bool is_preemption_allowed(const PreemptionRequest& request, const Victim& victim) {
-  // Only what is planned before the victim as well, or the room would be the victim's again at once.
+  // Priority alone is not enough: the request also has to be planned before the victim, which would otherwise take the
+  // freed room again at once.
   const bool by_priority = victim.priority < request.priority && (request.guaranteed || victim.borrowed);
   const bool by_guarantee = request.guaranteed && victim.borrowed && !victim.same_team;
   return by_priority || by_guarantee;
@@ -25,14 +26,16 @@
 
 namespace {
 
-struct PreemptionOption {  // of one machine
+// Victims on one machine, and how many tasks of the request fit on the machine when they are stopped.
+struct PreemptionOption {
   const PreemptionCandidate* candidate = nullptr;
   std::int64_t task_count = 0;
   std::vector<std::size_t> victims;
   plan::Millis lost_work{};
 };
 
-// As few and as cheap victims as make room for another piece, again and again.
+// The options of a machine. Takes the victims in ascending order of priority and cost, and adds an option whenever
+// one more task fits, so that each option stops no more victims than it needs.
 std::vector<PreemptionOption> list_options(const PreemptionRequest& request, const std::vector<Victim>& victims,
                                            const PreemptionCandidate& candidate) {
   std::vector<std::pair<std::size_t, plan::ResourceAmounts>> displaceable;
@@ -71,8 +74,9 @@
     }
   }
   std::vector<std::size_t> best;
-  std::optional<std::pair<std::int64_t, plan::Millis>> best_rank;  // pieces missing, work lost
+  std::optional<std::pair<std::int64_t, plan::Millis>> best_rank;  // tasks without room, lost work
   for (auto& [unused, options] : options_by_zone) {
+    // Prefers the least lost work per task, then the fewest victims.
     std::ranges::stable_sort(options, {}, [](const PreemptionOption& option) {
       return std::tuple(option.lost_work / std::max<std::int64_t>(1, option.task_count), option.victims.size());
     });
