--- a/tests/unit/aging_test.cpp
+++ b/tests/unit/aging_test.cpp
@@ -1,3 +1,4 @@
+// Tracking of job sizes, and the submission time that a waiting job counts with in the planning order.
 #include "aging/aging.h"
 
 #include <gtest/gtest.h>
@@ -49,7 +50,8 @@
             kStart - constants::kLargestHeadStart);
   EXPECT_EQ(effective_submission(other, kStart + constants::kMaxBypassOfLargest), kStart + constants::kMaxAgingPenalty);
   EXPECT_EQ(effective_submission(other, kStart + constants::kMaxBypass), kStart);
-  // In a backlog in which all are overdue the largest is not behind what came shortly before it.
+  // Guards against large jobs that start too late in a backlog: when all jobs are overdue, a largest job is planned
+  // before a job that was submitted shortly before it.
   const WaitingJob submitted_earlier{
       .submitted = kStart - constants::kLargestHeadStart / 2, .aging_penalty = 1h, .is_among_largest = false};
   EXPECT_LT(effective_submission(large, kStart + constants::kMaxBypass),
--- a/tests/unit/plain_planner.cpp
+++ b/tests/unit/plain_planner.cpp
@@ -12,6 +12,7 @@
   return when >= kForever - duration ? kForever : when + duration;
 }
 
+// The slots within [from, to) in which all of the amounts are free and which last at least `duration`.
 FreeSlots free_slots(const ResourceUsage& usage, const ResourceAmounts& amounts, Millis duration, Instant from,
                      Instant to) {
   FreeSlots found{{from, to, std::numeric_limits<MilliUnits>::max()}};
@@ -86,14 +87,15 @@
   struct CandidateState {
     const Candidate* candidate;
     FreeSlots slots;
-    std::optional<ResourceUsage> usage;  // the machine's use with what this call placed
+    // Usage of the machine with the tasks placed by this call; unset if this call placed none on it.
+    std::optional<ResourceUsage> usage;
   };
   std::vector<CandidateState> states;
   states.reserve(candidates.size());
   for (const Candidate& candidate : candidates)
     states.push_back({.candidate = &candidate, .slots = candidate.slots, .usage = {}});
   std::vector<Placement> placements;
-  // What this call placed counts against the fleet, the team and the zones at once.
+  // The tasks placed by this call count at once against the fleet, the team and the zones.
   ResourceUsage fleet = fleet_;
   ResourceUsage team = usage_by_team_.contains(request.team) ? usage_by_team_.at(request.team) : ResourceUsage{};
   std::map<std::string, std::uint32_t> tasks_in_zone = request.tasks_by_zone;
@@ -114,7 +116,8 @@
       }
       const FreeSlots common = intersect(entry.slots, free, entry.candidate->setup_time + request.duration);
       if (common.empty() || common.front().start > request.latest_start) continue;
-      // Whole seconds: a start that is a little earlier is not worth a dear machine.
+      // Compares start times in whole seconds, because a slightly earlier start does not justify a machine of higher
+      // weight.
       const auto run_start = std::chrono::floor<std::chrono::seconds>(
           (common.front().start + entry.candidate->setup_time).time_since_epoch());
       const std::tuple<Millis::rep, double> rank{run_start.count(), entry.candidate->weight};
@@ -133,7 +136,8 @@
         std::min<std::int64_t>(remaining, request.per_task.count_fitting_in(best->usage->free(start, stop)));
     if (request.zone_task_limit)
       count = std::min<std::int64_t>(count, *request.zone_task_limit - tasks_in_zone[spec.zone]);
-    // As many as fleet and team allow at once; one is allowed, it was looked for.
+    // Limits the count by the room in the fleet and in the team's limit. One task always fits: the start was chosen
+    // for it.
     PlacementRequest at_start = request;
     at_start.earliest_start = start;
     while (count > 1) {
@@ -161,7 +165,7 @@
   const FreeSlots free =
       free_fleet_slots(request, request.count, fleet_,
                        usage_by_team_.contains(request.team) ? usage_by_team_.at(request.team) : ResourceUsage{});
-  // Where a piece becomes free on some machine, or the fleet has room again, the gang may begin.
+  // A gang that does not fit at some time can fit later only where a slot of the fleet or of a machine begins.
   std::set<Instant> starts;
   for (const Slot& slot : free) starts.insert(slot.start);
   for (const Candidate& candidate : candidates) {
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -1,3 +1,4 @@
+// Planning of independent tasks and of gangs: start times, choice of machines, limits of teams and zones, and bookings.
 #include "plan/planner.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +31,7 @@
   return request;
 }
 
-// On all machines, which need no image.
+// Plans the request. If it names no machines, all machines are eligible and need no setup.
 std::vector<Placement> plan(const Planner& planner, PlacementRequest request) {
   if (request.machines.empty()) {
     for (const auto& [unused, machine] : planner.machines())
@@ -70,7 +71,8 @@
 
 TEST(Planner, MachinesWithScarceResourcesRankLast) {
   Planner planner;
-  planner.set_machine(make_machine("m-1", 8, 4));  // all GPUs of the fleet: weight 1
+  // m-1 has all GPUs of the fleet, so its share of the fleet is 1.
+  planner.set_machine(make_machine("m-1", 8, 4));
   planner.set_machine(make_machine("m-2", 8, 0));
   EXPECT_EQ(plan(planner, make_request(4, 1, 10)).front().machine, MachineId("m-2"));
 }
@@ -166,7 +168,9 @@
   }
 }
 
-// As after a takeover: what runs is known from records, its machine only when it reports, and then each booking is replaced.
+// Guards against a booking that is missing in its machine's usage because it was made before the machine was added.
+// This happens after a takeover: running tasks are known from records at once, but their machine only when it
+// reports. Each booking is then revoked and replaced by another one.
 TEST(Planner, BookingsMadeBeforeTheirMachineIsAddedCountInItsUsage) {
   Planner planner;
   const auto book_until = [&](int stop_s) {
@@ -179,20 +183,20 @@
   std::vector<BookingId> original;
   for (int task = 0; task < 4; ++task) original.push_back(book_until(100));
   planner.set_machine(make_machine("m-1", 8, 0));
-  // The fleet has room for four more, but not on that machine.
+  // The fleet has room for four more tasks, but not on m-1.
   planner.set_machine(make_machine("m-2", 8, 0, "a", 1000));
   const auto start_on_m1 = [&] {
     PlacementRequest request = make_request(2, 1, 10);
     request.machines = {{.machine = planner.find_machine(MachineId("m-1")), .setup_time = Millis(0)}};
     return planner.plan(request).front().start;
   };
-  EXPECT_EQ(start_on_m1(), at(100)) << "it is full until then";
+  EXPECT_EQ(start_on_m1(), at(100)) << "m-1 is full until the original bookings end";
   std::vector<BookingId> replacements;
   for (const BookingId id : original) {
     planner.revoke(id);
     replacements.push_back(book_until(60));
   }
-  EXPECT_EQ(start_on_m1(), at(60)) << "and so it is when all have been replaced";
+  EXPECT_EQ(start_on_m1(), at(60)) << "m-1 is full until the replacement bookings end";
   for (const BookingId id : replacements) planner.revoke(id);
   EXPECT_TRUE(planner.find_machine(MachineId("m-1"))->usage.usage_of(0).slots().empty());
   EXPECT_EQ(start_on_m1(), at(0));
@@ -214,7 +218,8 @@
   EXPECT_TRUE(planner.find_machine(MachineId("m-1"))->usage.usage_of(0).slots().empty());
 }
 
-// However Planner saves work, it decides what the paper's steps decide.
+// Guards against optimizations of Planner that change its decisions: on random fleets and requests it has to return
+// the same placements as ReferencePlanner.
 class PlannerRandom : public testing::TestWithParam<unsigned> {};
 
 TEST_P(PlannerRandom, ReturnsThePlacementsOfTheReferencePlanner) {
@@ -271,7 +276,7 @@
     for (std::size_t i = 0; i < found.size(); ++i) {
       ASSERT_EQ(std::tie(found[i].machine, found[i].start, found[i].stop, found[i].count),
                 std::tie(expected[i].machine, expected[i].start, expected[i].stop, expected[i].count))
-          << "round " << round << ", placing " << i;
+          << "round " << round << ", placement " << i;
       const Booking booking{.machine = found[i].machine,
                             .team = request.team,
                             .amounts = request.per_task.times(found[i].count),
--- a/tests/unit/preempt_test.cpp
+++ b/tests/unit/preempt_test.cpp
@@ -1,4 +1,5 @@
-// Which running work gives way: what PROTOCOL allows, what is worth it, and no more than makes room.
+// Preemption: which work PROTOCOL allows to displace, when displacing it is worth its cost, and that no more work is
+// stopped than makes room.
 #include "preempt/preempt.h"
 
 #include <gtest/gtest.h>
@@ -55,7 +56,7 @@
   PreemptionRequest borrowing = make_request(1);
   borrowing.guaranteed = false;
   EXPECT_FALSE(should_preempt(borrowing, borrowed));
-  // Lower in priority but within its guarantee, it would be planned first again.
+  // This victim has a lower priority, but is within its guarantee: it would be planned before the request again.
   EXPECT_FALSE(should_preempt(borrowing, make_victim("j-000002", wire::Priority::best_effort)));
 }
 
@@ -82,7 +83,7 @@
   EXPECT_EQ(choose_victims(make_request(1), victims, candidates), std::vector<std::size_t>{1});
   EXPECT_EQ(choose_victims(make_request(2), victims, candidates), (std::vector<std::size_t>{1, 2}));
   EXPECT_TRUE(choose_victims(make_request(1), victims, {make_candidate("m-3", 4, {{0, four_cpus}})}).empty())
-      << "there is room";
+      << "the task fits without preemption";
 }
 
 TEST(Preempt, GangGetsRoomForAllItsTasksInOneZoneOrStopsNothing) {
--- a/tests/unit/usage_vector_test.cpp
+++ b/tests/unit/usage_vector_test.cpp
@@ -1,3 +1,4 @@
+// UsageVector: adding and subtracting slots, free slots, the limit of a team, and open intervals.
 #include "plan/usage_vector.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 
 constexpr int kLengthMs = 60;
 
-// The same thing as an array with one entry a millisecond.
+// The usage of a resource as an array with one entry per millisecond: a model that is obviously correct.
 struct ArrayModel {
   std::array<MilliUnits, kLengthMs> used{};
   void change(int start, int stop, MilliUnits amount) {
@@ -31,7 +32,8 @@
     if (i == 0) continue;
     const Slot& previous = vector.slots()[i - 1];
     ASSERT_LE(previous.stop, slot.start);
-    ASSERT_FALSE(previous.stop == slot.start && previous.amount == slot.amount) << "equal neighbours are joined";
+    ASSERT_FALSE(previous.stop == slot.start && previous.amount == slot.amount)
+        << "adjacent slots with equal amounts must be merged";
   }
 }
 
@@ -60,7 +62,8 @@
     expect_same(vector, model);
     expect_same(team, team_model);
 
-    // Free slots: every moment inside one has the room, and every run of room long enough is inside one.
+    // Free slots: each millisecond of a slot has the amount free, and each free period that is long enough lies in a
+    // slot.
     const MilliUnits needed = pick(1, 20);
     const int duration = pick(1, 12);
     const FreeSlots free = vector.free_slots(needed, Millis(duration), at(0), at(kLengthMs));
@@ -86,7 +89,7 @@
       free_ms = 0;
     }
 
-    // minFree: as much is free as both the system and the rest of the limit have.
+    // min_free(): the free amount is the smaller of what the system has free and what the team leaves of the limit.
     const MilliUnits limit = pick(0, 25);
     const UsageVector limited = UsageVector::min_free(vector, limit, team);
     for (int t = 0; t < kLengthMs; ++t) {
@@ -95,7 +98,7 @@
       ASSERT_EQ(20 - limited.used_at(at(t)), expected) << "at " << t << " limit " << limit;
     }
 
-    // Intersection.
+    // intersect(): a millisecond lies in a result exactly if both vectors have the amount free then.
     const FreeSlots team_free = team.free_slots(needed, Millis(1), at(0), at(kLengthMs));
     const FreeSlots common =
         intersect(vector.free_slots(needed, Millis(1), at(0), at(kLengthMs)), team_free, Millis(1));
