--- a/src/plan/spans.cpp
+++ b/src/plan/free_intervals.cpp
@@ -1,4 +1,4 @@
-#include "plan/spans.h"
+#include "plan/free_intervals.h"
 
 #include <algorithm>
 #include <span>
--- a/src/plan/planner_search.cpp
+++ b/src/plan/planner_search.cpp
@@ -4,7 +4,7 @@
 #include <tuple>
 
 #include "plan/planner.h"
-#include "plan/spans.h"
+#include "plan/free_intervals.h"
 
 namespace foxshunt::plan {
 namespace {
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "unit/plain_planner.h"
+#include "unit/reference_planner.h"
 
 namespace foxshunt::plan {
 namespace {
--- a/tests/unit/plain_planner.cpp
+++ b/tests/unit/reference_planner.cpp
@@ -1,4 +1,4 @@
-#include "unit/plain_planner.h"
+#include "unit/reference_planner.h"
 
 #include <algorithm>
 #include <limits>
