--- a/src/control/cloud_offers.cpp
+++ b/src/control/cloud_offers.cpp
@@ -16,7 +16,7 @@
   if (!capacity_.is_available(kind, held_, now_)) return std::nullopt;
   // Uses the full capacity, with nothing reserved for GPU jobs: a GPU machine that is rented for other work exceeds the
   // demand of GPU jobs.
-  const std::int64_t tasks_per_machine = task_amounts(spec).count_in(capacity_of(type));
+  const std::int64_t tasks_per_machine = task_amounts(spec).count_fitting_in(capacity_of(type));
   const double hourly = hourly_price(type, spot);
   return Offer{.kind = std::move(kind),
                .price_per_task = hourly / static_cast<double>(std::min(tasks_per_machine, tasks)),
@@ -26,10 +26,10 @@
 
 std::optional<CloudOffers::Offer> CloudOffers::find_cheapest(const wire::JobSpec& spec, std::int64_t tasks,
                                                              double max_price_ratio, Millis max_startup) const {
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   std::optional<Offer> best;
   for (const wire::MachineType& type : cluster_.machine_types) {
-    if (each.count_in(capacity_of(type)) <= 0) continue;
+    if (each.count_fitting_in(capacity_of(type)) <= 0) continue;
     if (from_seconds(type.boot_s) + constants::kCloudCallTimeout + cluster_.image_fetch_duration(spec, type.name) >
         max_startup)
       continue;
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -27,7 +27,7 @@
 
 void ClusterState::rebind_planned_nodes() {
   for (auto& [id, machine] : machines) {
-    if (machine.planned != nullptr) machine.planned = planner.node(id);
+    if (machine.planned != nullptr) machine.planned = planner.find_machine(id);
   }
 }
 
@@ -51,7 +51,7 @@
 }
 
 void ClusterState::update_planner_machine(Machine& machine) {
-  if (machine.planned != nullptr && machine.planned->info.ready == machine.ready) return;
+  if (machine.planned != nullptr && machine.planned->spec.ready_at == machine.ready) return;
   const wire::MachineType* machine_type_info = find_machine_type(machine.type);
   if (machine_type_info == nullptr) return;
   planner.set_machine(
@@ -59,9 +59,9 @@
        .type = machine.type,
        .zone = machine.zone,
        .spot = machine.spot,
-       .capacity = Amounts::from(machine_type_info->cpus, machine_type_info->gpus, machine_type_info->ram_gb),
-       .ready = machine.ready});
-  machine.planned = planner.node(machine.id);
+       .capacity = ResourceAmounts::from(machine_type_info->cpus, machine_type_info->gpus, machine_type_info->ram_gb),
+       .ready_at = machine.ready});
+  machine.planned = planner.find_machine(machine.id);
   needs_planning = true;
 }
 
@@ -105,7 +105,7 @@
 }
 
 bool has_bookings(const Machine& machine) {
-  return machine.planned != nullptr && !machine.planned->use.of(0).slots().empty();
+  return machine.planned != nullptr && !machine.planned->usage.usage_of(0).slots().empty();
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -21,10 +21,11 @@
 // Sets the teams' limits in the planner. A configured maximum of zero means no limit.
 void set_team_quotas(ClusterState& cluster) {
   const auto limit = [](double max_amount) {
-    return max_amount > 0 ? std::optional<plan::Items>(Amounts::from(max_amount, 0, 0).of[0]) : std::nullopt;
+    return max_amount > 0 ? std::optional<plan::MilliUnits>(ResourceAmounts::from(max_amount, 0, 0).values[0])
+                          : std::nullopt;
   };
   for (const config::Team& team : cluster.settings.teams) {
-    cluster.planner.set_team(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
+    cluster.planner.set_team_limit(team.name, {.cpus = limit(team.cpus_max), .gpus = limit(team.gpus_max)});
   }
 }
 
@@ -153,8 +154,8 @@
 
 void Controller::on_due_jobs(foresight::DueJobs due_jobs) {
   if (deadline_planner_.on_due_jobs(std::move(due_jobs))) {
-    cluster_.needs_planning = true;  // deadlines affect the job order
-    scheduling_cycle_.invalidate_plan();     // the previous plan did not consider these deadlines
+    cluster_.needs_planning = true;       // deadlines affect the job order
+    scheduling_cycle_.invalidate_plan();  // the previous plan did not consider these deadlines
   }
   scheduling_cycle_.queue().ranking().on_slack(deadline_planner_.slack_steps());
 }
@@ -163,12 +164,12 @@
   // A forecast requires a complete pass over all machines. A new leader does not know all machines before their agents
   // have had time to report, directly or through another controller.
   if (!leadership_.is_leader() || scheduling_cycle_.is_pass_in_progress() ||
-      scheduling_cycle_.last_pass_started_at() < leadership_.term_started() + heartbeat_reroute_timeout(cluster_.settings))
+      scheduling_cycle_.last_pass_started_at() <
+          leadership_.term_started() + heartbeat_reroute_timeout(cluster_.settings))
     return {};
   return deadline_planner_.deadline_forecasts(
       {cluster_, autoscaler_.demand(), autoscaler_.capacity(), scheduling_cycle_.queue().ranking()},
-      scheduling_cycle_.last_pass_started_at(),
-      now);
+      scheduling_cycle_.last_pass_started_at(), now);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -167,7 +167,9 @@
   // Runs portions up to the end of a pass.
   void plan_pass(Instant now);
   // Returns whether a pass is needed or in progress.
-  [[nodiscard]] bool needs_planning() const { return cluster_.needs_planning || scheduling_cycle_.is_pass_in_progress(); }
+  [[nodiscard]] bool needs_planning() const {
+    return cluster_.needs_planning || scheduling_cycle_.is_pass_in_progress();
+  }
   // Returns whether a pass is in progress. Jobs that the pass has not reached yet have no booking.
   [[nodiscard]] bool is_planning() const { return scheduling_cycle_.is_pass_in_progress(); }
   // Returns whether machines are to be rented or returned.
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -14,18 +14,18 @@
 
 // How many of the job's tasks the booking covers, by its amount of CPU.
 std::uint64_t booked_task_count(const plan::Booking& booking, const Job& job) {
-  return static_cast<std::uint64_t>(booking.amounts.of[0] / std::max<plan::Items>(1, job.each.of[0]));
+  return static_cast<std::uint64_t>(booking.amounts.values[0] / std::max<plan::MilliUnits>(1, job.each.values[0]));
 }
 
 // For how many tasks the places have room early enough for the tasks to end by the deadline. Stops counting at
 // `max_count`.
-std::int64_t count_timely_room(const Job& job, const std::vector<plan::Place>& places, Instant deadline,
+std::int64_t count_timely_room(const Job& job, const std::vector<plan::EligibleMachine>& places, Instant deadline,
                                std::uint32_t max_count, Instant now) {
   std::int64_t room = 0;
-  for (const plan::Place& place : places) {
-    const Instant from = std::max(now, place.node->info.ready);
-    if (from + place.before + estimated_run_time(job) > deadline) continue;
-    room += job.each.count_in(place.node->use.free(from, from + place.before + booking_duration(job)));
+  for (const plan::EligibleMachine& place : places) {
+    const Instant from = std::max(now, place.machine->spec.ready_at);
+    if (from + place.setup_time + estimated_run_time(job) > deadline) continue;
+    room += job.each.count_fitting_in(place.machine->usage.free(from, from + place.setup_time + booking_duration(job)));
     if (room >= max_count) break;
   }
   return room;
@@ -37,14 +37,14 @@
   Instant end;
   const Millis beyond = run_time_beyond_booking(job);
   for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = cluster.planner.booking(booking);
+    const plan::Booking* found = cluster.planner.find_booking(booking);
     if (found == nullptr) continue;
     end = std::max(end, found->stop + beyond);
     booked += booked_task_count(*found, job);
   }
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
-      const plan::Booking* found = cluster.planner.booking(allocation.booking);
+      const plan::Booking* found = cluster.planner.find_booking(allocation.booking);
       if (found != nullptr) end = std::max(end, found->stop);
     }
   }
@@ -56,7 +56,7 @@
 std::uint64_t count_tasks_booked_by(const plan::Planner& planner, const Job& job, Instant deadline) {
   std::uint64_t timely = 0;
   for (const plan::BookingId booking : job.booked) {
-    const plan::Booking* found = planner.booking(booking);
+    const plan::Booking* found = planner.find_booking(booking);
     if (found == nullptr || found->stop + run_time_beyond_booking(job) > deadline) continue;
     timely += booked_task_count(*found, job);
   }
@@ -68,7 +68,8 @@
 std::optional<foresight::Kind> describe_machine_type(const DeadlineContext& context, const Job& job,
                                                      const wire::MachineType& kind, double max_price_per_task,
                                                      const CloudCapacityTracker::HeldMachines& held_machines) {
-  const std::int64_t fit = job.each.count_in(TaskPricing(context.cluster, context.demand).usable_capacity(job.spec, kind));
+  const std::int64_t fit =
+      job.each.count_fitting_in(TaskPricing(context.cluster, context.demand).usable_capacity(job.spec, kind));
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
                         .boot = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
@@ -81,7 +82,8 @@
       is_allowed = true;
       const double hourly = spot ? kind.spot_price : kind.price;
       if (!context.cluster.can_rent_in_zone(zone) || hourly > max_price_per_task * static_cast<double>(fit)) continue;
-      found.can_scale_out = found.can_scale_out || context.capacity.is_expected_available({kind.name, zone, spot}, held_machines);
+      found.can_scale_out =
+          found.can_scale_out || context.capacity.is_expected_available({kind.name, zone, spot}, held_machines);
     }
   }
   return is_allowed ? std::optional(std::move(found)) : std::nullopt;
@@ -167,14 +169,15 @@
 }
 
 std::uint32_t DeadlinePlanner::count_overdue_tasks(const DeadlineContext& context, const Job& job,
-                                                   const std::vector<plan::Placing>& placings,
-                                                   const std::vector<plan::Place>& places, Instant now) const {
+                                                   const std::vector<plan::Placement>& placements,
+                                                   const std::vector<plan::EligibleMachine>& places,
+                                                   Instant now) const {
   const auto due = due_jobs_.find(job.spec.id);
   if (due == due_jobs_.end()) return 0;
   const Instant deadline = due->second.by;
   std::uint32_t late = 0;
-  for (const plan::Placing& placing : placings) {
-    if (placing.stop + run_time_beyond_booking(job) > deadline) late += placing.count;
+  for (const plan::Placement& placement : placements) {
+    if (placement.stop + run_time_beyond_booking(job) > deadline) late += placement.count;
   }
   if (late == 0) return 0;
   const foresight::Work work = describe_work(context, job, deadline, {});
--- a/src/control/deadline_planner.h
+++ b/src/control/deadline_planner.h
@@ -47,8 +47,8 @@
   // How many of the planned tasks end after the job's calendar deadline although machines rented now would finish them
   // in time. Zero if no machine type would, or if the machines in `places` have room for all these tasks in time.
   [[nodiscard]] std::uint32_t count_overdue_tasks(const DeadlineContext& context, const Job& job,
-                                                  const std::vector<plan::Placing>& placings,
-                                                  const std::vector<plan::Place>& places, Instant now) const;
+                                                  const std::vector<plan::Placement>& placements,
+                                                  const std::vector<plan::EligibleMachine>& places, Instant now) const;
   // How long a machine may take from now until it runs tasks of the job, so that they meet its calendar deadline.
   // Negative if the deadline cannot be met any more; Millis::max() if the job has none.
   [[nodiscard]] Millis max_startup_for_deadline(const Job& job, Instant now) const;
--- a/src/control/demand_estimator.cpp
+++ b/src/control/demand_estimator.cpp
@@ -9,42 +9,43 @@
 
 namespace foxshunt::control {
 
-using plan::Amounts;
+using plan::ResourceAmounts;
 
-void DemandEstimator::record_job(const wire::JobSpec& spec, const Amounts& each, plan::Instant submitted) {
+void DemandEstimator::record_job(const wire::JobSpec& spec, const ResourceAmounts& each, plan::Instant submitted) {
   ClassDemand& demand = classes_[spec.job_class];
   demand.sample = spec;
   demand.arrivals.emplace_back(submitted, spec.tasks);
   // expected_tasks() is never called for most classes, so old arrivals have to be dropped here.
   while (demand.arrivals.front().first < submitted - constants::kDemandWindow) demand.arrivals.pop_front();
-  sizes_.learn(spec.job_class, spec.tasks, submitted);
-  if (each.of[1] <= 0) return;
+  sizes_.record_job(spec.job_class, spec.tasks, submitted);
+  if (each.values[1] <= 0) return;
   for (const std::size_t r : {0U, 2U}) {
-    usage_per_gpu_.of[r] = std::max(usage_per_gpu_.of[r], each.of[r] * 1000 / each.of[1]);
+    usage_per_gpu_.values[r] = std::max(usage_per_gpu_.values[r], each.values[r] * 1000 / each.values[1]);
   }
 }
 
-void DemandEstimator::record_gpu_counts(plan::Items wanted, plan::Items available, plan::Instant now) {
+void DemandEstimator::record_gpu_counts(plan::MilliUnits wanted, plan::MilliUnits available, plan::Instant now) {
   while (!gpu_peaks_.empty() && gpu_peaks_.back().second <= wanted) gpu_peaks_.pop_back();
   gpu_peaks_.emplace_back(now, wanted);
   while (gpu_peaks_.front().first < now - constants::kGpuDemandWindow) gpu_peaks_.pop_front();
-  unclaimed_gpus_ = std::max<plan::Items>(0, available - gpu_peaks_.front().second);
+  unclaimed_gpus_ = std::max<plan::MilliUnits>(0, available - gpu_peaks_.front().second);
 }
 
 // Keeps cores free for jobs that request GPUs (PAPER 5.4, "expensive resources").
-Amounts DemandEstimator::usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type,
-                                         const std::vector<wire::MachineType>& types) const {
-  Amounts amounts = capacity_of(type);
+ResourceAmounts DemandEstimator::usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type,
+                                                 const std::vector<wire::MachineType>& types) const {
+  ResourceAmounts amounts = capacity_of(type);
   if (spec.gpus > 0 || type.gpus <= 0) return amounts;
   const bool fits_without_gpus = std::ranges::any_of(types, [&](const wire::MachineType& other) {
     return other.gpus <= 0 && is_type_allowed(spec, other.name) &&
-           Amounts::from(spec.cpus, 0, spec.ram_gb).fits(Amounts::from(other.cpus, 0, other.ram_gb));
+           ResourceAmounts::from(spec.cpus, 0, spec.ram_gb).fits_in(ResourceAmounts::from(other.cpus, 0, other.ram_gb));
   });
   if (!fits_without_gpus) return amounts;  // the job can only run on machines with GPUs
   for (const std::size_t r : {0U, 2U}) {
     // Until a task with a GPU has been seen, the whole amount is reserved.
-    const plan::Items reserved = usage_per_gpu_.of[r] > 0 ? usage_per_gpu_.of[r] * amounts.of[1] / 1000 : amounts.of[r];
-    amounts.of[r] = std::max<plan::Items>(0, amounts.of[r] - reserved);
+    const plan::MilliUnits reserved =
+        usage_per_gpu_.values[r] > 0 ? usage_per_gpu_.values[r] * amounts.values[1] / 1000 : amounts.values[r];
+    amounts.values[r] = std::max<plan::MilliUnits>(0, amounts.values[r] - reserved);
   }
   return amounts;
 }
@@ -68,7 +69,7 @@
 // ---- hints of a standby controller ----
 
 void DemandEstimator::apply_largest_job_hint(const std::string& job_class, std::uint32_t tasks, plan::Instant now) {
-  sizes_.learn(job_class, tasks, now);
+  sizes_.record_job(job_class, tasks, now);
 }
 
 void DemandEstimator::apply_sample_hint(const wire::JobSpec& sample) {
@@ -86,7 +87,8 @@
   entry->second.arrivals = std::move(before);
 }
 
-void DemandEstimator::apply_gpu_hint(const GpuPeaks& peaks, plan::Items cpus_per_gpu, plan::Items ram_per_gpu) {
+void DemandEstimator::apply_gpu_hint(const GpuPeaks& peaks, plan::MilliUnits cpus_per_gpu,
+                                     plan::MilliUnits ram_per_gpu) {
   GpuPeaks merged;
   for (const GpuPeaks* source : {&peaks, static_cast<const GpuPeaks*>(&gpu_peaks_)}) {
     for (const auto& [when, items] : *source) {
@@ -95,8 +97,8 @@
     }
   }
   gpu_peaks_ = std::move(merged);
-  usage_per_gpu_.of[0] = std::max(usage_per_gpu_.of[0], cpus_per_gpu);
-  usage_per_gpu_.of[2] = std::max(usage_per_gpu_.of[2], ram_per_gpu);
+  usage_per_gpu_.values[0] = std::max(usage_per_gpu_.values[0], cpus_per_gpu);
+  usage_per_gpu_.values[2] = std::max(usage_per_gpu_.values[2], ram_per_gpu);
 }
 
 }  // namespace foxshunt::control
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -49,7 +49,8 @@
       const auto machine = cluster.machines.find(allocation.machine);
       if (machine == cluster.machines.end() || remaining_fetch_time(cluster, job, allocation, now) == Millis(0))
         continue;
-      const Millis max_fetch_time = cluster.image_fetch_duration(job.spec, machine->second.type) * constants::kFetchDoubtFactor;
+      const Millis max_fetch_time =
+          cluster.image_fetch_duration(job.spec, machine->second.type) * constants::kFetchDoubtFactor;
       if (now - allocation.placed < max_fetch_time + from_seconds(cluster.settings.gang_wait_s)) return true;
     }
   }
@@ -122,32 +123,32 @@
 // differ by more than `gang_wait_s` would therefore never start if all members were placed at once. So members with
 // short fetches are placed when the long fetches are nearly complete. A task is never started twice with the same
 // attempt number on the same machine, because a late report could then refer to either run.
-std::vector<plan::Placing> GangCoordinator::select_members_to_place(ClusterState& cluster, Job& job,
-                                                                    const std::vector<plan::Placing>& placings,
-                                                                    Instant now) {
+std::vector<plan::Placement> GangCoordinator::select_members_to_place(ClusterState& cluster, Job& job,
+                                                                      const std::vector<plan::Placement>& placements,
+                                                                      Instant now) {
   Millis longest_fetch{};
   Millis shortest_fetch = Millis::max();
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations)
       longest_fetch = std::max(longest_fetch, remaining_fetch_time(cluster, job, allocation, now));
   }
-  for (const plan::Placing& placing : placings) {
-    const Millis wait = image_fetch_time(cluster, job, cluster.machines.at(placing.machine));
+  for (const plan::Placement& placement : placements) {
+    const Millis wait = image_fetch_time(cluster, job, cluster.machines.at(placement.machine));
     longest_fetch = std::max(longest_fetch, wait);
     shortest_fetch = std::min(shortest_fetch, wait);
   }
   if (longest_fetch - shortest_fetch > from_seconds(cluster.settings.gang_wait_s) / constants::kGangFetchSpreadDivisor)
     job.in_stages = true;
-  if (!job.in_stages) return placings;
-  std::vector<plan::Placing> due;
-  for (const plan::Placing& placing : placings) {
-    if (image_fetch_time(cluster, job, cluster.machines.at(placing.machine)) >= longest_fetch) {
-      due.push_back(placing);
+  if (!job.in_stages) return placements;
+  std::vector<plan::Placement> due;
+  for (const plan::Placement& placement : placements) {
+    if (image_fetch_time(cluster, job, cluster.machines.at(placement.machine)) >= longest_fetch) {
+      due.push_back(placement);
     } else {
-      book_planned_tasks(cluster, job, placing);
+      book_planned_tasks(cluster, job, placement);
     }
   }
-  if (due.size() < placings.size() && !job.gather_until)
+  if (due.size() < placements.size() && !job.gather_until)
     job.gather_until = now + longest_fetch + barrier_timeout(cluster.settings);
   return due;
 }
@@ -159,40 +160,41 @@
   reservation_.choose_holder(reservation_candidates(cluster, demand, now), now);
 }
 
-std::vector<plan::Placing> GangCoordinator::plan_reservation_holder(const plan::Planner& planner,
-                                                                    plan::Request request) const {
-  for (plan::Place& place : request.places) place.preferred = reservation_.is_machine_kept(place.node->info.id);
-  std::vector<plan::Placing> placings = planner.plan(request);
-  if (!request.one_zone || placings.empty() || reservation_.zone().empty()) return placings;
+std::vector<plan::Placement> GangCoordinator::plan_reservation_holder(const plan::Planner& planner,
+                                                                      plan::PlacementRequest request) const {
+  for (plan::EligibleMachine& place : request.machines)
+    place.preferred = reservation_.is_machine_kept(place.machine->spec.id);
+  std::vector<plan::Placement> placements = planner.plan(request);
+  if (!request.one_zone || placements.empty() || reservation_.zone().empty()) return placements;
   // Moving to the zone with the earliest estimated start would release the machines that are kept free in the reserved
   // zone. The gang moves only if it can start at once.
-  if (placings.front().start <= request.from) return placings;
+  if (placements.front().start <= request.earliest_start) return placements;
   // If the plan is in the reserved zone already, planning with that zone bound would give the same plan.
-  if (planner.node(placings.front().machine)->info.zone == reservation_.zone()) return placings;
-  request.zone_bound = reservation_.zone();
-  std::vector<plan::Placing> plan_in_reserved_zone = planner.plan(request);
-  return plan_in_reserved_zone.empty() ? placings : plan_in_reserved_zone;
+  if (planner.find_machine(placements.front().machine)->spec.zone == reservation_.zone()) return placements;
+  request.required_zone = reservation_.zone();
+  std::vector<plan::Placement> plan_in_reserved_zone = planner.plan(request);
+  return plan_in_reserved_zone.empty() ? placements : plan_in_reserved_zone;
 }
 
-void GangCoordinator::reserve_machines(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings,
+void GangCoordinator::reserve_machines(ClusterState& cluster, Job& job, const std::vector<plan::Placement>& placements,
                                        Instant now) {
   std::set<MachineId> kept;
-  for (const plan::Placing& placing : placings) {
-    const plan::PlanNode* node = cluster.planner.node(placing.machine);
-    const Amounts amounts = job.each.times(placing.count);
-    const plan::Spans free =
-        node->use.free_spans(amounts, constants::kTick, std::max(now, node->info.ready), placing.start);
-    if (free.empty() || free.back().stop != placing.start) continue;
+  for (const plan::Placement& placement : placements) {
+    const plan::PlannedMachine* node = cluster.planner.find_machine(placement.machine);
+    const ResourceAmounts amounts = job.each.times(placement.count);
+    const plan::TimeIntervals free =
+        node->usage.free_intervals(amounts, constants::kTick, std::max(now, node->spec.ready_at), placement.start);
+    if (free.empty() || free.back().stop != placement.start) continue;
     // Booked without a team: until the gang starts, the machine does not count against the team's quota.
-    job.booked.push_back(cluster.planner.book({.machine = placing.machine,
+    job.booked.push_back(cluster.planner.book({.machine = placement.machine,
                                                .team = {},
                                                .amounts = amounts,
                                                .start = free.back().start,
                                                .stop = free.back().stop}));
-    if (free.back().start <= now) kept.insert(placing.machine);
+    if (free.back().start <= now) kept.insert(placement.machine);
   }
-  const bool one_zone = job.spec.one_zone && !placings.empty();
-  reservation_.record_plan(one_zone ? cluster.machines.at(placings.front().machine).zone : std::string(),
+  const bool one_zone = job.spec.one_zone && !placements.empty();
+  reservation_.record_plan(one_zone ? cluster.machines.at(placements.front().machine).zone : std::string(),
                            std::move(kept));
 }
 
--- a/src/control/gang_coordinator.h
+++ b/src/control/gang_coordinator.h
@@ -40,11 +40,10 @@
   // their image.
   [[nodiscard]] static MissingMemberAction choose_missing_member_action(const ClusterState& cluster, Job& job,
                                                                         Instant now);
-  // Returns the placings whose tasks are to be placed now, and books the other ones. If image fetch times differ too
+  // Returns the placements whose tasks are to be placed now, and books the other ones. If image fetch times differ too
   // much, the tasks with the longest fetches are placed first, see docs/design/gathering.md.
-  [[nodiscard]] static std::vector<plan::Placing> select_members_to_place(ClusterState& cluster, Job& job,
-                                                                          const std::vector<plan::Placing>& placings,
-                                                                          Instant now);
+  [[nodiscard]] static std::vector<plan::Placement> select_members_to_place(
+      ClusterState& cluster, Job& job, const std::vector<plan::Placement>& placements, Instant now);
 
   // ---- backfill reservation ----
   // Called at the beginning of each planning pass.
@@ -52,11 +51,11 @@
   [[nodiscard]] bool holds_reservation(const JobId& job) const { return reservation_.is_held_by(job); }
   // Plans the gang that holds the reservation. Prefers the machines that are kept free for it, and for a one-zone job
   // the reserved zone.
-  [[nodiscard]] std::vector<plan::Placing> plan_reservation_holder(const plan::Planner& planner,
-                                                                   plan::Request request) const;
+  [[nodiscard]] std::vector<plan::Placement> plan_reservation_holder(const plan::Planner& planner,
+                                                                     plan::PlacementRequest request) const;
   // Books each planned machine from the time when it becomes free until the gang's planned start, so that no other work
   // is backfilled there.
-  void reserve_machines(ClusterState& cluster, Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  void reserve_machines(ClusterState& cluster, Job& job, const std::vector<plan::Placement>& placements, Instant now);
 
  private:
   GangReservation reservation_;
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -16,18 +16,18 @@
 namespace {
 
 // Plans at most one task per machine, in the order of the request's places.
-std::vector<plan::Placing> plan_one_per_machine(const plan::Planner& planner, plan::Request request) {
-  std::vector<plan::Placing> placings;
-  const std::vector<plan::Place> places = std::move(request.places);
+std::vector<plan::Placement> plan_one_per_machine(const plan::Planner& planner, plan::PlacementRequest request) {
+  std::vector<plan::Placement> placements;
+  const std::vector<plan::EligibleMachine> places = std::move(request.machines);
   std::uint32_t remaining = std::exchange(request.count, 1);
   for (auto place = places.begin(); place != places.end() && remaining > 0; ++place) {
-    request.places = {*place};
-    for (const plan::Placing& placing : planner.plan(request)) {
-      placings.push_back(placing);
+    request.machines = {*place};
+    for (const plan::Placement& placement : planner.plan(request)) {
+      placements.push_back(placement);
       --remaining;
     }
   }
-  return placings;
+  return placements;
 }
 
 // The attempt number for the gang's next placements: that of its allocated members, or a new one if there are none.
@@ -49,8 +49,8 @@
   bool replaces_members = false;  // the tasks replace members that the gang lost before its start
   bool warms_pool = false;        // the tasks warm the image caches of a pool's machines
   bool uses_reservation = false;  // the gang holds the backfill reservation
-  plan::Request request;
-  std::vector<plan::Placing> placings;
+  plan::PlacementRequest request;
+  std::vector<plan::Placement> placements;
 };
 
 bool JobPlanner::may_replace_members(Job& job, Instant now) {
@@ -67,34 +67,34 @@
   return static_cast<std::uint32_t>(queue_.ranking().room(job.spec, count, gang));
 }
 
-void JobPlanner::add_occupied_zones(const Job& job, plan::Request& request) const {
+void JobPlanner::add_occupied_zones(const Job& job, plan::PlacementRequest& request) const {
   if (!job.spec.spread && !job.spec.one_zone) return;
   for (const JobShard& shard : job.shards) {
     for (const auto& [unused, allocation] : shard.allocations) {
       const auto machine = cluster_.machines.find(allocation.machine);
       if (machine == cluster_.machines.end()) continue;
-      ++request.zone_taken[machine->second.zone];
-      if (job.spec.one_zone) request.zone_bound = machine->second.zone;
+      ++request.tasks_by_zone[machine->second.zone];
+      if (job.spec.one_zone) request.required_zone = machine->second.zone;
     }
   }
 }
 
-std::vector<plan::Placing> JobPlanner::compute_placings(const JobPlanningContext& context) const {
+std::vector<plan::Placement> JobPlanner::compute_placements(const JobPlanningContext& context) const {
   if (context.uses_reservation) return gangs_.plan_reservation_holder(cluster_.planner, context.request);
   return context.warms_pool ? plan_one_per_machine(cluster_.planner, context.request)
                             : cluster_.planner.plan(context.request);
 }
 
-std::size_t JobPlanner::find_placings(Job& job, JobPlanningContext& context, Instant now) {
-  context.request.places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
-  std::size_t places = context.request.places.size();
-  context.placings = compute_placings(context);
-  if (!context.placings.empty() || job.failed_on.empty()) return places;
+std::size_t JobPlanner::find_placements(Job& job, JobPlanningContext& context, Instant now) {
+  context.request.machines = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
+  std::size_t places = context.request.machines.size();
+  context.placements = compute_placements(context);
+  if (!context.placements.empty() || job.failed_on.empty()) return places;
   // The machines on which the job failed are excluded only while it can be planned on other machines.
   job.failed_on.clear();
-  context.request.places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
-  places += context.request.places.size();
-  context.placings = compute_placings(context);
+  context.request.machines = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
+  places += context.request.machines.size();
+  context.placements = compute_placements(context);
   return places;
 }
 
@@ -104,9 +104,9 @@
   // plan.
   const Instant rented_machine_ready =
       now + std::max(deadlines_.scale_out_delay(job, now), autoscaler_.pricing(cluster_).max_boot_time(job.spec));
-  for (const plan::Placing& placing : context.placings) {
-    planned += placing.count;
-    if (placing.start > rented_machine_ready + constants::kTick) job.late_tasks += placing.count;
+  for (const plan::Placement& placement : context.placements) {
+    planned += placement.count;
+    if (placement.start > rented_machine_ready + constants::kTick) job.late_tasks += placement.count;
   }
   if (planned < context.request.count) job.late_tasks += context.request.count - planned;
   // A pool rents its machines itself.
@@ -114,11 +114,11 @@
   return planned;
 }
 
-void JobPlanner::book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  for (const plan::Placing& placing : placings) {
-    if (placing.start <= now && cluster_.machines.at(placing.machine).state == MachineState::up) continue;
-    if (!job.planned_start || placing.start < *job.planned_start) job.planned_start = placing.start;
-    book_planned_tasks(cluster_, job, placing);
+void JobPlanner::book_later_starts(Job& job, const std::vector<plan::Placement>& placements, Instant now) {
+  for (const plan::Placement& placement : placements) {
+    if (placement.start <= now && cluster_.machines.at(placement.machine).state == MachineState::up) continue;
+    if (!job.planned_start || placement.start < *job.planned_start) job.planned_start = placement.start;
+    book_planned_tasks(cluster_, job, placement);
   }
 }
 
@@ -144,59 +144,59 @@
   context.uses_reservation = !context.replaces_members && gangs_.holds_reservation(job.spec.id);
   context.request = make_planning_request(job, count, now);
   add_occupied_zones(job, context.request);
-  const std::size_t places = find_placings(job, context, now);
+  const std::size_t places = find_placements(job, context, now);
   const std::uint32_t planned = count_late_tasks(job, context, now);
   if (queue_.ranking().on() && !context.replaces_members) queue_.ranking().take(job.spec, planned);
   const std::uint32_t pending_before = job.pending();
-  if (place_due_tasks(job, context.placings, now) && context.gang) return places;
-  book_later_starts(job, context.placings, now);
-  if (context.uses_reservation) gangs_.reserve_machines(cluster_, job, context.placings, now);
+  if (place_due_tasks(job, context.placements, now) && context.gang) return places;
+  book_later_starts(job, context.placements, now);
+  if (context.uses_reservation) gangs_.reserve_machines(cluster_, job, context.placements, now);
   if (!context.warms_pool && !context.replaces_members)
     job.overdue_tasks =
         deadlines_.count_overdue_tasks({cluster_, autoscaler_.demand(), autoscaler_.capacity(), queue_.ranking()}, job,
-                                       context.placings, context.request.places, now);
+                                       context.placements, context.request.machines, now);
   // If classes are in force, only tasks within the class's cap may preempt other work.
   const std::uint32_t left = queue_.ranking().on() ? count - (pending_before - job.pending()) : job.pending();
   if (left == 0) return places;
   if (!context.replaces_members && may_preempt(job, now))
-    Preemptor(cluster_, queue_, tasks_).preempt_for(job, left, context.request.places, now);
+    Preemptor(cluster_, queue_, tasks_).preempt_for(job, left, context.request.machines, now);
   if (queue_.ranking().on() && team_has_quota(cluster_, job, context.gang ? left : 1))
     queue_.ranking().lacks_room(job.spec.id);
   return places;
 }
 
-bool JobPlanner::can_place_gang_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const {
-  const bool all_fit = std::ranges::all_of(placings, [&](const plan::Placing& placing) {
-    const Machine& machine = cluster_.machines.at(placing.machine);
-    return placing.start <= now && cluster_.is_schedulable(machine, now) &&
-           machine_has_room(cluster_, job, machine, placing.count) &&
-           is_placement_allowed(cluster_, job, machine, placing.count);
+bool JobPlanner::can_place_gang_now(const Job& job, const std::vector<plan::Placement>& placements, Instant now) const {
+  const bool all_fit = std::ranges::all_of(placements, [&](const plan::Placement& placement) {
+    const Machine& machine = cluster_.machines.at(placement.machine);
+    return placement.start <= now && cluster_.is_schedulable(machine, now) &&
+           machine_has_room(cluster_, job, machine, placement.count) &&
+           is_placement_allowed(cluster_, job, machine, placement.count);
   });
-  return all_fit && !placings.empty() && team_has_quota(cluster_, job, job.pending());
+  return all_fit && !placements.empty() && team_has_quota(cluster_, job, job.pending());
 }
 
-bool JobPlanner::place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
-  if (!can_place_gang_now(job, placings, now)) return false;
+bool JobPlanner::place_gang(Job& job, const std::vector<plan::Placement>& placements, Instant now) {
+  if (!can_place_gang_now(job, placements, now)) return false;
   const AttemptNumber attempt = gang_attempt_number(job);
   const std::vector<std::uint32_t> tasks = jobs::JobTable::pending_tasks(job, job.spec.tasks);
   auto next = tasks.begin();
-  for (const plan::Placing& placing : GangCoordinator::select_members_to_place(cluster_, job, placings, now)) {
-    for (std::uint32_t at = 0; at < placing.count && next != tasks.end(); ++at, ++next) {
-      tasks_.place_task(job, *next, attempt, cluster_.machines.at(placing.machine), now);
+  for (const plan::Placement& placement : GangCoordinator::select_members_to_place(cluster_, job, placements, now)) {
+    for (std::uint32_t at = 0; at < placement.count && next != tasks.end(); ++at, ++next) {
+      tasks_.place_task(job, *next, attempt, cluster_.machines.at(placement.machine), now);
     }
   }
   if (next == tasks.end()) job.gather_until.reset();
   return true;
 }
 
-bool JobPlanner::place_due_tasks(Job& job, const std::vector<plan::Placing>& placings, Instant now) {
+bool JobPlanner::place_due_tasks(Job& job, const std::vector<plan::Placement>& placements, Instant now) {
   if (!tasks_.can_start_or_preempt(now)) return false;
-  if (is_gang(job)) return place_gang(job, placings, now);
+  if (is_gang(job)) return place_gang(job, placements, now);
   bool any = false;
-  for (const plan::Placing& placing : placings) {
-    Machine& machine = cluster_.machines.at(placing.machine);
-    if (placing.start > now || !cluster_.is_schedulable(machine, now)) continue;
-    for (const std::uint32_t index : jobs::JobTable::pending_tasks(job, placing.count)) {
+  for (const plan::Placement& placement : placements) {
+    Machine& machine = cluster_.machines.at(placement.machine);
+    if (placement.start > now || !cluster_.is_schedulable(machine, now)) continue;
+    for (const std::uint32_t index : jobs::JobTable::pending_tasks(job, placement.count)) {
       if (!machine_has_room(cluster_, job, machine, 1) || !team_has_quota(cluster_, job, 1) ||
           !is_placement_allowed(cluster_, job, machine, 1))
         break;
@@ -216,16 +216,16 @@
   if (!due) return 0;
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
                                            : std::min(job.stranded, std::uint32_t{constants::kMaxTasksPlannedPerPass});
-  plan::Request request = make_planning_request(job, count, std::max(now, job.stranded_until));
-  request.places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
+  plan::PlacementRequest request = make_planning_request(job, count, std::max(now, job.stranded_until));
+  request.machines = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
   std::uint32_t planned = 0;
-  for (const plan::Placing& placing : cluster_.planner.plan(request)) {
-    planned += placing.count;
-    if (placing.start > request.from + constants::kTick) job.late_tasks += placing.count;
-    book_planned_tasks(cluster_, job, placing);
+  for (const plan::Placement& placement : cluster_.planner.plan(request)) {
+    planned += placement.count;
+    if (placement.start > request.earliest_start + constants::kTick) job.late_tasks += placement.count;
+    book_planned_tasks(cluster_, job, placement);
   }
   if (planned < request.count) job.late_tasks += static_cast<std::uint32_t>(request.count - planned);
-  return request.places.size();
+  return request.machines.size();
 }
 
 }  // namespace foxshunt::control
--- a/src/control/job_planner.h
+++ b/src/control/job_planner.h
@@ -45,26 +45,27 @@
   // less the tasks held back by the class's cap. The cap does not apply to replacements.
   [[nodiscard]] std::uint32_t count_tasks_to_plan(const Job& job, bool replaces_members);
   // Tells the planner in which zones a `spread` or `one_zone` job has allocated tasks.
-  void add_occupied_zones(const Job& job, plan::Request& request) const;
-  [[nodiscard]] std::vector<plan::Placing> compute_placings(const JobPlanningContext& context) const;
-  // Fills in `context.placings`. Returns the number of candidate machines examined.
-  std::size_t find_placings(Job& job, JobPlanningContext& context, Instant now);
+  void add_occupied_zones(const Job& job, plan::PlacementRequest& request) const;
+  [[nodiscard]] std::vector<plan::Placement> compute_placements(const JobPlanningContext& context) const;
+  // Fills in `context.placements`. Returns the number of candidate machines examined.
+  std::size_t find_placements(Job& job, JobPlanningContext& context, Instant now);
   // Adds to Job::late_tasks the tasks that are not planned or start later than they would on a machine rented now. Sets
   // it to zero for a job that warms a pool. Returns how many tasks are planned.
   std::uint32_t count_late_tasks(Job& job, const JobPlanningContext& context, Instant now) const;
-  // Books the placings that start later or on machines that are not up, and lowers Job::planned_start to the earliest
+  // Books the placements that start later or on machines that are not up, and lowers Job::planned_start to the earliest
   // of them.
-  void book_later_starts(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  void book_later_starts(Job& job, const std::vector<plan::Placement>& placements, Instant now);
   // Whether preemption is enabled, the job's wait since its last preemption attempt is over, and its planned start is
   // far enough away.
   [[nodiscard]] bool may_preempt(const Job& job, Instant now) const;
-  // Whether the placings, which are not empty, can all start now within machine capacity, job constraints and team
+  // Whether the placements, which are not empty, can all start now within machine capacity, job constraints and team
   // quota.
-  [[nodiscard]] bool can_place_gang_now(const Job& job, const std::vector<plan::Placing>& placings, Instant now) const;
+  [[nodiscard]] bool can_place_gang_now(const Job& job, const std::vector<plan::Placement>& placements,
+                                        Instant now) const;
   // Places the gang's members that are due, if the whole gang fits now. Returns whether it fits.
-  bool place_gang(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  bool place_gang(Job& job, const std::vector<plan::Placement>& placements, Instant now);
   // Places the tasks that may start now. Returns whether any task was placed, or for a gang whether it fits now.
-  bool place_due_tasks(Job& job, const std::vector<plan::Placing>& placings, Instant now);
+  bool place_due_tasks(Job& job, const std::vector<plan::Placement>& placements, Instant now);
 
   ClusterState& cluster_;
   SchedulingQueue& queue_;
--- a/src/control/job_requirements.h
+++ b/src/control/job_requirements.h
@@ -11,9 +11,9 @@
 namespace foxshunt::control {
 
 // The resources that one task takes.
-[[nodiscard]] plan::Amounts task_amounts(const wire::JobSpec& spec);
+[[nodiscard]] plan::ResourceAmounts task_amounts(const wire::JobSpec& spec);
 // The total resources of a machine of the type.
-[[nodiscard]] plan::Amounts capacity_of(const wire::MachineType& type);
+[[nodiscard]] plan::ResourceAmounts capacity_of(const wire::MachineType& type);
 
 // Whether the job may run on machines of the type. A job that names no types may run on all.
 [[nodiscard]] bool is_type_allowed(const wire::JobSpec& spec, const std::string& type);
@@ -37,6 +37,7 @@
 
 // Builds a planner request for `count` of the job's tasks to start at `from` or later. The caller adds the candidate
 // machines and the zones of tasks that are allocated already.
-[[nodiscard]] plan::Request make_planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from);
+[[nodiscard]] plan::PlacementRequest make_planning_request(const jobs::Job& job, std::uint32_t count,
+                                                           plan::Instant from);
 
 }  // namespace foxshunt::control
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -27,8 +27,8 @@
 struct MachineFilter::TypeFit {
   const wire::MachineType* type;
   bool allowed;
-  bool reserves_gpu_room;  // the type has GPUs and the job uses none: CPU and memory are kept for GPU work
-  Amounts offered;         // the part of a machine's capacity that the job may use
+  bool reserves_gpu_room;   // the type has GPUs and the job uses none: CPU and memory are kept for GPU work
+  ResourceAmounts offered;  // the part of a machine's capacity that the job may use
   Millis image_fetch;
 };
 
@@ -51,17 +51,17 @@
   return available && (job.spec.zone.empty() || job.spec.zone == machine.zone);
 }
 
-bool MachineFilter::leaves_gpu_room(const Job& job, const Machine& machine, const Amounts& offered,
-                                    plan::Items& spare_gpus) const {
-  Amounts cpu_work = job.each;
-  Amounts gpu_work;
+bool MachineFilter::leaves_gpu_room(const Job& job, const Machine& machine, const ResourceAmounts& offered,
+                                    plan::MilliUnits& spare_gpus) const {
+  ResourceAmounts cpu_work = job.each;
+  ResourceAmounts gpu_work;
   for (const TaskKey& key : machine.allocations) {
     const Job& other = cluster_.jobs.at(key.job);
     (other.spec.gpus <= 0 ? cpu_work : gpu_work) += other.each;
   }
-  if (cpu_work.fits(offered)) return true;
-  const plan::Items gpus = machine.planned->info.capacity.of[1];
-  if (gpu_work.of[1] > 0 || spare_gpus < gpus) return false;
+  if (cpu_work.fits_in(offered)) return true;
+  const plan::MilliUnits gpus = machine.planned->spec.capacity.values[1];
+  if (gpu_work.values[1] > 0 || spare_gpus < gpus) return false;
   spare_gpus -= gpus;
   return true;
 }
@@ -76,11 +76,11 @@
   return image_fetch;
 }
 
-std::vector<plan::Place> MachineFilter::find_candidate_places(const Job& job, Instant now) const {
+std::vector<plan::EligibleMachine> MachineFilter::find_candidate_places(const Job& job, Instant now) const {
   const std::vector<TypeFit> fits = evaluate_types(job);
   const std::optional<std::size_t> warmed_pool = cluster_.pools.warms(job.spec, now - job.submitted);
-  plan::Items spare_gpus = demand_.unclaimed_gpus();
-  std::vector<plan::Place> places;
+  plan::MilliUnits spare_gpus = demand_.unclaimed_gpus();
+  std::vector<plan::EligibleMachine> places;
   const TypeFit* fit = nullptr;  // of the previous machine, which usually has the same type
   for (const auto& [id, machine] : cluster_.machines) {
     if (!is_machine_eligible(job, machine, now)) continue;
@@ -92,7 +92,7 @@
     }
     if (!fit->allowed || job.failed_on.contains(id) || !is_allowed_by_pools(job, warmed_pool, machine, now)) continue;
     if (fit->reserves_gpu_room && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
-    places.push_back({.node = machine.planned, .before = preparation_time(job, machine, fit->image_fetch, now)});
+    places.push_back({.machine = machine.planned, .setup_time = preparation_time(job, machine, fit->image_fetch, now)});
   }
   return places;
 }
--- a/src/control/machine_filter.h
+++ b/src/control/machine_filter.h
@@ -21,7 +21,7 @@
       : cluster_(cluster), demand_(demand), pricing_(cluster, demand) {}
 
   // Returns the machines on which the job may run, in the order of their ids, each with its preparation time.
-  [[nodiscard]] std::vector<plan::Place> find_candidate_places(const Job& job, Instant now) const;
+  [[nodiscard]] std::vector<plan::EligibleMachine> find_candidate_places(const Job& job, Instant now) const;
 
  private:
   struct TypeFit;
@@ -31,8 +31,8 @@
   [[nodiscard]] bool is_machine_eligible(const Job& job, const Machine& machine, Instant now) const;
   // Whether a job without GPUs leaves the machine enough CPU and memory for GPU work. If the job takes a whole GPU
   // machine, the machine's GPUs are subtracted from `spare_gpus`.
-  [[nodiscard]] bool leaves_gpu_room(const Job& job, const Machine& machine, const Amounts& offered,
-                                     plan::Items& spare_gpus) const;
+  [[nodiscard]] bool leaves_gpu_room(const Job& job, const Machine& machine, const ResourceAmounts& offered,
+                                     plan::MilliUnits& spare_gpus) const;
   // How long the machine takes to boot and to fetch the job's image before a task of the job can run. `image_fetch`:
   // the fetch time on a machine of this type.
   [[nodiscard]] Millis preparation_time(const Job& job, const Machine& machine, Millis image_fetch, Instant now) const;
--- a/src/control/planned_bookings.h
+++ b/src/control/planned_bookings.h
@@ -8,7 +8,7 @@
 namespace foxshunt::control {
 
 // Books the placing's machine for tasks that start later, and adds the booking to Job::booked.
-void book_planned_tasks(ClusterState& cluster, Job& job, const plan::Placing& placing);
+void book_planned_tasks(ClusterState& cluster, Job& job, const plan::Placement& placement);
 // Revokes all bookings in Job::booked.
 void revoke_planned_bookings(ClusterState& cluster, Job& job);
 
--- a/src/control/preemptor.cpp
+++ b/src/control/preemptor.cpp
@@ -33,17 +33,18 @@
   const Millis ran = now - *allocation.running_since;
   const std::uint32_t tasks = is_gang_victim ? victim_job.allocation_count : 1;
   const Millis lost_per_task = victim_job.spec.checkpoint_s > 0 ? from_seconds(victim_job.spec.save_s) : ran;
-  const plan::Booking* booking = cluster_.planner.booking(allocation.booking);
-  preempt::Victim victim{.job = key.job,
-                         .tasks = {key},
-                         .priority = victim_job.spec.priority,
-                         .borrowed = victim_job.borrowed,
-                         .same_team = victim_job.spec.team == preempting_job.spec.team,
-                         .ran = ran,
-                         .lost = lost_per_task * tasks,
-                         .left = booking == nullptr ? Millis(0) : std::max(Millis(0), booking->stop - now),
-                         .spared = victim_job.displaced ? std::optional(now - *victim_job.displaced) : std::nullopt};
-  victim.kept = queue_.ranking().on() && queue_.is_protected_by_rank(victim_job, victim, preempting_job);
+  const plan::Booking* booking = cluster_.planner.find_booking(allocation.booking);
+  preempt::Victim victim{
+      .job = key.job,
+      .tasks = {key},
+      .priority = victim_job.spec.priority,
+      .borrowed = victim_job.borrowed,
+      .same_team = victim_job.spec.team == preempting_job.spec.team,
+      .running_time = ran,
+      .lost_work = lost_per_task * tasks,
+      .remaining = booking == nullptr ? Millis(0) : std::max(Millis(0), booking->stop - now),
+      .since_last_displaced = victim_job.displaced ? std::optional(now - *victim_job.displaced) : std::nullopt};
+  victim.is_protected = queue_.ranking().on() && queue_.is_protected_by_rank(victim_job, victim, preempting_job);
   if (!is_gang_victim) return victim;
   victim.tasks.clear();
   for (const JobShard& shard : victim_job.shards) {
@@ -66,22 +67,21 @@
   return victim_index;
 }
 
-std::vector<preempt::Contested> Preemptor::find_contested_machines(const Job& job,
-                                                                   const std::vector<plan::Place>& places,
-                                                                   Victims& victims, Instant now) {
-  std::vector<preempt::Contested> machines;
-  for (const plan::Place& place : places) {
-    const Machine& machine = cluster_.machines.at(place.node->info.id);
+std::vector<preempt::PreemptionCandidate> Preemptor::find_contested_machines(
+    const Job& job, const std::vector<plan::EligibleMachine>& places, Victims& victims, Instant now) {
+  std::vector<preempt::PreemptionCandidate> machines;
+  for (const plan::EligibleMachine& place : places) {
+    const Machine& machine = cluster_.machines.at(place.machine->spec.id);
     if (machine.state != MachineState::up || !is_placement_allowed(cluster_, job, machine, 1)) continue;
-    preempt::Contested contested{
-        .machine = machine.id, .zone = machine.zone, .free = place.node->info.capacity, .held = {}};
-    std::map<std::size_t, Amounts> held;
+    preempt::PreemptionCandidate contested{
+        .machine = machine.id, .zone = machine.zone, .free = place.machine->spec.capacity, .victim_amounts = {}};
+    std::map<std::size_t, ResourceAmounts> held;
     for (const TaskKey& key : machine.allocations) {
-      const Amounts& each = cluster_.jobs.at(key.job).each;
+      const ResourceAmounts& each = cluster_.jobs.at(key.job).each;
       contested.free -= each;
       if (const auto victim_index = find_or_add_victim(key, job, victims, now)) held[*victim_index] += each;
     }
-    contested.held.assign(held.begin(), held.end());
+    contested.victim_amounts.assign(held.begin(), held.end());
     machines.push_back(std::move(contested));
   }
   return machines;
@@ -99,26 +99,28 @@
   return victim.tasks.size();
 }
 
-void Preemptor::preempt_for(Job& job, std::uint32_t max_tasks, const std::vector<plan::Place>& places, Instant now) {
+void Preemptor::preempt_for(Job& job, std::uint32_t max_tasks, const std::vector<plan::EligibleMachine>& places,
+                            Instant now) {
   if (!tasks_.can_start_or_preempt(now)) return;
   const std::uint32_t count = count_tasks_to_preempt_for(job, max_tasks);
   if (count == 0) return;
-  const preempt::Need need{.each = job.each,
-                           .count = count,
-                           .together = is_gang(job),
-                           .one_zone = job.spec.one_zone,
-                           .priority = job.spec.priority,
-                           .guaranteed = !job.borrowed,
-                           .wait = std::min(job.planned_start.value_or(plan::kForever) - now, constants::kPlanHorizon)};
+  const preempt::PreemptionRequest need{
+      .per_task = job.each,
+      .count = count,
+      .is_gang = is_gang(job),
+      .one_zone = job.spec.one_zone,
+      .priority = job.spec.priority,
+      .guaranteed = !job.borrowed,
+      .expected_wait = std::min(job.planned_start.value_or(plan::kForever) - now, constants::kPlanHorizon)};
   Victims victims;
-  const std::vector<preempt::Contested> machines = find_contested_machines(job, places, victims, now);
+  const std::vector<preempt::PreemptionCandidate> machines = find_contested_machines(job, places, victims, now);
   const std::vector<std::size_t> chosen = preempt::choose_victims(need, victims.all, machines);
   job.displaces_after = now + constants::kPreemptionInterval;
   std::size_t stopped = 0;
   for (const std::size_t victim_index : chosen) stopped += stop_victim(victims.all[victim_index], now);
   if (stopped == 0) return;
   spdlog::info("tasks preempted stopped_tasks={} victims={} wanted_tasks={} job={} wait_s={:.0f}", stopped,
-               chosen.size(), count, job.spec.id.text(), to_seconds(need.wait));
+               chosen.size(), count, job.spec.id.text(), to_seconds(need.expected_wait));
 }
 
 }  // namespace foxshunt::control
--- a/src/control/preemptor.h
+++ b/src/control/preemptor.h
@@ -25,7 +25,7 @@
 
   // Stops work that the job may displace, if that makes room for up to `max_tasks` of its tasks. `places`: the job's
   // candidate machines. Stops nothing while this leader may not start tasks.
-  void preempt_for(Job& job, std::uint32_t max_tasks, const std::vector<plan::Place>& places, Instant now);
+  void preempt_for(Job& job, std::uint32_t max_tasks, const std::vector<plan::EligibleMachine>& places, Instant now);
 
  private:
   struct Victims;
@@ -40,9 +40,8 @@
   [[nodiscard]] std::optional<std::size_t> find_or_add_victim(const TaskKey& key, const Job& preempting_job,
                                                               Victims& victims, Instant now);
   // Returns the machines that the job may use, each with its free capacity and the amounts that its victims would free.
-  [[nodiscard]] std::vector<preempt::Contested> find_contested_machines(const Job& job,
-                                                                        const std::vector<plan::Place>& places,
-                                                                        Victims& victims, Instant now);
+  [[nodiscard]] std::vector<preempt::PreemptionCandidate> find_contested_machines(
+      const Job& job, const std::vector<plan::EligibleMachine>& places, Victims& victims, Instant now);
   // Stops all tasks of the victim. Returns how many these are.
   std::size_t stop_victim(const preempt::Victim& victim, Instant now);
 
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -18,11 +18,12 @@
 // How much later than its real submission a job counts as submitted. The penalty grows with the job's share of the
 // fleet times its booking duration, and with each wait objective of its class that it has missed.
 Millis aging_penalty(const ClusterState& cluster, const Job& job, Instant now) {
-  const Amounts fleet = cluster.planner.fleet().capacity();
+  const ResourceAmounts fleet = cluster.planner.fleet().capacity();
   double share = 0;
-  for (std::size_t r = 0; r < plan::kResources; ++r) {
-    if (fleet.of[r] <= 0) continue;
-    share = std::max(share, static_cast<double>(job.each.of[r]) * job.spec.tasks / static_cast<double>(fleet.of[r]));
+  for (std::size_t r = 0; r < plan::kResourceCount; ++r) {
+    if (fleet.values[r] <= 0) continue;
+    share = std::max(share,
+                     static_cast<double>(job.each.values[r]) * job.spec.tasks / static_cast<double>(fleet.values[r]));
   }
   const Millis work = from_seconds(share * to_seconds(booking_duration(job)) * constants::kAgingPenaltyPerWork);
   // A job that has missed its objective yields, so that jobs that can still meet theirs are not delayed by it.
@@ -38,7 +39,7 @@
                                    Instant now) {
   return {.submitted = job.submitted,
           .aging_penalty = aging_penalty(cluster, job, now),
-          .largest = demand.is_among_largest(job.spec.job_class, job.spec.tasks)};
+          .is_among_largest = demand.is_among_largest(job.spec.job_class, job.spec.tasks)};
 }
 
 // The submission time by which the job is ordered, after aging. The holder of the backfill reservation counts as
@@ -154,7 +155,7 @@
   return std::ranges::any_of(ranking_.lacking(), [&](const classes::Rank* rank) {
     preempt::Victim seen{.priority = victim.priority, .borrowed = victim.borrowed};
     seen.same_team = rank->team == running_job.spec.team;
-    return !preempt::entitled({.priority = rank->priority, .guaranteed = !rank->borrowed}, seen);
+    return !preempt::is_preemption_allowed({.priority = rank->priority, .guaranteed = !rank->borrowed}, seen);
   });
 }
 
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -55,11 +55,13 @@
 }
 
 // Conversions between planner amounts and counts of a snapshot. Counts of a snapshot are limited to 2^40 items.
-plan::Items items_of(std::uint64_t count) {
-  return static_cast<plan::Items>(std::min<std::uint64_t>(count, std::uint64_t{1} << 40));
+plan::MilliUnits items_of(std::uint64_t count) {
+  return static_cast<plan::MilliUnits>(std::min<std::uint64_t>(count, std::uint64_t{1} << 40));
 }
 
-std::uint64_t count_of(plan::Items items) { return static_cast<std::uint64_t>(std::max<plan::Items>(0, items)); }
+std::uint64_t count_of(plan::MilliUnits items) {
+  return static_cast<std::uint64_t>(std::max<plan::MilliUnits>(0, items));
+}
 
 // Adds the machines that boot or are up. A machine counts as up if it has reported, the soft state of an earlier leader
 // says so, or the cloud lists it as running.
@@ -177,8 +179,8 @@
 // Adds the recent peaks of GPU demand and the CPU and memory use beside GPUs.
 void add_gpu_demand(std::vector<SoftStateEntry>& entries, const DemandEstimator& demand) {
   standby::GpuDemand gpus{.peaks = {},
-                          .cpus_beside = count_of(demand.usage_per_gpu().of[0]),
-                          .ram_beside = count_of(demand.usage_per_gpu().of[2])};
+                          .cpus_beside = count_of(demand.usage_per_gpu().values[0]),
+                          .ram_beside = count_of(demand.usage_per_gpu().values[2])};
   for (const auto& [when, items] : demand.gpu_peaks()) {
     if (gpus.peaks.size() < constants::kMaxStandbyList / 2) gpus.peaks.emplace_back(when, count_of(items));
   }
--- a/src/control/task_pricing.cpp
+++ b/src/control/task_pricing.cpp
@@ -8,17 +8,17 @@
 
 namespace foxshunt::control {
 
-Amounts TaskPricing::usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type) const {
+ResourceAmounts TaskPricing::usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type) const {
   return demand_.usable_capacity(spec, type, cluster_.machine_types);
 }
 
 // Uses the longest boot time because the kind that will be rented is not known yet. With a shorter one, tasks that wait
 // for a slow kind would rent more machines in every pass until the cloud has none left.
 Millis TaskPricing::max_boot_time(const wire::JobSpec& spec) const {
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   double longest_s = 0;
   for (const wire::MachineType& type : cluster_.machine_types) {
-    if (is_type_allowed(spec, type.name) && each.count_in(usable_capacity(spec, type)) > 0)
+    if (is_type_allowed(spec, type.name) && each.count_fitting_in(usable_capacity(spec, type)) > 0)
       longest_s = std::max(longest_s, type.boot_s);
   }
   return from_seconds(longest_s) + constants::kCloudCallTimeout;
@@ -35,10 +35,10 @@
 }
 
 double TaskPricing::shortest_startup_s(const wire::JobSpec& spec) const {
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   double shortest_s = 0;
   for (const wire::MachineType& type : cluster_.machine_types) {
-    if (each.count_in(usable_capacity(spec, type)) <= 0) continue;
+    if (each.count_fitting_in(usable_capacity(spec, type)) <= 0) continue;
     const double startup_s = type.boot_s * constants::kBootSlackFactor +
                              to_seconds(cluster_.image_fetch_duration(spec, type.name)) +
                              cluster_.settings.heartbeat_interval_s;
@@ -62,7 +62,7 @@
     const wire::JobSpec& spec = entry.second.sample;
     if (!is_urgent_class(entry.first, spec) || !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       return false;
-    const std::int64_t tasks_per_machine = task_amounts(spec).count_in(usable_capacity(spec, *type));
+    const std::int64_t tasks_per_machine = task_amounts(spec).count_fitting_in(usable_capacity(spec, *type));
     const double hourly = hourly_price(*type, machine.spot);
     return tasks_per_machine > 0 && hourly / static_cast<double>(tasks_per_machine) <=
                                         constants::kMaxReservePriceFactor * lowest_task_price(spec);
@@ -82,10 +82,10 @@
 }
 
 double TaskPricing::lowest_task_price(const wire::JobSpec& spec) const {
-  const Amounts each = task_amounts(spec);
+  const ResourceAmounts each = task_amounts(spec);
   double lowest = 0;
   for (const wire::MachineType& type : cluster_.machine_types) {
-    const std::int64_t tasks_per_machine = each.count_in(usable_capacity(spec, type));
+    const std::int64_t tasks_per_machine = each.count_fitting_in(usable_capacity(spec, type));
     if (tasks_per_machine <= 0 || !is_type_allowed(spec, type.name)) continue;
     const double price =
         (spec.spot ? std::min(type.spot_price, type.price) : type.price) / static_cast<double>(tasks_per_machine);
--- a/src/control/task_pricing.h
+++ b/src/control/task_pricing.h
@@ -22,7 +22,7 @@
   TaskPricing(const ClusterState& cluster, const DemandEstimator& demand) : cluster_(cluster), demand_(demand) {}
 
   // The capacity of a machine of `type` that tasks of the job may use, see DemandEstimator::usable_capacity().
-  [[nodiscard]] Amounts usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type) const;
+  [[nodiscard]] ResourceAmounts usable_capacity(const wire::JobSpec& spec, const wire::MachineType& type) const;
   // Lowest price per hour for one task of the job on any allowed machine type, whether available or not. Zero if the
   // job fits on none.
   [[nodiscard]] double lowest_task_price(const wire::JobSpec& spec) const;
--- a/src/control/team_quota.h
+++ b/src/control/team_quota.h
@@ -15,14 +15,14 @@
   explicit TeamQuota(const config::Team& team);
 
   // Whether the team may use this much at once.
-  [[nodiscard]] bool allows(const plan::Amounts& used) const;
+  [[nodiscard]] bool allows(const plan::ResourceAmounts& used) const;
   // How many more tasks of size `each` may run in addition to `used`. Nothing if the quota limits no resource that a
   // task takes.
-  [[nodiscard]] std::optional<std::uint64_t> remaining_tasks(const plan::Amounts& each,
-                                                             const plan::Amounts& used) const;
+  [[nodiscard]] std::optional<std::uint64_t> remaining_tasks(const plan::ResourceAmounts& each,
+                                                             const plan::ResourceAmounts& used) const;
 
  private:
-  std::array<std::optional<plan::Items>, plan::kResources> limits_;  // by resource; nothing: unlimited
+  std::array<std::optional<plan::MilliUnits>, plan::kResourceCount> limits_;  // by resource; nothing: unlimited
 };
 
 }  // namespace foxshunt::control
--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -456,9 +456,10 @@
       .records_revision = live.revision,
       .lease_renewal_requested = taking.asked,
       .older_leaders_until = failover.older_leaders_until,
-      .min_older_leaders_until = taking.until_wall_ms == 0 ? Instant{}
-                                                           : taking.asked + control::fencing_timeout(settings_of(node)) -
-                                                                 constants::kClockRounding};
+      .min_older_leaders_until =
+          taking.until_wall_ms == 0
+              ? Instant{}
+              : taking.asked + control::fencing_timeout(settings_of(node)) - constants::kClockRounding};
   if (control::first_unmet_condition(found, now_)) return store_.revoke(std::exchange(self.lease, {}));
   self.controller.become_leader(failover, taking.asked);
   self.watch_from = live.revision;
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -57,14 +57,14 @@
 TEST_F(DeadlinePlannerTest, CountsLateTasksAsOverdueOnlyIfAMachineRentedNowWouldFinishThem) {
   Job& job = add_job(spec_of("j-000001", 2));
   const Machine& machine = add_machine("m-000001");
-  const std::vector<plan::Placing> placings{
+  const std::vector<plan::Placement> placements{
       {.machine = machine.id, .start = now_ + Millis(200'000), .stop = now_ + Millis(260'000), .count = 2}};
-  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placings, {}, now_),
+  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {}, now_),
             0U);  // the job has no calendar deadline
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
-  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placings, {}, now_), 2U);
+  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {}, now_), 2U);
   // An existing machine has room for the tasks in time, so something other than machines is missing.
-  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placings, {{.node = machine.planned}}, now_), 0U);
+  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {{.machine = machine.planned}}, now_), 0U);
 }
 
 }  // namespace
--- a/tests/unit/demand_and_capacity_test.cpp
+++ b/tests/unit/demand_and_capacity_test.cpp
@@ -95,7 +95,7 @@
     return spec;
   }
   void learn(const wire::JobSpec& spec) {
-    demand_.record_job(spec, plan::Amounts::from(spec.cpus, spec.gpus, spec.ram_gb), now_);
+    demand_.record_job(spec, plan::ResourceAmounts::from(spec.cpus, spec.gpus, spec.ram_gb), now_);
   }
 
   Instant now_{Millis(10'000'000)};
@@ -138,14 +138,14 @@
   const std::vector<wire::MachineType> types{{.name = "gpu", .cpus = 32, .gpus = 4, .ram_gb = 128},
                                              {.name = "plain", .cpus = 16, .ram_gb = 64}};
   const wire::JobSpec plain = spec_of("render", 1, 2, 0);
-  EXPECT_EQ(demand_.usable_capacity(plain, types[0], types).of[0], 0);  // no GPU job has been seen yet
+  EXPECT_EQ(demand_.usable_capacity(plain, types[0], types).values[0], 0);  // no GPU job has been seen yet
   learn(spec_of("train", 1, 4, 1));
-  EXPECT_EQ(demand_.usable_capacity(plain, types[0], types).of[0], 16'000);
-  EXPECT_EQ(demand_.usable_capacity(plain, types[1], types).of[0], 16'000);
-  EXPECT_EQ(demand_.usable_capacity(spec_of("train", 1, 4, 1), types[0], types).of[0], 32'000);
+  EXPECT_EQ(demand_.usable_capacity(plain, types[0], types).values[0], 16'000);
+  EXPECT_EQ(demand_.usable_capacity(plain, types[1], types).values[0], 16'000);
+  EXPECT_EQ(demand_.usable_capacity(spec_of("train", 1, 4, 1), types[0], types).values[0], 32'000);
   wire::JobSpec bound = plain;
   bound.types = {"gpu"};  // the job can only run on GPU machines
-  EXPECT_EQ(demand_.usable_capacity(bound, types[0], types).of[0], 32'000);
+  EXPECT_EQ(demand_.usable_capacity(bound, types[0], types).values[0], 32'000);
 }
 
 }  // namespace
--- a/tests/unit/scheduling_cycle_test.cpp
+++ b/tests/unit/scheduling_cycle_test.cpp
@@ -83,9 +83,9 @@
   add_machine("m-000001");
   add_job(spec_of("j-000001", 6));
   plan();
-  const std::size_t bookings = cluster_.planner.bookings();
+  const std::size_t bookings = cluster_.planner.booking_count();
   plan();
-  EXPECT_EQ(cluster_.planner.bookings(), bookings);
+  EXPECT_EQ(cluster_.planner.booking_count(), bookings);
 }
 
 TEST_F(SchedulingCycleTest, OffersOnlyMachinesOfTheJobsZone) {
@@ -95,7 +95,7 @@
   spec.zone = "b";
   const auto places = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(add_job(spec), now_);
   ASSERT_EQ(places.size(), 1U);
-  EXPECT_EQ(places.front().node->info.id, MachineId("m-000002"));
+  EXPECT_EQ(places.front().machine->spec.id, MachineId("m-000002"));
 }
 
 }  // namespace
