--- a/src/jobs/write_batch.cpp
+++ b/src/jobs/write_batch.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-state::JobShardRecord part_record(const JobShard& shard) {
+state::JobShardRecord shard_record(const JobShard& shard) {
   state::JobShardRecord record{.next = shard.next, .done = shard.done, .allocations = {}};
   for (const auto& [index, allocation] : shard.allocations) {
     record.allocations.push_back({.index = index,
@@ -26,7 +26,7 @@
   return record;
 }
 
-std::vector<AllocationReference> not_durable_runs(const JobShard& shard) {
+std::vector<AllocationReference> non_durable_allocations(const JobShard& shard) {
   std::vector<AllocationReference> found;
   for (const auto& [index, allocation] : shard.allocations) {
     if (!allocation.durable) found.push_back({.index = index, .attempt = allocation.attempt});
@@ -34,13 +34,14 @@
   return found;
 }
 
-// The job's own record, without what the records of its parts say.
+// The job record without the state that is stored in the shard records.
 state::JobRecord job_header(const Job& job) {
   return {.spec = job.spec, .submitted_wall_ms = job.submitted_wall_ms, .whole = {}};
 }
 
-// The least that an item of this kind changes. A removal makes do with what room there is.
-std::size_t changes_needed(const Job& job, WriteItem::Kind kind) {
+// The number of keys that an item of this kind changes at least. A removal needs one: it can be spread over several
+// batches.
+std::size_t min_changes(const Job& job, WriteItem::Kind kind) {
   if (kind != WriteItem::Kind::finish) return 1;
   return job.shards.size() > 1 ? 3 : 2;
 }
@@ -57,7 +58,7 @@
 }
 
 bool WriteBatchBuilder::has_room_for(const Job& job, WriteItem::Kind kind) const {
-  const bool changes_fit = batch_.txn.changes.size() + changes_needed(job, kind) <= max_changes_;
+  const bool changes_fit = batch_.txn.changes.size() + min_changes(job, kind) <= max_changes_;
   const bool conditions_fit = batch_.txn.preconditions.size() + constants::kMaxWriteItemConditions <=
                               constants::kMaxConditionsPerChange * max_changes_;
   return changes_fit && conditions_fit && bytes_ <= constants::kMaxWriteBatchBytes;
@@ -69,18 +70,18 @@
   WriteItem item{.kind = WriteItem::Kind::update,
                  .job = job.spec.id,
                  .shard = number,
-                 .not_durable = not_durable_runs(shard),
+                 .not_durable = non_durable_allocations(shard),
                  .removed_parts = {}};
   if (job.shards.size() == 1) {
     state::JobRecord whole = job_header(job);
-    whole.whole = part_record(shard);
+    whole.whole = shard_record(shard);
     set(state::active_job_key(job.spec.id), state::to_value(whole));
   } else {
     const std::string key = state::job_shard_key(job.spec.id, number);
     if (kept(Guard::write_part)) require(key, shard.revision);
     shard.recorded = true;
-    set(key, state::to_value(part_record(shard)));
-    // The counts that users are shown may be out of date a little.
+    set(key, state::to_value(shard_record(shard)));
+    // The displayed counts may lag by up to kDisplayedCountsInterval.
     if (now - job.shown >= constants::kDisplayedCountsInterval && free_changes() > 0) {
       job.shown = now;
       item.header = true;
@@ -100,7 +101,7 @@
   remove(state::active_job_key(id));
   const wire::JobStatus status{.id = id, .state = wire::JobState::done, .done = job.spec.tasks, .running = 0};
   set(state::finished_job_key(id), state::finished_job_value(status));
-  // The parts are removed later, some at a time. Until then a new leader has to find the job.
+  // The shard records are removed in later batches. The terminating record lets a new leader find the job until then.
   if (job.shards.size() > 1) set(state::terminating_job_key(id), state::to_value(job_header(job)));
   batch_.items.push_back(
       {.kind = WriteItem::Kind::finish, .job = id, .shard = 0, .not_durable = {}, .removed_parts = {}});
@@ -110,7 +111,7 @@
   const JobId& id = job.spec.id;
   WriteItem item{.kind = WriteItem::Kind::remove, .job = id, .shard = 0, .not_durable = {}, .removed_parts = {}};
   if (job.shards.size() > 1) {
-    // The last change is left for the job's own record.
+    // One change is reserved for the terminating record.
     for (std::uint32_t shard = 0; shard < job.shards.size() && free_changes() > 1; ++shard) {
       if (!job.shards[shard].recorded) continue;
       remove(state::job_shard_key(id, shard));
