--- a/tests/unit/write_batch_test.cpp
+++ b/tests/unit/write_batch_test.cpp
@@ -1,4 +1,4 @@
-// What a transaction of the leader changes, and on which preconditions.
+// The changes and preconditions of the transactions by which the leader writes job records.
 #include "jobs/write_batch.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 constexpr Instant kNow{Millis(1'000'000)};
 const JobId kJob("j-000001");
 
-Job job_of(std::uint32_t tasks) {
+Job make_job(std::uint32_t tasks) {
   Job job;
   job.spec.id = kJob;
   job.spec.job_class = job.spec.team = job.spec.image = "x";
@@ -46,10 +46,10 @@
 
 using Keys = std::vector<std::string>;
 
-TEST(WriteBatchBuilder, AnUpdateOfAJobOfOnePartWritesItsOwnRecord) {
+TEST(WriteBatchBuilder, UpdateOfASingleShardJobWritesTheJobRecord) {
   WriteBatchBuilder builder(kTermRevision, kMaxChanges);
   EXPECT_TRUE(builder.is_empty());
-  Job job = job_of(5);
+  Job job = make_job(5);
   builder.add_update(job, 0, kNow);
   EXPECT_TRUE(builder.has_job(kJob));
   const WriteBatch batch = builder.take();
@@ -57,9 +57,9 @@
   EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11"}));
 }
 
-TEST(WriteBatchBuilder, TwoPartsOfAJobAreConditionedOnTheJobOnce) {
+TEST(WriteBatchBuilder, TwoShardsOfAJobShareOnePreconditionOnTheJobRecord) {
   WriteBatchBuilder builder(kTermRevision, kMaxChanges);
-  Job job = job_of(2 * constants::kTasksPerShard);
+  Job job = make_job(2 * constants::kTasksPerShard);
   job.shards[1].revision = Revision(9);
   builder.add_update(job, 0, kNow);
   builder.add_update(job, 1, kNow);
@@ -69,9 +69,9 @@
   EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11", "part/j-000001/0@0", "part/j-000001/1@9"}));
 }
 
-TEST(WriteBatchBuilder, DisplayedCountsOfAJobInPartsAreWrittenOnceTheyAreOld) {
+TEST(WriteBatchBuilder, DisplayedCountsOfAShardedJobAreWrittenAfterTheInterval) {
   WriteBatchBuilder builder(kTermRevision, kMaxChanges);
-  Job job = job_of(2 * constants::kTasksPerShard);
+  Job job = make_job(2 * constants::kTasksPerShard);
   builder.add_update(job, 0, kNow + constants::kDisplayedCountsInterval);
   builder.add_update(job, 1, kNow + constants::kDisplayedCountsInterval);
   const WriteBatch batch = builder.take();
@@ -80,16 +80,16 @@
   EXPECT_FALSE(batch.items[1].header);
 }
 
-TEST(WriteBatchBuilder, AFinishedJobInPartsIsKeptInSightUntilItsPartsAreRemoved) {
+TEST(WriteBatchBuilder, FinishOfAShardedJobWritesATerminatingRecord) {
   WriteBatchBuilder builder(kTermRevision, kMaxChanges);
-  builder.add_finish(job_of(2 * constants::kTasksPerShard));
+  builder.add_finish(make_job(2 * constants::kTasksPerShard));
   const WriteBatch batch = builder.take();
   EXPECT_EQ(changed_keys(batch), (Keys{"remove live/j-000001", "set over/j-000001", "set linger/j-000001"}));
   EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11", "over/j-000001@0"}));
 }
 
-TEST(WriteBatchBuilder, ARemovalTakesPartsAsFarAsThereIsRoomAndTheLastRecordWithTheLastOfThem) {
-  Job job = job_of(8 * constants::kTasksPerShard);
+TEST(WriteBatchBuilder, RemovalIsSplitByTheChangeLimitAndEndsWithTheTerminatingRecord) {
+  Job job = make_job(8 * constants::kTasksPerShard);
   for (JobShard& shard : job.shards) shard.recorded = true;
   WriteBatchBuilder first(kTermRevision, kMaxChanges);
   first.add_removal(job);
@@ -105,13 +105,14 @@
   EXPECT_TRUE(rest.items[0].removes_last);
 }
 
-TEST(WriteBatchBuilder, HasRoomUpToTheStoresLimits) {
+TEST(WriteBatchBuilder, HasRoomUpToTheChangeLimit) {
   WriteBatchBuilder builder(kTermRevision, 3);
-  Job one = job_of(5);
-  const Job in_parts = job_of(2 * constants::kTasksPerShard);
-  EXPECT_TRUE(builder.has_room_for(in_parts, WriteItem::Kind::finish));
+  Job one = make_job(5);
+  const Job sharded_job = make_job(2 * constants::kTasksPerShard);
+  EXPECT_TRUE(builder.has_room_for(sharded_job, WriteItem::Kind::finish));
   builder.add_update(one, 0, kNow);
-  EXPECT_FALSE(builder.has_room_for(in_parts, WriteItem::Kind::finish)) << "which needs three changes";
+  EXPECT_FALSE(builder.has_room_for(sharded_job, WriteItem::Kind::finish))
+      << "finishing a sharded job needs three changes";
   EXPECT_TRUE(builder.has_room_for(one, WriteItem::Kind::finish));
   builder.add_finish(one);
   EXPECT_FALSE(builder.has_room_for(one, WriteItem::Kind::update));
