--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -1,3 +1,4 @@
+// Encoding, size limits and keys of the stored job records.
 #include "state/job_records.h"
 #include "state/keys.h"
 
@@ -8,16 +9,16 @@
 namespace foxshunt::state {
 namespace {
 
-wire::JobSpec spec(std::uint32_t tasks) {
-  wire::JobSpec made;
-  made.id = JobId("j-000001");
-  made.job_class = made.team = made.image = "x";
-  made.tasks = tasks;
-  return made;
+wire::JobSpec make_spec(std::uint32_t tasks) {
+  wire::JobSpec spec;
+  spec.id = JobId("j-000001");
+  spec.job_class = spec.team = spec.image = "x";
+  spec.tasks = tasks;
+  return spec;
 }
 
-TEST(Records, JobOfOnePart) {
-  JobRecord job{.spec = spec(5), .submitted_wall_ms = 77, .whole = JobShardRecord{}};
+TEST(Records, SingleShardJobRoundTrips) {
+  JobRecord job{.spec = make_spec(5), .submitted_wall_ms = 77, .whole = JobShardRecord{}};
   job.whole->next = AttemptNumber(9);
   job.whole->done = {true, false, false, true, true};
   job.whole->allocations = {
@@ -33,7 +34,7 @@
   EXPECT_EQ(status.running, 1U);
 }
 
-TEST(Records, FullestPartStaysUnderTheSmallestValueLimitOfABrief) {
+TEST(Records, LargestShardRecordFitsTheSmallestValueLimit) {
   JobShardRecord shard{
       .next = AttemptNumber(100'000), .done = std::vector<bool>(constants::kTasksPerShard, true), .allocations = {}};
   for (std::uint32_t index = 0; index < constants::kTasksPerShard; ++index) {
@@ -42,11 +43,11 @@
                                  .machine = MachineId("m-000231"),
                                  .incarnation = AgentIncarnation(12)});
   }
-  JobRecord job{.spec = spec(constants::kTasksPerShard), .submitted_wall_ms = 1'700'000'000'000, .whole = shard};
+  JobRecord job{.spec = make_spec(constants::kTasksPerShard), .submitted_wall_ms = 1'700'000'000'000, .whole = shard};
   EXPECT_LT(wire::json_length(to_value(job)) + constants::kRecordSpareBytes, 8U * 1024);
 }
 
-TEST(Records, MalformedOnesAreRefused) {
+TEST(Records, MalformedRecordsAreRejected) {
   using wire::Value;
   EXPECT_THROW((void)job_shard_from(Value::Map{{"next", 1}, {"done", "z"}, {"runs", Value::List{}}}, 4),
                wire::Malformed);
@@ -57,14 +58,14 @@
   EXPECT_THROW((void)finished_job_from(JobId("j-000001"), Value::Map{{"end", "lost"}, {"done", 1}}), wire::Malformed);
 }
 
-TEST(Records, KeysNameTheirJob) {
+TEST(Records, JobIdIsParsedFromKeys) {
   EXPECT_EQ(job_of_key("live/j-000412"), JobId("j-000412"));
   EXPECT_EQ(job_of_key("part/j-000412/17"), JobId("j-000412"));
   EXPECT_FALSE(job_of_key("lead/term"));
   EXPECT_FALSE(job_of_key("types"));
 }
 
-TEST(Records, Parts) {
+TEST(Records, ShardCountAndSize) {
   EXPECT_EQ(shard_count(1), 1U);
   EXPECT_EQ(shard_count(128), 1U);
   EXPECT_EQ(shard_count(129), 2U);
