--- a/src/kv/budget.cpp
+++ b/src/kv/budget.cpp
@@ -24,7 +24,7 @@
 void RateLimiter::refill(Clock::time_point now) {
   const double passed_s = std::chrono::duration<double>(now - last_).count();
   last_ = now;
-  // Limits allow bursts of one second's worth.
+  // Each bucket holds at most the tokens of one second.
   requests_ = std::min(requests_per_s_ * share_, requests_ + passed_s * requests_per_s_ * share_);
   changes_ = std::min(changes_per_s_ * share_, changes_ + passed_s * changes_per_s_ * share_);
 }
@@ -38,7 +38,7 @@
       const double reserve = urgency == Urgency::user ? constants::kUserRequestRateReserve : 0;
       const double request_rate = requests_per_s_ * share_;
       const double change_rate = changes_per_s_ * share_;
-      // A transaction larger than the bucket goes when the bucket is full and leaves a debt.
+      // A transaction larger than the bucket proceeds once the bucket is full and leaves a negative balance.
       const double need_changes = changes == 0 ? 0 : std::min(changes + reserve * change_rate, change_rate);
       const double need_requests = 1 + reserve * std::max(0.0, request_rate - 1);
       wait_s = std::max({0.0, (need_requests - requests_) / request_rate,
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -7,7 +7,7 @@
 namespace foxshunt::kv {
 namespace {
 
-// PROTOCOL's field names, beside the terms that are used everywhere else.
+// Field names of the store's protocol, under the names that the rest of the code uses.
 constexpr const char* kErrorField = "error";
 constexpr const char* kRevisionField = "mark";
 constexpr const char* kStoreRevisionField = "tally";
@@ -84,9 +84,9 @@
     return {};
   }
   if (raw.answer == Answer::rejected || raw.answer == Answer::none) {
-    const std::string* why = raw.body[kErrorField].as_text();
+    const std::string* error = raw.body[kErrorField].as_text();
     spdlog::warn("store_request_failed method={} path={} status={} error=\"{}\"", method, path, answer->status,
-                 why == nullptr ? "" : *why);
+                 error == nullptr ? "" : *error);
   }
   return raw;
 }
