--- a/src/state/job_records.cpp
+++ b/src/state/job_records.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-// Fields of the stored records; they stay as they are, so that old records can be read.
+// Field names of the stored records. They must not change: existing records have to stay readable.
 constexpr const char* kSpecField = "spec";
 constexpr const char* kSubmittedMsField = "at";
 constexpr const char* kOnlyPartField = "whole";
@@ -35,7 +35,7 @@
 
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 
-// Which tasks are done, four a digit, lowest first; trailing zeros are left out.
+// Encodes the done flags as hexadecimal digits, four tasks a digit, lowest index first, without trailing zeros.
 std::string bits_to_text(const std::vector<bool>& bits) {
   std::string text((bits.size() + 3) / 4, '0');
   for (std::size_t at = 0; at < text.size(); ++at) {
@@ -173,7 +173,7 @@
                           {.key = finished_job_key(id), .data = finished_job_value(cancelled), .lease = {}}}};
   if (!guards::kept(guards::Guard::withdraw_mark)) txn.preconditions.clear();
   if (!guards::kept(guards::Guard::withdraw_lingers)) return txn;
-  // What the job may have on machines is kept until a leader has proved it gone.
+  // The terminating record keeps the allocations until a leader has confirmed that they have terminated.
   if (!job.whole || !job.whole->allocations.empty()) {
     txn.changes.push_back({.key = terminating_job_key(id), .data = to_value(job), .lease = {}});
   }
--- a/src/state/leadership_records.cpp
+++ b/src/state/leadership_records.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Fields of the stored records; they stay as they are, so that old records can be read.
+// Field names of the stored records. They must not change: existing records have to stay readable.
 constexpr const char* kNodeField = "node";
 constexpr const char* kLeaseField = "tether";
 constexpr const char* kTermField = "term";
