--- a/src/jobs/job_table_writes.cpp
+++ b/src/jobs/job_table_writes.cpp
@@ -26,7 +26,7 @@
 bool can_write(const Job& job, std::uint32_t shard, const WriteBatchBuilder& batch) {
   if (job.reload || job.shards[shard].reload) return false;
   if (!batch.has_job(job.spec.id)) return !job.in_flight();
-  // Several parts of a job may be updated by one transaction; nothing else is written of it twice.
+  // One transaction may update several shards of a job. Any other write of a job appears in it once.
   return next_write(job) == WriteItem::Kind::update && job.shards.size() > 1;
 }
 
@@ -38,7 +38,7 @@
   }
 }
 
-// Whether nothing is left of the job's records but the final one, once the item is written.
+// Whether only the finished record of the job is left once the item is written.
 bool leaves_no_record(const Job& job, const WriteItem& item) {
   switch (item.kind) {
     case WriteItem::Kind::update: return false;
@@ -106,7 +106,7 @@
       on_write_failed(job, item, result);
       continue;
     }
-    if (shard.dirty) shard.dirty_since = now;  // what has come meanwhile waits for the next write
+    if (shard.dirty) shard.dirty_since = now;  // changes made during this write wait for the next one
     switch (item.kind) {
       case WriteItem::Kind::update: on_updated(job, item, result.revision, now); break;
       case WriteItem::Kind::finish: on_finished(job, now); break;
@@ -117,8 +117,8 @@
   return erased;
 }
 
-// Without an answer the write may be applied yet. The next write is conditioned on the same revision, so that one of the two
-// fails, and a start command waits for a write that is known to have succeeded.
+// A write without an answer may still be applied. The next write requires the same revision, so that one of the two fails.
+// A start command waits for a write that is known to have succeeded.
 void JobTable::on_write_failed(Job& job, const WriteItem& item, const kv::TxnResult& result) {
   job.shards[item.shard].dirty = true;
   dirty_.insert({item.job, item.shard});
@@ -139,8 +139,8 @@
   if (!item.not_durable.empty()) job.had_allocations = true;
 }
 
-// The one place where a placement of this leader becomes durable. A run that has ended since, or has given way to another
-// attempt, is passed over.
+// The only place where a placement of this leader becomes durable. An allocation that has ended since the write began, or
+// was replaced by another attempt, is skipped.
 void JobTable::make_durable(JobShard& shard, const std::vector<AllocationReference>& written, Instant now) {
   for (const auto& [index, attempt] : written) {
     const auto allocation = shard.allocations.find(index);
@@ -156,7 +156,7 @@
                std::chrono::duration<double>(now - job.submitted).count());
   ended_.insert(id);
   if (job.shards.size() == 1) return;
-  job.cancelled = true;  // what is left of it, the parts, is removed like that of a withdrawn job
+  job.cancelled = true;  // its shard records are removed like those of a cancelled job
   dirty_.insert({id, 0});
 }
 
