--- a/src/control/autoscaler.h
+++ b/src/control/autoscaler.h
@@ -27,7 +27,7 @@
 
 class Autoscaler {
  public:
-  // The autoscaler for the next term that this node leads: keeps what the cloud has refused, and nothing else.
+  // Returns the autoscaler for the next term that this node leads. It keeps only the record of capacity refusals.
   [[nodiscard]] Autoscaler successor() const;
 
   [[nodiscard]] DemandEstimator& demand() { return demand_; }
@@ -38,12 +38,13 @@
   // Whether the machine is idle but kept as spare capacity.
   [[nodiscard]] bool is_spare(const MachineId& machine) const { return spare_machines_.contains(machine); }
 
-  // Passes to the demand estimator how many GPUs all jobs want now, and how many usable and booting machines have.
+  // Reports to the demand estimator how many GPUs the unfinished tasks of all jobs need, and how many GPUs the
+  // schedulable and the booting machines have.
   void record_gpu_demand(const ClusterState& cluster, Instant now);
   // Computes which machines to rent and replaces the previous result. `queue`: the waiting jobs in planning order.
   void size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue, const DeadlinePlanner& deadlines,
                   Instant now);
-  // Wants no machines and keeps no spare ones. For use while no machine types are known.
+  // Clears the wanted machines and the spare machines. For use while no machine types are known.
   void clear_wanted_machines();
 
   // Returns the unanswered request if there is one, otherwise the next one. None if there is nothing to rent or if the
@@ -62,16 +63,17 @@
   [[nodiscard]] bool has_pending_cloud_work(const ClusterState& cluster) const;
 
  private:
-  // Number of machines to rent of each kind. Fractional: a task takes only a share of a machine.
+  // Number of machines to rent of each kind. Fractional because several tasks, also of different jobs, can share a
+  // machine.
   using MachineShares = std::map<CloudCapacityTracker::Kind, double>;
 
-  // The offer to rent for the `late` tasks of the job that would start too late.
+  // The cloud offer to rent for those tasks of the job that would start too late; `late` is their number.
   [[nodiscard]] std::optional<CloudOffers::Offer> offer_for_late_tasks(const CloudOffers& offers,
                                                                        const ClusterState& cluster, const Job& job,
                                                                        const DeadlinePlanner& deadlines,
                                                                        std::uint32_t late, Instant now) const;
-  // Returns how many more tasks like `spec` could start on machines that are up or booting. Marks the cheapest of these
-  // machines that make up `reserve` tasks as spare.
+  // Returns how many more tasks like `spec` could start on machines that are up or booting. Marks as spare the
+  // cheapest of these machines, until they have room for `reserve` such tasks.
   [[nodiscard]] std::int64_t spare_capacity(const ClusterState& cluster, const wire::JobSpec& spec,
                                             std::int64_t reserve, Instant now);
   // Returns for how many tasks of the class to keep spare capacity: those expected to arrive while a machine boots.
--- a/src/control/cluster_state.h
+++ b/src/control/cluster_state.h
@@ -36,15 +36,15 @@
 
 struct ClusterState {
   explicit ClusterState(config::Settings settings);
-  // Must be called after copying: makes the machines point to this object's planner nodes instead of the original's.
+  // Must be called after copying: makes the machines point to this object's planner entries instead of the original's.
   void rebind_planned_nodes();
 
   // ---- machines ----
   // Returns the machine with this id, and adds it to the inventory if it is not known yet.
   Machine& find_or_add_machine(const MachineId& id, Instant now);
-  // Registers the machine's image cache with the warm pools on first sight. The machine's images are then replaced by
-  // those that the pools expect in the cache. For a registered machine, only a missing cache size is set. Without
-  // pools, this has no effect.
+  // Registers the machine's image cache with the warm pools, and adds the images that the pools expect in the cache to
+  // the machine's images. If the machine is registered already, only sets its cache size if that was unknown. Has no
+  // effect if no pools are configured.
   void register_image_cache(Machine& machine);
   // Records that the job's image is in the machine's cache, and removes the images that were evicted for it.
   void record_cached_image(Machine& machine, const wire::JobSpec& spec);
@@ -52,7 +52,8 @@
   void update_planner_machine(Machine& machine);
   // Removes the machine from the inventory, the pools and the planner, unless tasks may still run on it.
   void forget_machine(const MachineId& id);
-  // Returns whether tasks can be placed on the machine now: the machine is healthy and its zone is in service.
+  // Returns whether tasks can be placed on the machine now: the machine is usable, its zone is in service, and the zone
+  // health monitor allows work there.
   [[nodiscard]] bool is_schedulable(const Machine& machine, Instant now) const;
   // Returns the latest time until which the machine's tasks may keep running if it sends no more heartbeats.
   [[nodiscard]] Instant lease_end(const Machine& machine) const;
@@ -66,7 +67,8 @@
   [[nodiscard]] Millis image_fetch_duration(const wire::JobSpec& spec, const std::string& machine_type) const;
   // Returns the expected boot time of a machine of this type; zero if unknown.
   [[nodiscard]] Millis boot_duration(const std::string& type_name) const;
-  // Returns whether machines may be rented in the zone: it is in service, and the zone health monitor trusts it.
+  // Returns whether machines may be rented in the zone: it is in service, and the zone health monitor considers
+  // it healthy.
   [[nodiscard]] bool can_rent_in_zone(const std::string& zone) const;
 
   config::Settings settings;
@@ -77,7 +79,7 @@
   pools::PoolAdmission pools;
   zone::ZoneHealthMonitor zone_health;
   zone::DelegationTable delegations;  // agent lease renewal delegated to other controllers
-  Instant older_leaders_until;        // leaders of earlier terms may renew agent leases until then
+  Instant older_leaders_until;        // until then, leaders of earlier terms may still renew agent leases
   bool needs_planning = false;        // state has changed since the latest planning pass began
   Counters counters;
 };
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-// Plans at most one task per machine, in the order of the request's places.
+// Plans at most one task per machine, in the order of the request's machines.
 std::vector<plan::Placement> plan_one_per_machine(const plan::Planner& planner, plan::PlacementRequest request) {
   std::vector<plan::Placement> placements;
-  const std::vector<plan::EligibleMachine> places = std::move(request.machines);
+  const std::vector<plan::EligibleMachine> eligible_machines = std::move(request.machines);
   std::uint32_t remaining = std::exchange(request.count, 1);
-  for (auto place = places.begin(); place != places.end() && remaining > 0; ++place) {
-    request.machines = {*place};
+  for (auto eligible = eligible_machines.begin(); eligible != eligible_machines.end() && remaining > 0; ++eligible) {
+    request.machines = {*eligible};
     for (const plan::Placement& placement : planner.plan(request)) {
       placements.push_back(placement);
       --remaining;
@@ -47,7 +47,7 @@
 struct JobPlanner::JobPlanningContext {
   bool gang = false;
   bool replaces_members = false;  // the tasks replace members that the gang lost before its start
-  bool warms_pool = false;        // the tasks warm the image caches of a pool's machines
+  bool warms_pool = false;        // the job fills the image caches of a warm pool's machines
   bool uses_reservation = false;  // the gang holds the backfill reservation
   plan::PlacementRequest request;
   std::vector<plan::Placement> placements;
@@ -87,21 +87,21 @@
 
 std::size_t JobPlanner::find_placements(Job& job, JobPlanningContext& context, Instant now) {
   context.request.machines = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
-  std::size_t places = context.request.machines.size();
+  std::size_t examined_machines = context.request.machines.size();
   context.placements = compute_placements(context);
-  if (!context.placements.empty() || job.failed_on.empty()) return places;
+  if (!context.placements.empty() || job.failed_on.empty()) return examined_machines;
   // The machines on which the job failed are excluded only while it can be planned on other machines.
   job.failed_on.clear();
   context.request.machines = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
-  places += context.request.machines.size();
+  examined_machines += context.request.machines.size();
   context.placements = compute_placements(context);
-  return places;
+  return examined_machines;
 }
 
 std::uint32_t JobPlanner::count_late_tasks(Job& job, const JobPlanningContext& context, Instant now) const {
   std::uint32_t planned = 0;
-  // A task counts as late only if a machine rented now would start it earlier. Machines that boot already are in the
-  // plan.
+  // A task counts as late only if it could start earlier on a machine rented now. The plan already includes the
+  // machines that are booting.
   const Instant rented_machine_ready =
       now + std::max(deadlines_.scale_out_delay(job, now), autoscaler_.pricing(cluster_).max_boot_time(job.spec));
   for (const plan::Placement& placement : context.placements) {
@@ -109,7 +109,7 @@
     if (placement.start > rented_machine_ready + constants::kTick) job.late_tasks += placement.count;
   }
   if (planned < context.request.count) job.late_tasks += context.request.count - planned;
-  // A pool rents its machines itself.
+  // Warm pools rent their own machines. Tasks counted as late would make the autoscaler rent machines as well.
   if (context.warms_pool) job.late_tasks = 0;
   return planned;
 }
@@ -139,30 +139,30 @@
     return 0;
   }
   const std::uint32_t count = count_tasks_to_plan(job, context.replaces_members);
-  if (count == 0) return 0;  // held back by the class's cap
+  if (count == 0) return 0;  // the cap of the job's class is reached
   context.warms_pool = cluster_.pools.warms(job.spec, now - job.submitted).has_value();
   context.uses_reservation = !context.replaces_members && gangs_.holds_reservation(job.spec.id);
   context.request = make_planning_request(job, count, now);
   add_occupied_zones(job, context.request);
-  const std::size_t places = find_placements(job, context, now);
+  const std::size_t examined_machines = find_placements(job, context, now);
   const std::uint32_t planned = count_late_tasks(job, context, now);
   if (queue_.ranking().on() && !context.replaces_members) queue_.ranking().take(job.spec, planned);
   const std::uint32_t pending_before = job.pending();
-  if (place_due_tasks(job, context.placements, now) && context.gang) return places;
+  if (place_due_tasks(job, context.placements, now) && context.gang) return examined_machines;
   book_later_starts(job, context.placements, now);
   if (context.uses_reservation) gangs_.reserve_machines(cluster_, job, context.placements, now);
   if (!context.warms_pool && !context.replaces_members)
     job.overdue_tasks =
         deadlines_.count_overdue_tasks({cluster_, autoscaler_.demand(), autoscaler_.capacity(), queue_.ranking()}, job,
                                        context.placements, context.request.machines, now);
-  // If classes are in force, only tasks within the class's cap may preempt other work.
-  const std::uint32_t left = queue_.ranking().on() ? count - (pending_before - job.pending()) : job.pending();
-  if (left == 0) return places;
+  // If the class ranking is enabled, only tasks within the class's cap may preempt other work.
+  const std::uint32_t unplaced_tasks = queue_.ranking().on() ? count - (pending_before - job.pending()) : job.pending();
+  if (unplaced_tasks == 0) return examined_machines;
   if (!context.replaces_members && may_preempt(job, now))
-    Preemptor(cluster_, queue_, tasks_).preempt_for(job, left, context.request.machines, now);
-  if (queue_.ranking().on() && team_has_quota(cluster_, job, context.gang ? left : 1))
+    Preemptor(cluster_, queue_, tasks_).preempt_for(job, unplaced_tasks, context.request.machines, now);
+  if (queue_.ranking().on() && team_has_quota(cluster_, job, context.gang ? unplaced_tasks : 1))
     queue_.ranking().lacks_room(job.spec.id);
-  return places;
+  return examined_machines;
 }
 
 bool JobPlanner::can_place_gang_now(const Job& job, const std::vector<plan::Placement>& placements, Instant now) const {
@@ -192,7 +192,7 @@
 bool JobPlanner::place_due_tasks(Job& job, const std::vector<plan::Placement>& placements, Instant now) {
   if (!tasks_.can_start_or_preempt(now)) return false;
   if (is_gang(job)) return place_gang(job, placements, now);
-  bool any = false;
+  bool any_placed = false;
   for (const plan::Placement& placement : placements) {
     Machine& machine = cluster_.machines.at(placement.machine);
     if (placement.start > now || !cluster_.is_schedulable(machine, now)) continue;
@@ -201,17 +201,17 @@
           !is_placement_allowed(cluster_, job, machine, 1))
         break;
       tasks_.place_task(job, index, job.shards[index / constants::kTasksPerShard].next, machine, now);
-      any = true;
+      any_placed = true;
     }
   }
-  return any;
+  return any_placed;
 }
 
 // Tasks in a zone under evacuation restart elsewhere once they are confirmed terminated. Room for them is booked from
 // that time on, in queue order, so that machines are rented just in time and less important jobs do not take the room
 // meanwhile. If the zone recovers first, no task has moved, and the next pass does not renew the bookings.
 std::size_t JobPlanner::plan_stranded_tasks(Job& job, Instant now) {
-  // Machines that have booted before the tasks are confirmed terminated would cost money while idle.
+  // A machine rented earlier would be ready, idle and paid for before the tasks are confirmed terminated.
   const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).max_boot_time(job.spec);
   if (!due) return 0;
   const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -93,7 +93,8 @@
       on_task_ended(exchange, job, Allocation(*allocation), status);
     }
     if (is_active) {
-      // No record places this task here. It uses resources that belong to other tasks, so it is killed.
+      // No job record assigns this task to this machine. It uses resources that may be booked for other tasks, so it
+      // is stopped without a grace period.
       unknown_tasks = true;
       exchange.commands.push_back(stop_command(status.task, status.attempt, 0));
       continue;
@@ -105,7 +106,8 @@
   }
   Machine& machine = exchange.machine;
   if (unknown_tasks && !machine.has_unknown_tasks)
-    spdlog::warn("unknown_tasks_reported machine={} reason=\"no record places them there\"", machine.id.text());
+    spdlog::warn("unknown_tasks_reported machine={} reason=\"no job record assigns them to this machine\"",
+                 machine.id.text());
   machine.has_unknown_tasks = unknown_tasks;
 }
 
@@ -133,14 +135,16 @@
     if (allocation.seen.value_or(TaskState::fetching) == TaskState::fetching)
       cluster_.record_cached_image(machine, job.spec);
   } else if (allocation.seen && cluster_.pools.on()) {
-    // The second heartbeat in state `fetching`: the image was not cached, contrary to what the leader assumed.
+    // At least the second heartbeat that reports the state `fetching`: the image was not in the cache, contrary to what
+    // the leader assumed.
     machine.images.erase(job.spec.image);
     cluster_.pools.was_missing(machine.id, job.spec.image);
   }
   if (status.state == TaskState::running && !allocation.running_since) {
     on_task_running(job, machine, allocation, status.task.index, exchange.now);
   }
-  // A gang that waits until all of its images are fetched may be ready now, so it is planned again.
+  // While a gang lacks members, a state change of the others, such as a finished image fetch, may allow the next ones
+  // to be placed, so a planning pass is requested.
   if (allocation.seen != status.state && job.gather_until) cluster_.needs_planning = true;
   allocation.seen = status.state;
   if (allocation.stopping) exchange.commands.push_back(stop_command(status.task, status.attempt, allocation.grace_s));
@@ -162,8 +166,8 @@
   spdlog::info("task_running task={} attempt={} machine={} since_submission_s={:.1f}",
                TaskKey{job.spec.id, index}.text(), allocation.attempt.number(), machine.id.text(),
                to_seconds(now - job.submitted));
-  // The tasks of a gang start together, so the first running one marks the start of all. A new leader logs the line
-  // again.
+  // The tasks of a gang start together, so the first running task marks the start of the job. A new leader logs
+  // the event again, because it does not know that it was logged.
   if (job.begun) return;
   spdlog::info("job_started job={} class={} tasks={} wait_s={:.1f}", job.spec.id.text(), job.spec.job_class,
                job.spec.tasks, to_seconds(now - job.submitted));
@@ -195,12 +199,12 @@
 }
 
 void Reconciler::on_task_checkpointed(Job& job, const Allocation& allocation, std::uint32_t index, Instant now) {
-  const Millis ran = std::max(Millis(0), now - *allocation.running_since);
-  job.saved[index] += ran;
-  tasks_.confirm_terminated(job, index, "stopped, saved", now);
+  const Millis run_time = std::max(Millis(0), now - *allocation.running_since);
+  job.saved[index] += run_time;
+  tasks_.confirm_terminated(job, index, "stopped with a checkpoint", now);
   // confirm_terminated() has added the complete checkpoints of the same run time; they must not count twice.
-  const Millis step = from_seconds(job.spec.checkpoint_s);
-  if (step > Millis(0)) job.saved[index] -= ran / step * step;
+  const Millis checkpoint_interval = from_seconds(job.spec.checkpoint_s);
+  if (checkpoint_interval > Millis(0)) job.saved[index] -= run_time / checkpoint_interval * checkpoint_interval;
   tasks_.end_gang_attempt(job);
 }
 
@@ -208,14 +212,15 @@
   Machine& machine = exchange.machine;
   spdlog::warn("task_failed task={} machine={}", status.task.text(), machine.id.text());
   job.failed_on.insert(machine.id);
-  // A job that fails on three or more machines is likely faulty itself, so it does not count against further machines.
+  // A job that fails on three or more machines is likely faulty itself, so its failure is not counted as an error of
+  // further machines.
   if (job.failed_on.size() < 3) ++machine.errors;
   // A task that fails during the job's backoff was started before it, together with the task that caused the backoff.
   // It does not count as another failure.
   if (exchange.now >= job.not_before) {
-    const Millis pause =
+    const Millis backoff_duration =
         std::min(constants::kMaxTaskErrorBackoff, constants::kTaskErrorBackoff * (1 << std::min(job.errors, 5)));
-    if (++job.errors > 1) job.not_before = exchange.now + pause;
+    if (++job.errors > 1) job.not_before = exchange.now + backoff_duration;
   }
   if (machine.errors >= constants::kMaxMachineErrors) tasks_.drain_machine(machine, "repeated task failures");
 }
@@ -226,7 +231,8 @@
     if (!exchange.reported.contains(key)) unreported.push_back(key);
   }
   // If the agent had seen this leader's term when it built the heartbeat, the heartbeat is newer than any that was
-  // answered with the start command. A task that it does not report is not running and will not start.
+  // answered with the start command. A task that it does not report is not running and will not start. An allocation
+  // that was never reported and is not stopping is started instead.
   const bool saw_term = exchange.machine.saw_term || !kept(Guard::absent_saw_term);
   std::vector<Command> starts;
   for (const TaskKey& key : unreported) {
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-// Number of the arrival bucket, of length kStandbyArrivals, that contains the time.
+// Returns the number of the time bucket, of length kStandbyArrivals, that contains the arrival.
 std::uint32_t arrival_bucket(Instant when) {
   return static_cast<std::uint32_t>(when.time_since_epoch() / constants::kStandbyArrivals);
 }
 
-// The first kMaxStandbyList elements.
+// Returns the first kMaxStandbyList elements.
 template <typename Ids>
 std::vector<typename Ids::value_type> first_elements(const Ids& ids) {
   std::vector<typename Ids::value_type> list;
@@ -34,8 +34,8 @@
 }
 
 void add_entry(std::vector<SoftStateEntry>& entries, Kind kind, const std::string& name, std::uint32_t number,
-               standby::EntryValue what) {
-  entries.push_back({.key = {.kind = kind, .name = name, .number = number}, .what = std::move(what)});
+               standby::EntryValue value) {
+  entries.push_back({.key = {.kind = kind, .name = name, .number = number}, .what = std::move(value)});
 }
 
 // Reconstructs single job arrivals of a class from their sums. The tasks of a bucket are divided evenly among its jobs,
@@ -54,17 +54,18 @@
   return jobs;
 }
 
-// Conversions between planner amounts and counts of a snapshot. Counts of a snapshot are limited to 2^40 items.
-plan::MilliUnits items_of(std::uint64_t count) {
+// Conversions between the planner's amounts and the unsigned integers of a snapshot, both in thousandths. Snapshot
+// values above 2^40 are reduced to 2^40.
+plan::MilliUnits to_milli_units(std::uint64_t count) {
   return static_cast<plan::MilliUnits>(std::min<std::uint64_t>(count, std::uint64_t{1} << 40));
 }
 
-std::uint64_t count_of(plan::MilliUnits items) {
-  return static_cast<std::uint64_t>(std::max<plan::MilliUnits>(0, items));
+std::uint64_t to_snapshot_amount(plan::MilliUnits amount) {
+  return static_cast<std::uint64_t>(std::max<plan::MilliUnits>(0, amount));
 }
 
-// Adds the machines that boot or are up. A machine counts as up if it has reported, the soft state of an earlier leader
-// says so, or the cloud lists it as running.
+// Adds the machines that are booting or up. A booting machine also counts as up if the soft state of an earlier leader
+// says so or if the cloud lists it as running.
 void add_machines(std::vector<SoftStateEntry>& entries, const ClusterState& cluster) {
   for (const auto& [id, machine] : cluster.machines) {
     const bool is_active = machine.state == MachineState::booting || machine.state == MachineState::up;
@@ -86,7 +87,7 @@
 }
 
 // Returns the job's tasks that have started or have saved progress, by task index.
-std::map<std::uint32_t, standby::Task> tasks_of(const Job& job) {
+std::map<std::uint32_t, standby::Task> task_hints(const Job& job) {
   std::map<std::uint32_t, standby::Task> tasks;
   for (const auto& [index, saved] : job.saved) tasks[index].saved = saved;
   for (const JobShard& shard : job.shards) {
@@ -105,7 +106,7 @@
   std::size_t tasks = 0;
   for (const auto& [id, job] : cluster.jobs) {
     if (job.cancelled) continue;
-    for (const auto& [index, task] : tasks_of(job)) {
+    for (const auto& [index, task] : task_hints(job)) {
       if (++tasks > constants::kMaxStandbyTasks) break;
       add_entry(entries, Kind::task, id.text(), index, task);
     }
@@ -176,13 +177,13 @@
   }
 }
 
-// Adds the recent peaks of GPU demand and the CPU and memory use beside GPUs.
+// Adds the recent peaks of GPU demand, and the CPUs and memory that tasks use per GPU.
 void add_gpu_demand(std::vector<SoftStateEntry>& entries, const DemandEstimator& demand) {
   standby::GpuDemand gpus{.peaks = {},
-                          .cpus_beside = count_of(demand.usage_per_gpu().values[0]),
-                          .ram_beside = count_of(demand.usage_per_gpu().values[2])};
-  for (const auto& [when, items] : demand.gpu_peaks()) {
-    if (gpus.peaks.size() < constants::kMaxStandbyList / 2) gpus.peaks.emplace_back(when, count_of(items));
+                          .cpus_beside = to_snapshot_amount(demand.usage_per_gpu().values[0]),
+                          .ram_beside = to_snapshot_amount(demand.usage_per_gpu().values[2])};
+  for (const auto& [when, amount] : demand.gpu_peaks()) {
+    if (gpus.peaks.size() < constants::kMaxStandbyList / 2) gpus.peaks.emplace_back(when, to_snapshot_amount(amount));
   }
   if (!gpus.peaks.empty()) {
     add_entry(entries, Kind::gpus, std::string(), 0, standby::Shared(std::move(gpus)));
@@ -227,8 +228,8 @@
     // The agent most likely reports within one heartbeat interval. `since` is set back so that the expected boot time
     // is exceeded, and work is no longer held back for the machine, after kStandbyUnansweredTimeout.
     const Millis boot = cluster_.boot_duration(machine.type);
-    const auto slack = std::chrono::ceil<Millis>(boot * constants::kBootSlackFactor);
-    machine.since = now - std::max(Millis(0), slack - constants::kStandbyUnansweredTimeout);
+    const auto boot_limit = std::chrono::ceil<Millis>(boot * constants::kBootSlackFactor);
+    machine.since = now - std::max(Millis(0), boot_limit - constants::kStandbyUnansweredTimeout);
     machine.ready = now + from_seconds(cluster_.settings.heartbeat_interval_s);
   } else {
     machine.since = std::min(hint.since, now);
@@ -294,28 +295,28 @@
 
 void SoftStateRestorer::apply_gpu_demand(const standby::GpuDemand& hint, Instant now) {
   DemandEstimator::GpuPeaks peaks;
-  for (const auto& [when, items] : hint.peaks) {
-    if (when <= now && when >= now - constants::kGpuDemandWindow) peaks.emplace_back(when, items_of(items));
+  for (const auto& [when, amount] : hint.peaks) {
+    if (when <= now && when >= now - constants::kGpuDemandWindow) peaks.emplace_back(when, to_milli_units(amount));
   }
-  demand_.apply_gpu_hint(peaks, items_of(hint.cpus_beside), items_of(hint.ram_beside));
+  demand_.apply_gpu_hint(peaks, to_milli_units(hint.cpus_beside), to_milli_units(hint.ram_beside));
 }
 
 void SoftStateRestorer::apply(const standby::SoftStateSnapshot& snapshot, Instant now) {
-  // For its own term, this leader's state is newer than any standby's.
+  // A snapshot of this leader's own term is older than the leader's state.
   if (!leadership_.is_leader() || snapshot.term >= leadership_.term()) return;
   if (now - snapshot.taken > constants::kMaxSoftStateAge) return;
   std::map<std::string, std::vector<standby::Arrivals>> arrivals;
-  for (const auto& [key, what] : snapshot.entries) {
+  for (const auto& [key, value] : snapshot.entries) {
     switch (key.kind) {
-      case Kind::machine: apply_machine(key.name, *std::get<standby::Shared<standby::Machine>>(what), now); break;
-      case Kind::task: apply_task(key, std::get<standby::Task>(what), now); break;
+      case Kind::machine: apply_machine(key.name, *std::get<standby::Shared<standby::Machine>>(value), now); break;
+      case Kind::task: apply_task(key, std::get<standby::Task>(value), now); break;
       case Kind::trouble:
-        apply_failures(JobId(key.name), *std::get<standby::Shared<standby::JobFailures>>(what), now);
+        apply_failures(JobId(key.name), *std::get<standby::Shared<standby::JobFailures>>(value), now);
         break;
-      case Kind::refusal: apply_refusal(key.name, *std::get<standby::Shared<standby::Refusal>>(what), now); break;
-      case Kind::arrivals: arrivals[key.name].push_back(std::get<standby::Arrivals>(what)); break;
-      case Kind::sample: apply_sample(key.name, *std::get<standby::Shared<standby::Sample>>(what), now); break;
-      case Kind::gpus: apply_gpu_demand(*std::get<standby::Shared<standby::GpuDemand>>(what), now); break;
+      case Kind::refusal: apply_refusal(key.name, *std::get<standby::Shared<standby::Refusal>>(value), now); break;
+      case Kind::arrivals: arrivals[key.name].push_back(std::get<standby::Arrivals>(value)); break;
+      case Kind::sample: apply_sample(key.name, *std::get<standby::Shared<standby::Sample>>(value), now); break;
+      case Kind::gpus: apply_gpu_demand(*std::get<standby::Shared<standby::GpuDemand>>(value), now); break;
     }
   }
   for (const auto& [name, sums] : arrivals)
--- a/src/plan/planner.h
+++ b/src/plan/planner.h
@@ -77,9 +77,9 @@
   std::string zone;
   bool spot = false;
   ResourceAmounts capacity;
-  Instant ready_at;                    // no task can start before
-  Instant available_until = kForever;  // the machine is gone from then on
-  int priority = 0;                    // prio of a node in the paper; machines with a higher value are used later
+  Instant ready_at;                    // no task can start earlier
+  Instant available_until = kForever;  // the machine goes away then; no task can run longer
+  int priority = 0;                    // the node's prio in the paper; machines with a higher value are used later
 };
 
 // The limits on what all tasks of a team use at the same time. An unset limit means unlimited.
@@ -103,7 +103,7 @@
 struct PlannedMachine {
   MachineSpec spec;
   ResourceUsage usage;
-  std::size_t zone_index = 0;  // of spec.zone in the planner's list of zones
+  std::size_t zone_index = 0;  // index of spec.zone in the planner's list of zones
 };
 
 // A machine on which the tasks of a request may run.
@@ -117,15 +117,15 @@
 struct PlacementRequest {
   std::string team;
   ResourceAmounts per_task;
-  std::uint32_t count = 0;          // of tasks
-  Millis duration{};                // estimated run time of a task, without setup
-  Instant earliest_start;           // of the setup
-  Instant latest_start = kForever;  // of the setup; later starts are rejected
-  bool is_gang = false;             // all tasks start at the same time, or none does
-  bool one_zone = false;            // all tasks run in the same zone
-  std::string required_zone;        // if not empty, the zone that other tasks of a one-zone job already use
-  std::optional<std::uint32_t> zone_task_limit;        // maximum number of tasks of the job in one zone (spread)
-  std::map<std::string, std::uint32_t> tasks_by_zone;  // tasks of the job that are already placed
+  std::uint32_t count = 0;                       // number of tasks
+  Millis duration{};                             // estimated run time of a task, without setup
+  Instant earliest_start;                        // earliest start of the setup
+  Instant latest_start = kForever;               // latest start of the setup
+  bool is_gang = false;                          // all tasks start at the same time, or none does
+  bool one_zone = false;                         // all tasks run in the same zone
+  std::string required_zone;                     // zone that other tasks of a one-zone job already use; empty if none
+  std::optional<std::uint32_t> zone_task_limit;  // maximum number of tasks of the job in one zone (spread)
+  std::map<std::string, std::uint32_t> tasks_by_zone;  // number of tasks already placed in each zone
   ResourceAmounts keep_free;  // part of the fleet that this request must leave to others (FreePool in the paper)
   std::vector<EligibleMachine> machines;  // sorted by machine id
 };
@@ -135,7 +135,7 @@
   MachineId machine;
   Instant start;
   Instant stop;
-  std::uint32_t count = 0;  // of tasks
+  std::uint32_t count = 0;  // number of tasks
 };
 
 class Planner {
@@ -169,25 +169,26 @@
   void forget_before(Instant when);
 
  private:
-  struct Candidate;
+  struct Candidate;  // an eligible machine with its free intervals and weight
   // The fleet's usage as it limits a team, for each resource that a task needs (uRS in the paper).
   using UsageView = std::array<std::optional<UsageVector>, kResourceCount>;
 
   [[nodiscard]] UsageView make_usage_view(const PlacementRequest& request) const;
   // Machines with a lower weight are used first.
   [[nodiscard]] double weight(const PlannedMachine& machine) const;
-  struct Progress;
+  struct Progress;  // usage and limits including the tasks that plan_independent_tasks() has placed so far
+  // Where and when the next task starts.
   struct Choice {
     Candidate* candidate = nullptr;
     Instant start;
   };
-  // The candidate on which one more task would run first, or nothing if no candidate can take one.
-  // `free`: when the fleet and the team's limit have room for a task.
+  // The candidate on which one more task would run earliest, or nothing if no candidate has room.
+  // `free`: intervals in which the fleet and the team's limit have room for a task.
   [[nodiscard]] static std::optional<Choice> find_earliest_start(const PlacementRequest& request,
                                                                  std::vector<Candidate>& candidates,
                                                                  const TimeIntervals& free, const Progress& progress);
-  // How many of the remaining tasks can start together at the choice; 0 if the machine or its zone has no room.
-  // `usage`: of the chosen machine.
+  // How many of the remaining tasks can start together at the chosen time on the chosen machine; 0 if the machine or
+  // its zone has no room. `usage`: usage of the chosen machine.
   [[nodiscard]] static std::int64_t count_startable_tasks(const PlacementRequest& request, const Choice& choice,
                                                           std::uint32_t remaining, const Progress& progress,
                                                           const ResourceUsage& usage);
@@ -196,22 +197,22 @@
                                                               std::vector<Candidate> candidates) const;
   [[nodiscard]] std::vector<Placement> plan_gang(const PlacementRequest& request,
                                                  const std::vector<Candidate>& candidates) const;
-  // Places all tasks of a gang at the start, on the machines in the given order. Returns nothing if they do not all
+  // Places all tasks of a gang at `start`, on the machines in the given order. Returns nothing if they do not all
   // fit.
   [[nodiscard]] static std::vector<Placement> place_gang_at(const PlacementRequest& request, Instant start,
                                                             const std::vector<const Candidate*>& ranked,
                                                             std::vector<std::uint32_t> tasks_in_zone);
   // Sorts the candidates of a gang: preferred machines first, then by weight and setup time.
   [[nodiscard]] static std::vector<const Candidate*> rank_candidates(const std::vector<Candidate>& candidates);
-  // The starts at which a gang may fit although it did not fit before: where an interval of the fleet or of a candidate
-  // begins.
+  // The times at which a gang may fit although it did not fit earlier: the starts of the free intervals of the fleet
+  // and of the candidates.
   [[nodiscard]] static std::vector<Instant> list_possible_starts(const TimeIntervals& free,
                                                                  const std::vector<Candidate>& candidates);
   // Zone indexes in the order of the zones' names.
   [[nodiscard]] std::vector<std::size_t> sort_zones_by_name() const;
-  // The job's placed tasks by zone index.
+  // The number of the job's placed tasks, by zone index.
   [[nodiscard]] std::vector<std::uint32_t> count_tasks_by_zone(const PlacementRequest& request) const;
-  // The index of the zone, which is added if it is new.
+  // Returns the index of the zone. Adds the zone if it is new.
   [[nodiscard]] std::size_t find_or_add_zone(const std::string& zone);
 
   ResourceUsage fleet_;
@@ -220,7 +221,8 @@
   std::map<std::string, TeamLimit> team_limits_;
   std::map<std::string, ResourceUsage> usage_by_team_;
   std::unordered_map<BookingId, Booking> bookings_;
-  std::map<MachineId, std::vector<BookingId>> bookings_without_machine_;  // their machines are not known yet
+  // Bookings of machines that set_machine() has not added yet.
+  std::map<MachineId, std::vector<BookingId>> bookings_without_machine_;
   BookingId next_booking_ = 1;
 };
 
--- a/src/preempt/preempt.cpp
+++ b/src/preempt/preempt.cpp
@@ -9,8 +9,8 @@
 namespace foxshunt::preempt {
 
 bool is_preemption_allowed(const PreemptionRequest& request, const Victim& victim) {
-  // Priority alone is not enough: the request also has to be planned before the victim, which would otherwise take the
-  // freed room again at once.
+  // Priority alone is not enough: the request also has to be planned before the victim. Otherwise the victim would
+  // be planned first and take the freed room again.
   const bool by_priority = victim.priority < request.priority && (request.guaranteed || victim.borrowed);
   const bool by_guarantee = request.guaranteed && victim.borrowed && !victim.same_team;
   return by_priority || by_guarantee;
@@ -26,7 +26,7 @@
 
 namespace {
 
-// Victims on one machine, and how many tasks of the request fit on the machine when they are stopped.
+// A set of victims on one machine, and how many tasks of the request fit on the machine when these are stopped.
 struct PreemptionOption {
   const PreemptionCandidate* candidate = nullptr;
   std::int64_t task_count = 0;
@@ -34,15 +34,16 @@
   plan::Millis lost_work{};
 };
 
-// The options of a machine. Takes the victims in ascending order of priority and cost, and adds an option whenever
-// one more task fits, so that each option stops no more victims than it needs.
+// Returns the options of a machine. The first one stops nothing, if tasks already fit. Then adds victims in ascending
+// order of priority and lost work, and records an option whenever at least one more task fits, so that the last victim
+// of each option is needed.
 std::vector<PreemptionOption> list_options(const PreemptionRequest& request, const std::vector<Victim>& victims,
                                            const PreemptionCandidate& candidate) {
-  std::vector<std::pair<std::size_t, plan::ResourceAmounts>> displaceable;
+  std::vector<std::pair<std::size_t, plan::ResourceAmounts>> preemptible;
   for (const auto& entry : candidate.victim_amounts) {
-    if (should_preempt(request, victims[entry.first])) displaceable.push_back(entry);
+    if (should_preempt(request, victims[entry.first])) preemptible.push_back(entry);
   }
-  std::ranges::sort(displaceable, {}, [&](const auto& entry) {
+  std::ranges::sort(preemptible, {}, [&](const auto& entry) {
     const Victim& victim = victims[entry.first];
     return std::tuple(victim.priority, victim.lost_work, victim.running_time, victim.job, entry.first);
   });
@@ -51,7 +52,7 @@
       .candidate = &candidate, .task_count = request.per_task.count_fitting_in(candidate.free), .victims = {}};
   if (option.task_count > 0) options.push_back(option);
   plan::ResourceAmounts free = candidate.free;
-  for (const auto& [index, amounts] : displaceable) {
+  for (const auto& [index, amounts] : preemptible) {
     free += amounts;
     option.victims.push_back(index);
     option.lost_work += victims[index].lost_work;
@@ -74,7 +75,7 @@
     }
   }
   std::vector<std::size_t> best;
-  std::optional<std::pair<std::int64_t, plan::Millis>> best_rank;  // tasks without room, lost work
+  std::optional<std::pair<std::int64_t, plan::Millis>> best_rank;  // number of tasks without room, lost work
   for (auto& [unused, options] : options_by_zone) {
     // Prefers the least lost work per task, then the fewest victims.
     std::ranges::stable_sort(options, {}, [](const PreemptionOption& option) {
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -1,5 +1,5 @@
-// Unit tests of the controller as leader. Each safety check is tested on its own, because simulated days rarely fail
-// when only one of them is missing.
+// Unit tests of the controller as leader. Each safety check is tested on its own, because the simulation tests rarely
+// fail when only one of the checks is missing.
 #include "control/controller.h"
 
 #include <gtest/gtest.h>
@@ -122,7 +122,8 @@
   Controller controller_;
 };
 
-// A node loses leadership and regains it. Then it receives the answer to a write of its earlier term.
+// A node loses leadership and regains it. Then it receives the answer to a write of its earlier term, and must ignore
+// it.
 TEST_F(ControllerTest, IgnoresTheResultOfAWriteFromAnEarlierTerm) {
   become_leader();
   send_heartbeat(kFirst, 1, Term(7));
@@ -147,7 +148,7 @@
   EXPECT_FALSE(controller_.begin_write(now_));
 }
 
-// Either all tasks of a gang start or none. While some placements are not durable, the other tasks wait.
+// The tasks of a gang start together. While the placement of any of them is not durable, none may be started.
 TEST_F(ControllerTest, StartsAGangOnceAllItsShardsAreDurable) {
   config::Settings single_op_settings = settings();
   single_op_settings.state_txn_ops = 1;
