--- a/src/kv/budget.cpp
+++ b/src/kv/budget.cpp
@@ -38,7 +38,8 @@
       const double reserve = urgency == Urgency::user ? constants::kUserRequestRateReserve : 0;
       const double request_rate = requests_per_s_ * share_;
       const double change_rate = changes_per_s_ * share_;
-      // A transaction larger than the bucket proceeds once the bucket is full and leaves a negative balance.
+      // A transaction with more changes than the bucket holds could never collect enough tokens. It proceeds once the
+      // bucket is full and leaves a negative balance.
       const double need_changes = changes == 0 ? 0 : std::min(changes + reserve * change_rate, change_rate);
       const double need_requests = 1 + reserve * std::max(0.0, request_rate - 1);
       wait_s = std::max({0.0, (need_requests - requests_) / request_rate,
--- a/src/kv/budget.h
+++ b/src/kv/budget.h
@@ -1,5 +1,7 @@
-// The key-value store limits requests and changes a second over all nodes. Each node keeps to its share of both by token
-// buckets, without asking the others.
+// The rate limiter for requests to the key-value store.
+//
+// The store limits the requests and the changes per second over all nodes. Each node keeps to its own share of both
+// limits with two token buckets, without coordination between nodes.
 #pragma once
 
 #include <chrono>
@@ -7,32 +9,38 @@
 
 namespace foxshunt::kv {
 
-// Users' requests leave a reserve to those that keep leadership, records and leases.
+// The priority of a client's requests. Requests on behalf of users (`user`) leave a reserve of tokens for the requests
+// that maintain leadership, records and leases (`duty`).
 enum class Urgency { duty, user };
 
-// Thread-safe.
+// Two token buckets, one for requests and one for changes. Each holds at most the tokens of one second. Thread-safe.
 class RateLimiter {
  public:
   using Clock = std::chrono::steady_clock;
 
+  // `requests_per_s` and `changes_per_s` are the store's limits over all nodes; `share` is as in set_share(). Both
+  // buckets start full.
   RateLimiter(double requests_per_s, double changes_per_s, double share);
 
-  // The part of the limits that this node may use; it is larger for the leader.
+  // Sets the fraction of the limits, between 0 and 1, that this node may use. The leader gets a larger share.
   void set_share(double share);
-  // Waits for its turn; false when that would come after `until`.
+  // Waits until one request with this number of changes is allowed, and takes its tokens. Returns false, without taking
+  // tokens, if that would be later than `until`.
   [[nodiscard]] bool take(double changes, Urgency urgency, Clock::time_point until);
-  // The service said 429: others used more than their part. The buckets start again from nothing.
+  // Empties both buckets; a negative balance stays. To be called when the store answers 429, which means that other
+  // nodes used more than their share.
   void overdrawn();
 
  private:
+  // Adds the tokens for the time since the last refill. Requires that `mutex_` is held.
   void refill(Clock::time_point now);
 
   std::mutex mutex_;
   double requests_per_s_;
   double changes_per_s_;
   double share_;
-  double requests_;
-  double changes_;
+  double requests_;  // tokens left
+  double changes_;   // tokens left; negative after a transaction with more changes than the bucket holds
   Clock::time_point last_;
 };
 
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -7,7 +7,7 @@
 namespace foxshunt::kv {
 namespace {
 
-// Field names of the store's protocol, under the names that the rest of the code uses.
+// Field names of the store's HTTP protocol. The constants carry the terms that the rest of the code uses.
 constexpr const char* kErrorField = "error";
 constexpr const char* kRevisionField = "mark";
 constexpr const char* kStoreRevisionField = "tally";
@@ -24,6 +24,7 @@
 constexpr const char* kTtlMsField = "ttlMs";
 constexpr const char* kEventsField = "news";
 
+// Maps an HTTP status to the outcome of the request. Any status that the protocol does not define counts as `none`.
 Answer answer_of(int status) {
   switch (status) {
     case 200: return Answer::ok;
@@ -55,6 +56,7 @@
   return wire::Value::Map{{kPreconditionsField, std::move(preconditions)}, {kChangesField, std::move(changes)}};
 }
 
+// The path that requests one page of the keys with the prefix. `from` is the last key of the previous page, or empty.
 std::string list_path(const std::string& prefix, const std::string& from) {
   std::string path = "/kv?starts=" + prefix;
   if (!from.empty()) path += "&from=" + from;
@@ -68,9 +70,10 @@
 
 Client::Raw Client::call(const std::string& method, const std::string& path, const wire::Value* body, double changes,
                          net::Deadline until) {
-  const auto turn =
+  // A user's request waits at most `kRateLimiterWaitTimeout` for the rate limiter and is then refused.
+  const auto rate_limit_deadline =
       urgency_ == Urgency::user ? std::min(until, net::Clock::now() + constants::kRateLimiterWaitTimeout) : until;
-  if (!budget_->take(changes, urgency_, turn)) return {.answer = Answer::refused, .body = {}};
+  if (!budget_->take(changes, urgency_, rate_limit_deadline)) return {.answer = Answer::refused, .body = {}};
   const auto answer = http_.call(
       {.method = method, .path = path, .body = body == nullptr ? std::string() : wire::encode(*body)}, until);
   if (!answer) return {};
--- a/src/kv/txn.h
+++ b/src/kv/txn.h
@@ -1,7 +1,8 @@
-// Requests to the key-value store and what comes back, as values.
+// Requests to the key-value store and their results, as plain values.
 //
-// The store counts its changes: each has a revision, each key the revision of its last change. A transaction is a
-// compare-and-swap on any number of keys: it names the revisions that keys must have, and what to change if they do.
+// The store counts its changes. Each change has a revision, and each key has the revision of its last change. A
+// transaction is a compare-and-swap on any number of keys: it names the revisions that keys must have and the changes
+// to make if they do.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +15,15 @@
 
 namespace foxshunt::kv {
 
-// How a request went.
+// The outcome of a request, with the HTTP status that it stands for.
 enum class Answer {
-  ok,
-  not_found,  // 404
-  conflict,   // 409: a condition failed, nothing was changed
-  refused,    // 429 or 503: not executed
-  too_old,    // 410: the watch must start again
-  rejected,   // 400: the request can't be taken
-  none,       // no answer: it may have been executed, or may be yet
+  ok,         // 200: the request was executed
+  not_found,  // 404: the key or lease does not exist
+  conflict,   // 409: a precondition failed and nothing was changed
+  refused,    // 429 or 503, or the node's own rate limit: the request was not executed
+  too_old,    // 410: the watch asked for changes that the store no longer has; it must start again
+  rejected,   // 400: the store does not accept the request as it is
+  none,       // no usable response: the request may have been executed, or may still be executed later
 };
 
 // A key, its value and the revision of its last change.
@@ -32,56 +33,61 @@
   Revision revision;
 };
 
+// The result of reading one key. The entry is valid only if the answer is `ok`.
 struct GetResult {
   Answer answer = Answer::none;
   Entry entry;
 };
 
+// The result of listing the keys with a prefix. The entries are complete only if the answer is `ok`.
 struct ListResult {
   Answer answer = Answer::none;
   std::vector<Entry> entries;
-  Revision revision;  // of the first page: a watch from there misses nothing
+  Revision revision;  // the store's revision at the first page: a watch that starts from it misses no change
 };
 
+// The store's number of a lease. Keys that are set with a lease are removed when it expires.
 struct LeaseId {
   std::uint64_t number = 0;
 };
 
-// A key must have this revision.
+// A condition of a transaction: the key must have this revision.
 struct Precondition {
   std::string key;
-  Revision revision;  // 0: must not exist
+  Revision revision;  // 0: the key must not exist
 };
 
-// A key is set, or removed.
+// A change of a transaction: the key is set or removed.
 struct Change {
   std::string key;
-  std::optional<wire::Value> data;  // nothing: remove
-  std::optional<LeaseId> lease;
+  std::optional<wire::Value> data;  // the new value; empty: the key is removed
+  std::optional<LeaseId> lease;     // the lease that the key is bound to, if any
 };
 
-// All changes are made, if all conditions hold, or none.
+// An atomic compare-and-swap: if all preconditions hold, all changes are made; otherwise none is.
 struct Txn {
   std::vector<Precondition> preconditions;
   std::vector<Change> changes;
 };
 
+// The result of a transaction.
 struct TxnResult {
   Answer answer = Answer::none;
-  Revision revision;                // if `ok`: of all keys that were set
-  std::vector<std::string> failed;  // if `conflict`: keys that had another revision
+  Revision revision;                // for `ok`: the new revision of all keys that were set
+  std::vector<std::string> failed;  // for `conflict`: the keys that had another revision
 };
 
-// What a watch tells of a key.
+// A change of one key, as a watch reports it.
 struct Event {
   std::string key;
-  std::optional<wire::Value> data;  // nothing: removed
+  std::optional<wire::Value> data;  // the new value; empty: the key was removed
   Revision revision;
 };
 
+// The result of one poll of a watch. Revision and events are valid only if the answer is `ok`.
 struct WatchResult {
   Answer answer = Answer::none;
-  Revision revision;  // up to which nothing is missing
+  Revision revision;  // the watch has reported every change up to this revision
   std::vector<Event> events;
 };
 
