--- a/src/state/leadership_records.cpp
+++ b/src/state/leadership_records.cpp
@@ -32,8 +32,9 @@
 std::int64_t older_leaders_until(const LeadershipView& view, std::int64_t wall_ms, std::int64_t fence_ms,
                                  std::int64_t skew_ms) {
   if (view.term_revision == Revision{}) return 0;
-  // The last leader reckons its fence, and the end of what it granted to siblings, from when its lease was last
-  // confirmed, which was before now. That holds also if it was this node's earlier life: its holders live on.
+  // The previous leader computes its fencing deadline, and the end of what it delegated to other nodes, from the last
+  // confirmation of its lease, which was before now. This also applies if the previous leader was this node before a
+  // restart, because the nodes that hold its delegations keep running.
   return wall_ms + fence_ms + 2 * skew_ms;
 }
 
