--- a/src/state/job_records.cpp
+++ b/src/state/job_records.cpp
@@ -26,11 +26,11 @@
 // Field names of the stored records. They must not change: existing records have to stay readable.
 constexpr const char* kSpecField = "spec";
 constexpr const char* kSubmittedMsField = "at";
-constexpr const char* kOnlyPartField = "whole";
+constexpr const char* kOnlyShardField = "whole";
 constexpr const char* kNextAttemptField = "next";
 constexpr const char* kDoneField = "done";
 constexpr const char* kRunningField = "running";
-constexpr const char* kRunsField = "runs";
+constexpr const char* kAllocationsField = "runs";
 constexpr const char* kFinalStateField = "end";
 
 constexpr std::string_view kHexDigits = "0123456789abcdef";
@@ -49,6 +49,7 @@
   return text;
 }
 
+// Decodes the done flags of a shard with `size` tasks. Throws Malformed for a flag beyond the last task.
 std::vector<bool> bits_from_text(const std::string& text, std::uint32_t size) {
   std::vector<bool> bits(size);
   for (std::size_t at = 0; at < text.size(); ++at) {
@@ -66,29 +67,31 @@
 }  // namespace
 
 Value to_value(const JobShardRecord& shard) {
-  Value::List runs;
-  for (const AllocationRecord& run : shard.allocations) {
-    runs.emplace_back(
-        Value::List{std::uint64_t{run.index}, run.attempt.number(), run.machine.text(), run.incarnation.number()});
+  Value::List encoded_allocations;
+  for (const AllocationRecord& allocation : shard.allocations) {
+    encoded_allocations.emplace_back(Value::List{std::uint64_t{allocation.index}, allocation.attempt.number(),
+                                                 allocation.machine.text(), allocation.incarnation.number()});
   }
-  return Value::Map{
-      {kNextAttemptField, shard.next.number()}, {kDoneField, bits_to_text(shard.done)}, {kRunsField, std::move(runs)}};
+  return Value::Map{{kNextAttemptField, shard.next.number()},
+                    {kDoneField, bits_to_text(shard.done)},
+                    {kAllocationsField, std::move(encoded_allocations)}};
 }
 
 JobShardRecord job_shard_from(const Value& value, std::uint32_t size) {
   JobShardRecord shard;
   shard.next = AttemptNumber(value.count(kNextAttemptField));
   shard.done = bits_from_text(value.text(kDoneField), size);
-  for (const Value& entry : value.list(kRunsField)) {
-    const Value::List* run = entry.as_list();
-    if (run == nullptr || run->size() != 4 || (*run)[0].as_count() == nullptr || (*run)[1].as_count() == nullptr ||
-        (*run)[2].as_text() == nullptr || (*run)[3].as_count() == nullptr) {
-      throw Malformed(std::string(kRunsField) + ": entry is not a placement");
+  for (const Value& entry : value.list(kAllocationsField)) {
+    const Value::List* allocation = entry.as_list();
+    if (allocation == nullptr || allocation->size() != 4 || (*allocation)[0].as_count() == nullptr ||
+        (*allocation)[1].as_count() == nullptr || (*allocation)[2].as_text() == nullptr ||
+        (*allocation)[3].as_count() == nullptr) {
+      throw Malformed(std::string(kAllocationsField) + ": entry is not an allocation");
     }
-    shard.allocations.push_back({.index = static_cast<std::uint32_t>(*(*run)[0].as_count()),
-                                 .attempt = AttemptNumber(*(*run)[1].as_count()),
-                                 .machine = MachineId(*(*run)[2].as_text()),
-                                 .incarnation = AgentIncarnation(*(*run)[3].as_count())});
+    shard.allocations.push_back({.index = static_cast<std::uint32_t>(*(*allocation)[0].as_count()),
+                                 .attempt = AttemptNumber(*(*allocation)[1].as_count()),
+                                 .machine = MachineId(*(*allocation)[2].as_text()),
+                                 .incarnation = AgentIncarnation(*(*allocation)[3].as_count())});
   }
   return shard;
 }
@@ -97,7 +100,7 @@
   Value::Map map{{kSpecField, wire::to_value(job.spec)},
                  {kSubmittedMsField, static_cast<std::uint64_t>(job.submitted_wall_ms)}};
   if (job.whole) {
-    map.emplace_back(kOnlyPartField, to_value(*job.whole));
+    map.emplace_back(kOnlyShardField, to_value(*job.whole));
   } else {
     map.emplace_back(kDoneField, job.done_shown);
     map.emplace_back(kRunningField, job.running_shown);
@@ -109,8 +112,8 @@
   JobRecord job;
   job.spec = wire::job_spec_from(value[kSpecField]);
   job.submitted_wall_ms = static_cast<std::int64_t>(value.count(kSubmittedMsField));
-  if (!value[kOnlyPartField].is_null()) {
-    job.whole = job_shard_from(value[kOnlyPartField], shard_size(job.spec.tasks, 0));
+  if (!value[kOnlyShardField].is_null()) {
+    job.whole = job_shard_from(value[kOnlyShardField], shard_size(job.spec.tasks, 0));
   } else {
     job.done_shown = value.count(kDoneField);
     job.running_shown = value.count(kRunningField);
@@ -155,12 +158,13 @@
 }
 
 kv::Txn create_job_txn(const JobRecord& job) {
-  const std::string live = active_job_key(job.spec.id);
+  const std::string active_key = active_job_key(job.spec.id);
   if (!guards::kept(guards::Guard::accept_once)) {
-    return {.preconditions = {}, .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
+    return {.preconditions = {}, .changes = {{.key = active_key, .data = to_value(job), .lease = {}}}};
   }
-  return {.preconditions = {{.key = live, .revision = {}}, {.key = finished_job_key(job.spec.id), .revision = {}}},
-          .changes = {{.key = live, .data = to_value(job), .lease = {}}}};
+  return {
+      .preconditions = {{.key = active_key, .revision = {}}, {.key = finished_job_key(job.spec.id), .revision = {}}},
+      .changes = {{.key = active_key, .data = to_value(job), .lease = {}}}};
 }
 
 kv::Txn cancel_job_txn(const JobRecord& job, Revision revision) {
@@ -173,7 +177,9 @@
                           {.key = finished_job_key(id), .data = finished_job_value(cancelled), .lease = {}}}};
   if (!guards::kept(guards::Guard::withdraw_mark)) txn.preconditions.clear();
   if (!guards::kept(guards::Guard::withdraw_lingers)) return txn;
-  // The terminating record keeps the allocations until a leader has confirmed that they have terminated.
+  // The terminating record keeps the allocations until a leader has confirmed that they have terminated. A job with
+  // several shards always gets one: its allocations are in its shard records, and the counts in its own record are for
+  // display only.
   if (!job.whole || !job.whole->allocations.empty()) {
     txn.changes.push_back({.key = terminating_job_key(id), .data = to_value(job), .lease = {}});
   }
--- a/src/state/job_records.h
+++ b/src/state/job_records.h
@@ -1,4 +1,6 @@
-// The records of jobs, their codecs, and the transactions by which jobs come and go. Codecs throw wire::Malformed, naming the field.
+// The stored records of jobs, their codecs, and the transactions that create and cancel jobs.
+//
+// Decoding functions throw wire::Malformed, naming the field.
 #pragma once
 
 #include <cstdint>
@@ -12,44 +14,56 @@
 
 namespace foxshunt::state {
 
-// A task's durable placement.
+// The durable placement of a task: the machine that it was assigned to, and the attempt.
 struct AllocationRecord {
-  std::uint32_t index = 0;
+  std::uint32_t index = 0;  // of the task
   AttemptNumber attempt;
   MachineId machine;
   AgentIncarnation incarnation;
   friend bool operator==(const AllocationRecord&, const AllocationRecord&) = default;
 };
 
+// The progress of one shard of a job's tasks.
 struct JobShardRecord {
-  AttemptNumber next{1};   // attempts below it were used
-  std::vector<bool> done;  // by index within the part
+  AttemptNumber next{1};   // the next attempt number to use; lower numbers count as used
+  std::vector<bool> done;  // whether each task is done, by its index within the shard
   std::vector<AllocationRecord> allocations;
 };
 
+// An active job, as stored under live/<job>. The job's tasks are stored in the record itself if they fit one shard, and
+// in separate shard records otherwise.
 struct JobRecord {
   wire::JobSpec spec;
-  std::int64_t submitted_wall_ms = 0;
-  std::optional<JobShardRecord> whole;  // of a job that fits one part
-  std::uint64_t done_shown = 0;         // of a job in parts, for display
-  std::uint64_t running_shown = 0;
+  std::int64_t submitted_wall_ms = 0;   // wall clock time in milliseconds
+  std::optional<JobShardRecord> whole;  // the only shard of a job that fits one shard
+  std::uint64_t done_shown = 0;         // done tasks of a job with several shards; for display only
+  std::uint64_t running_shown = 0;      // running tasks of a job with several shards; for display only
 };
 
-// The transactions by which jobs come and go. Acceptance creates the record unless the job is known already, in
-// whatever state; withdrawal moves it as it was read, so that no placement can slip in between.
+// Returns the transaction that creates the record of an accepted job. It fails if the job exists already, whether it is
+// active or finished.
 [[nodiscard]] kv::Txn create_job_txn(const JobRecord& job);
+// Returns the transaction that replaces the record of an active job by its final state "cancelled", and keeps the
+// allocations that it may still have on machines in a terminating record. It fails if the record no longer has `revision`, at which
+// `job` was read, so that no allocation made in the meantime is lost.
 [[nodiscard]] kv::Txn cancel_job_txn(const JobRecord& job, Revision revision);
+// Returns the record of a job that is submitted at `wall_ms`, in wall clock milliseconds, with no task placed.
 [[nodiscard]] JobRecord new_job(const wire::JobSpec& spec, std::int64_t wall_ms);
 
+// Returns the number of shards of a job with this number of tasks.
 [[nodiscard]] std::uint32_t shard_count(std::uint32_t tasks);
+// Returns the number of tasks in one shard of a job. `shard` must be less than shard_count(tasks).
 [[nodiscard]] std::uint32_t shard_size(std::uint32_t tasks, std::uint32_t shard);
 
+// Codecs of the records. `size` is the number of tasks in the shard.
 [[nodiscard]] wire::Value to_value(const JobShardRecord& shard);
-[[nodiscard]] JobShardRecord job_shard_from(const wire::Value& value, std::uint32_t size);  // throws Malformed
+[[nodiscard]] JobShardRecord job_shard_from(const wire::Value& value, std::uint32_t size);
 [[nodiscard]] wire::Value to_value(const JobRecord& job);
 [[nodiscard]] JobRecord job_from(const wire::Value& value);
+// The codec of a job's final state, as stored under over/<job>.
 [[nodiscard]] wire::Value finished_job_value(const wire::JobStatus& status);
 [[nodiscard]] wire::JobStatus finished_job_from(const JobId& job, const wire::Value& value);
+// Returns the status of an active job: running if it has an allocation, otherwise pending.
 [[nodiscard]] wire::JobStatus status_of(const JobRecord& job);
 
 }  // namespace foxshunt::state
