--- a/src/state/job_records.h
+++ b/src/state/job_records.h
@@ -44,8 +44,8 @@
 // active or finished.
 [[nodiscard]] kv::Txn create_job_txn(const JobRecord& job);
 // Returns the transaction that replaces the record of an active job by its final state "cancelled", and keeps the
-// allocations that it may still have on machines in a terminating record. It fails if the record no longer has `revision`, at which
-// `job` was read, so that no allocation made in the meantime is lost.
+// allocations that it may still have on machines in a terminating record. It fails if the record no longer has
+// `revision`, at which `job` was read, so that no allocation made in the meantime is lost.
 [[nodiscard]] kv::Txn cancel_job_txn(const JobRecord& job, Revision revision);
 // Returns the record of a job that is submitted at `wall_ms`, in wall clock milliseconds, with no task placed.
 [[nodiscard]] JobRecord new_job(const wire::JobSpec& spec, std::int64_t wall_ms);
--- a/src/state/keys.cpp
+++ b/src/state/keys.cpp
@@ -20,6 +20,7 @@
 }
 
 std::optional<std::uint32_t> shard_of_key(const std::string& key) {
+  // A number of at most nine digits always fits 32 bits.
   const std::string text = key.substr(key.rfind('/') + 1);
   if (!key.starts_with(kJobShardPrefix) || text.empty() || text.size() > 9 ||
       text.find_first_not_of("0123456789") != std::string::npos) {
