--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,6 +1,6 @@
-// A job as the leader holds it in memory: its specification, its parts (the units in which its tasks are recorded), its runs
-// (allocations of tasks to machines) and what is planned for it. Plain data; changed by JobTable and by the modules that
-// decide on jobs.
+// The in-memory state of a job: its specification, its shards (the units in which its tasks are recorded), its
+// allocations (placements of tasks on machines) and what the planner has scheduled for it. These are plain data types.
+// JobTable and the modules that make decisions about jobs modify them.
 #pragma once
 
 #include <cstddef>
@@ -22,8 +22,8 @@
 
 class JobTable;
 
-// Whether the store is known to hold a run's placement. Never unset; only the job table sets it, so that nothing can be
-// started by a flag that was set elsewhere.
+// Whether the key-value store is known to hold the placement of an allocation. Once set, the flag stays set. Only
+// JobTable can set it, so that no other module can cause a task to start before its placement is durable.
 class DurableFlag {
  public:
   operator bool() const { return is_set_; }
@@ -35,25 +35,26 @@
   bool is_set_ = false;
 };
 
-// A task's placement on a machine, from the moment it is decided until it is proved gone.
+// The placement of a task on a machine, from the moment it is decided until the task is confirmed to have terminated.
 struct Allocation {
   AttemptNumber attempt;
   MachineId machine;
   AgentIncarnation incarnation;
-  DurableFlag durable;   // only then may the start command be sent
-  bool adopted = false;  // of an earlier leader's record
+  DurableFlag durable;   // the start command may be sent only if this is set
+  bool adopted = false;  // read from a record that an earlier leader wrote
   bool stopping = false;
   double grace_s = 0;
-  Instant stop_due;                     // when the halt is sent directly, if it is still needed
-  std::optional<wire::TaskState> seen;  // as last reported
+  Instant stop_due;                     // when the stop command is sent directly to the machine, if it is still running
+  std::optional<wire::TaskState> seen;  // state in the last report
   Instant placed;
   std::optional<Instant> running_since;
-  std::optional<Instant> told_began;  // as a sibling's word has it; counts once a report says that it runs
+  std::optional<Instant>
+      told_began;  // start time in the soft state of an earlier leader; used once a report says it runs
   plan::BookingId booking = 0;
 };
 
-// The runs of a part, by their tasks' indices in the job. Their fields may be changed through it; only the job table adds
-// and removes runs, so that none that may be running can be lost.
+// The allocations of a shard, keyed by the index of the task in its job. Callers may modify the fields of an
+// allocation, but only JobTable can add and remove allocations, so that none that may still be running is lost.
 class ShardAllocations {
  public:
   using Map = std::map<std::uint32_t, Allocation>;
@@ -80,38 +81,41 @@
   Map allocations_;
 };
 
+// The tasks of a job that are recorded together, with their progress and allocations.
 struct JobShard {
-  Revision revision;      // of its own key, in a job of several parts
-  bool recorded = false;  // that key may be there: also by a write that had no answer
-  bool reload = false;    // a write met a record at another revision than `mark`
-  AttemptNumber next{1};
+  Revision revision;      // of the shard's own key, if the job has several shards
+  bool recorded = false;  // that key may exist; also set for a write that got no answer
+  bool reload = false;    // a write failed because the record was not at `revision`; it has to be read again
+  AttemptNumber next{1};  // number for the next attempt of any task in this shard
   std::vector<bool> done;
   std::uint32_t done_count = 0;
   ShardAllocations allocations;
-  bool dirty = false;      // memory is ahead of the record
-  Instant dirty_since;     // that or the write under way
-  bool in_flight = false;  // a transaction on it is under way
+  bool dirty = false;      // the record is out of date
+  Instant dirty_since;     // since when; changes made during a write count from its end
+  bool in_flight = false;  // a transaction that writes this shard has not been answered yet
 
+  // Whether the record is known to be up to date.
   [[nodiscard]] bool settled() const { return !dirty && !in_flight; }
 };
 
-// What the scheduler has planned for a job and remembers about it between passes. It is in no record, and the job table reads
-// nothing of it.
+// What the scheduler has planned for a job and keeps between scheduling passes. It is not stored in any record, and
+// JobTable does not read it.
 struct SchedulingState {
-  std::vector<plan::BookingId> booked;   // of tasks that have not been placed
-  std::optional<Instant> planned_start;  // of its first task that waits
-  bool borrowed = false;                 // does not fit into its team's guarantee
+  std::vector<plan::BookingId> booked;   // bookings of tasks that are not placed yet
+  std::optional<Instant> planned_start;  // planned start of the first task that waits
+  bool borrowed = false;                 // the job exceeds the guarantee of its team
   std::optional<Instant> displaced;      // when it was last stopped for other work
-  Instant displaces_after;               // it makes others give way no sooner
-  std::uint32_t overdue_tasks = 0;       // late for a calendar that a machine rented now would keep
-  std::uint32_t late_tasks = 0;          // booked later than they should wait, or not at all
-  std::uint32_t stranded = 0;            // tasks in zones that are being left
-  Instant stranded_until;                // when all of these are proved gone, if nothing is heard
+  Instant displaces_after;               // the job may not displace others before this time
+  std::uint32_t overdue_tasks = 0;  // tasks late for their calendar that a machine rented now would get done in time
+  std::uint32_t late_tasks = 0;     // tasks booked later than they should have to wait, or not booked at all
+  std::uint32_t stranded = 0;       // tasks in zones that are being evacuated
+  Instant stranded_until;           // when all of these count as terminated if no report arrives
 };
 
+// A job with its tasks, shards and allocations.
 struct Job : SchedulingState {
   wire::JobSpec spec;
-  ResourceAmounts each;
+  ResourceAmounts each;  // resources of one task
   Instant submitted;
   std::int64_t submitted_wall_ms = 0;
   Revision revision;  // of live/<job>
@@ -119,23 +123,26 @@
   std::uint32_t done_count = 0;
   std::uint32_t allocation_count = 0;
   bool cancelled = false;
-  bool had_allocations = false;  // there may be a linger/ record
-  bool begun = false;            // seen running by this leader
-  Instant shown;                 // when the counts of a job in parts were last written
-  bool reload = false;           // a write met a record that is not the one in memory
-  Instant not_before;            // after errors
-  int errors = 0;                // in a row, on different machines
+  bool had_allocations = false;  // a linger/ record may exist
+  bool begun = false;            // this leader has seen a task of it running
+  Instant shown;                 // when the displayed counts were last written, if the job has several shards
+  // A write found the job record at another revision, or the record was reported deleted while a write was in flight.
+  // The record has to be read again.
+  bool reload = false;
+  Instant not_before;  // no task is placed before this time; set after errors
+  int errors = 0;      // consecutive errors, on different machines
   std::set<MachineId> failed_on;
   std::map<std::uint32_t, Millis> saved;  // progress known to be saved, by task
-  std::optional<Instant> gather_until;    // a gang that lacks a task before its start gets another one until then
-  bool in_stages = false;                 // a gang whose tasks that fetch longest are placed first
+  std::optional<Instant> gather_until;    // until then, a gang that loses a task before its start gets a replacement
+  bool in_stages = false;                 // the job is a gang, and its tasks that fetch data longest are placed first
 
+  // The number of tasks that are neither done nor placed.
   [[nodiscard]] std::uint32_t pending() const { return spec.tasks - done_count - allocation_count; }
-  // Whether all tasks are done and nothing may run any more.
+  // Whether all tasks are done and no allocation is left.
   [[nodiscard]] bool is_complete() const { return !cancelled && done_count == spec.tasks && allocation_count == 0; }
-  // Whether no task is wanted and nothing may run any more.
+  // Whether the job is cancelled and no allocation is left.
   [[nodiscard]] bool is_removable() const { return cancelled && allocation_count == 0; }
-  // Whether a write on any of it is under way.
+  // Whether a write of any shard is in flight.
   [[nodiscard]] bool in_flight() const;
 };
 
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -71,15 +71,16 @@
   shard.done = record.done;
   shard.done_count = static_cast<std::uint32_t>(std::ranges::count(shard.done, true));
   job.done_count += shard.done_count;
-  for (const state::AllocationRecord& record_run : record.allocations) {
-    Allocation allocation{
-        .attempt = record_run.attempt, .machine = record_run.machine, .incarnation = record_run.incarnation};
+  for (const state::AllocationRecord& allocation_record : record.allocations) {
+    Allocation allocation{.attempt = allocation_record.attempt,
+                          .machine = allocation_record.machine,
+                          .incarnation = allocation_record.incarnation};
     allocation.durable.set();
     allocation.adopted = true;
     allocation.placed = now;
-    machines.know(allocation.machine, now).machine.allocations.insert({job.spec.id, record_run.index});
+    machines.know(allocation.machine, now).machine.allocations.insert({job.spec.id, allocation_record.index});
     team_use_[job.spec.team] += job.each;
-    shard.allocations.add(record_run.index, allocation);
+    shard.allocations.add(allocation_record.index, allocation);
     ++job.allocation_count;
     job.had_allocations = true;
   }
@@ -90,7 +91,8 @@
   const auto known = jobs_.find(id);
   if (known == jobs_.end()) return true;
   Job& job = known->second;
-  // Only this leader changes a live record, so memory is ahead; the event tells at most the record's mark.
+  // Only this leader changes the record of an active job, so memory is at least as recent. All that can be learned from
+  // the event is the revision of the record.
   if (!job.in_flight() && revision > job.revision) job.revision = revision;
   return false;
 }
@@ -100,7 +102,7 @@
   const auto known = jobs_.find(id);
   if (known == jobs_.end() || known->second.cancelled) return nullptr;
   Job& job = known->second;
-  // While a write is under way its answer decides: it may have been this leader that removed the record.
+  // While a write is in flight, its result decides, because this leader may have removed the record itself.
   if (job.in_flight()) {
     job.reload = true;
     return nullptr;
@@ -128,7 +130,8 @@
   if (known == jobs_.end()) return nullptr;
   Job& job = known->second;
   if (reload.shard) {
-    // Only leaders write it, and this one is the last: it is this one's own write, whose answer did not come.
+    // Only leaders write shard records, and no later leader exists. So the revision found comes from a write of this
+    // leader whose answer was lost.
     JobShard& shard = job.shards.at(*reload.shard);
     if (shard.reload) shard.revision = revision.value_or(Revision{});
     shard.reload = false;
@@ -147,19 +150,19 @@
 std::vector<std::uint32_t> JobTable::cancel(Job& job) {
   job.cancelled = true;
   job.reload = false;
-  std::vector<std::uint32_t> never_told;
+  std::vector<std::uint32_t> never_started;
   for (std::uint32_t number = 0; number < job.shards.size(); ++number) {
     JobShard& shard = job.shards[number];
     dirty_.erase({job.spec.id, number});
     shard.dirty = false;
     shard.reload = false;
     for (const auto& [index, allocation] : shard.allocations) {
-      // Without a confirmed record its start command was never sent, and never will be.
-      if (!allocation.durable) never_told.push_back(index);
+      // The placement is not known to be durable, so its start command was not sent and never will be.
+      if (!allocation.durable) never_started.push_back(index);
     }
   }
   if (job.allocation_count == 0) dirty_.insert({job.spec.id, 0});
-  return never_told;
+  return never_started;
 }
 
 void JobTable::touch(Job& job, std::uint32_t number, Instant now) {
@@ -174,7 +177,7 @@
   return std::move(jobs_.extract(id).mapped());
 }
 
-// ---- runs ----
+// ---- allocations ----
 
 Allocation& JobTable::place(Job& job, std::uint32_t index, AttemptNumber attempt, inventory::Machine& machine,
                             Instant now) {
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -1,16 +1,19 @@
-// The job table: the jobs that this leader knows, their parts, and the runs (allocations of tasks to machines): what is
-// durable, what memory is ahead of the records, which writes are under way, and what teams use. It builds the writes;
-// what is placed, stopped or taken for terminated its callers decide.
+// The job table holds the jobs that this leader knows, their shards, and the allocations of their tasks to machines. It
+// tracks which state is durable in the key-value store, which records are out of date, which writes are in flight, and
+// how much each team uses. It builds the write transactions. Its callers decide what is placed, what is stopped, and
+// which allocations are confirmed to have terminated.
 //
 // It keeps two invariants, each in one place:
 //
-//   Durable before start. Nothing is started whose placement the store may not hold. Run::durable says that it does; it
-//   is set by make_durable(), when a write is known to have succeeded, and by adopt_shard(), for what a record holds.
+//   Durable before start. A task is started only if the store is known to hold its placement, which Allocation::durable
+//   records. It is set by make_durable(), when a write is known to have succeeded, and by adopt_shard(), for
+//   allocations that were read from a record.
 //
-//   Confirmed before removal. Nothing that may run leaves the table unconfirmed. A run leaves it by confirm_terminated() alone,
-//   and a job is taken out, or its records are removed, when it has no run left (Job::is_complete, is_removable).
+//   Confirmed before removal. An allocation that may still be running never leaves the table. Allocations are removed
+//   only by confirm_terminated(). A job is removed, or its records are, only when it has no allocation left (see
+//   Job::is_complete and Job::is_removable).
 //
-// Pure: the time is passed in. Not thread-safe.
+// The table does no I/O and reads no clock: callers pass in the time. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -33,7 +36,7 @@
 
 namespace foxshunt::jobs {
 
-// A record that has to be read again: the job's own, or that of a part.
+// A record that has to be read again: the record of the job itself, or that of one shard if `shard` is set.
 struct Reload {
   JobId job;
   std::optional<std::uint32_t> shard;
@@ -43,9 +46,11 @@
   }
 };
 
+// All jobs known to the leader of the current term. See the top of this file for its invariants.
 class JobTable {
  public:
-  // ---- who is known ----
+  // ---- lookup ----
+  // at() requires that the job is in the table.
   [[nodiscard]] auto begin() { return jobs_.begin(); }
   [[nodiscard]] auto end() { return jobs_.end(); }
   [[nodiscard]] auto begin() const { return jobs_.begin(); }
@@ -56,50 +61,66 @@
   [[nodiscard]] const Job& at(const JobId& id) const { return jobs_.at(id); }
   [[nodiscard]] std::size_t size() const { return jobs_.size(); }
   [[nodiscard]] const std::map<JobId, Job>& all() const { return jobs_; }
+  // The allocation of the task, or null if the task is unknown or not placed.
   [[nodiscard]] Allocation* find_allocation(const TaskKey& task);
-  // Tasks that are neither done nor placed, lowest first.
+  // Indices of tasks that are neither done nor placed, in ascending order; at most `most` of them.
   [[nodiscard]] static std::vector<std::uint32_t> pending_tasks(const Job& job, std::uint32_t most);
-  // Everything that is placed and not proved gone.
+  // Resources of all allocations of the team that are not yet confirmed terminated.
   [[nodiscard]] ResourceAmounts team_use(const std::string& team) const;
-  // Whether the record says how the task ended, or nobody asks any more.
+  // Whether the record of the task's shard is up to date, with no write of it pending or in flight. Also true if the
+  // task is unknown or its job is cancelled, because its result is then no longer needed.
   [[nodiscard]] bool settled(const TaskKey& task) const;
+  // Whether the store is known to hold every placement of the job.
   [[nodiscard]] static bool all_durable(const Job& job);
 
-  // ---- records, in the order of their revisions ----
-  // `wall_ms`: now, by the time of day. What the record places is adopted, on machines that may be known by it alone.
+  // ---- records, applied in the order of their revisions ----
+  // Adds the job of a record that was read at `revision`. `wall_ms` is the current wall-clock time in milliseconds. If
+  // the record holds the job's only shard, its allocations are adopted; machines that are not in the inventory are
+  // added.
   Job& add(const state::JobRecord& record, Revision revision, std::int64_t wall_ms,
            inventory::MachineInventory& machines, Instant now);
+  // Takes progress and allocations from the record of shard `number`. The allocations count as durable. To be called
+  // once for each shard of a job that add() has just added.
   void adopt_shard(Job& job, std::uint32_t number, const state::JobShardRecord& record,
                    inventory::MachineInventory& machines, Instant now);
-  // The watch tells of live/<job>. True when that job is to be added.
+  // To be called when the watch reports a value of live/<job>. Returns true if the caller must add the job.
   [[nodiscard]] bool on_record(const JobId& id, Revision revision);
-  // The watch tells that live/<job> is gone. The job that is to be withdrawn, if that was not this leader's own doing.
+  // To be called when the watch reports that live/<job> was deleted. Returns the job that the caller must cancel, or
+  // null if the job is unknown or already cancelled. If a write of the job is in flight, this leader may have deleted
+  // the record itself; the result of that write decides, and null is returned.
   [[nodiscard]] Job* on_removed(const JobId& id);
-  // What has to be read again, and the revision that was found. The job that is to be withdrawn, if its record is gone.
+  // The next record that has to be read again. Jobs with a write in flight are skipped.
   [[nodiscard]] std::optional<Reload> next_reload() const;
-  // Whether any job's own record has to be, now or when the write under way has ended.
+  // Whether the job record of any job has to be read again, now or once the write in flight has ended.
   [[nodiscard]] bool has_unread() const;
+  // To be called with the revision at which a record was found, or without one if the record does not exist. Returns
+  // the job that the caller must cancel because its job record no longer exists, otherwise null.
   [[nodiscard]] Job* on_reloaded(const Reload& reload, std::optional<Revision> revision);
-  // No task of it is wanted any more. Those whose placement was never told to a machine, nor will be, are given back:
-  // they are proved by that.
+  // Marks the job as cancelled. Returns the tasks whose placement is not durable. No start command was or will be sent
+  // for them, so the caller may confirm them as terminated at once.
   [[nodiscard]] std::vector<std::uint32_t> cancel(Job& job);
 
-  // ---- runs ----
+  // ---- allocations ----
+  // Records the placement of task `index` on the machine. The task must not be placed already.
   Allocation& place(Job& job, std::uint32_t index, AttemptNumber attempt, inventory::Machine& machine, Instant now);
+  // Marks a task as done; has no effect if it already is.
   void mark_done(Job& job, std::uint32_t index);
-  // The only way in which a run leaves memory. Gives back what it was.
+  // Removes the allocation of a task that is confirmed to have terminated, and returns it; returns nothing if the task
+  // has no allocation. This is the only way in which an allocation leaves the table.
   std::optional<Allocation> confirm_terminated(Job& job, std::uint32_t index, inventory::MachineInventory& machines,
                                                Instant now);
 
   // ---- writes ----
+  // Whether any record is out of date and no write of it has begun.
   [[nodiscard]] bool writes_wanted() const { return !dirty_.empty(); }
-  // Of all that may be written now, what fits one transaction: at most `ops_most` changes, conditioned on the term's
-  // record.
+  // Builds one transaction from the writes that may begin now. It makes at most `ops_most` changes and requires that
+  // the term record is still at `term_revision`. Returns nothing if there is nothing to write.
   [[nodiscard]] std::optional<WriteBatch> begin_write(Revision term_revision, std::size_t ops_most, Instant now);
-  // Jobs that nothing is left of, in memory and in the records, are given back.
+  // Applies the result of a write that begin_write() returned. Returns the jobs that were removed from the table
+  // because they have neither allocations nor active, terminating or shard records left.
   std::vector<Job> end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
 
-  // The first inconsistency of the table, in words; for tests.
+  // Describes the first inconsistency found in the table, if any. Used by tests.
   [[nodiscard]] std::optional<std::string> find_inconsistency(const inventory::MachineInventory& machines) const;
 
  private:
@@ -112,10 +133,12 @@
   };
   using DirtyParts = std::set<PartKey>;
 
+  // Marks a shard as dirty and schedules a write, unless the job is cancelled and still has allocations: its records
+  // are then kept until the last allocation is confirmed terminated.
   void touch(Job& job, std::uint32_t number, Instant now);
   Job take_out(const JobId& id);
 
-  // Steps of begin_write(). They return the first dirty part behind what they took.
+  // Steps of begin_write(). They return the first dirty shard after those they have removed from the set.
   DirtyParts::iterator on_part_write_begun(Job& job, const PartKey& key);
   DirtyParts::iterator on_job_write_begun(Job& job);
   DirtyParts::iterator erase_dirty_parts(const JobId& job);
@@ -128,9 +151,9 @@
   static void make_durable(JobShard& shard, const std::vector<AllocationReference>& written, Instant now);
 
   std::map<JobId, Job> jobs_;
-  DirtyParts dirty_;                                 // memory is ahead of their records
-  std::set<JobId> ended_;                            // removed by us; the watch may still tell of them
-  std::map<std::string, ResourceAmounts> team_use_;  // everything placed and not proved gone
+  DirtyParts dirty_;                                 // shards whose records are out of date
+  std::set<JobId> ended_;                            // jobs whose records were removed; the watch may still report them
+  std::map<std::string, ResourceAmounts> team_use_;  // resources of allocations that are not confirmed terminated
 };
 
 }  // namespace foxshunt::jobs
--- a/src/jobs/job_table_writes.cpp
+++ b/src/jobs/job_table_writes.cpp
@@ -1,7 +1,7 @@
-// The job table's writes: which jobs go into one transaction, and what its answer means for them.
+// The writes of the job table: which jobs go into one transaction, and how its result is applied to them.
 //
-// A part is `dirty` while memory is ahead of its record, and `in_flight` from begin_write() until end_write(). A job has one
-// write under way at a time: the next is conditioned on the revision that this one leaves.
+// A shard is `dirty` while its record is out of date, and `in_flight` from begin_write() until end_write(). A job has
+// at most one transaction in flight, because the next one requires the revision that results from it.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 bool can_write(const Job& job, std::uint32_t shard, const WriteBatchBuilder& batch) {
   if (job.reload || job.shards[shard].reload) return false;
   if (!batch.has_job(job.spec.id)) return !job.in_flight();
-  // One transaction may update several shards of a job. Any other write of a job appears in it once.
+  // One transaction may update several shards of a job. It contains any other write of a job only once.
   return next_write(job) == WriteItem::Kind::update && job.shards.size() > 1;
 }
 
@@ -38,7 +38,7 @@
   }
 }
 
-// Whether only the finished record of the job is left once the item is written.
+// Whether, once the item is written, the job has no record left except the finished record.
 bool leaves_no_record(const Job& job, const WriteItem& item) {
   switch (item.kind) {
     case WriteItem::Kind::update: return false;
@@ -117,8 +117,8 @@
   return erased;
 }
 
-// A write without an answer may still be applied. The next write requires the same revision, so that one of the two fails.
-// A start command waits for a write that is known to have succeeded.
+// A write without an answer may still be applied. The next write requires the same revision, so that one of the two
+// fails. Until a write is known to have succeeded, no start command is sent.
 void JobTable::on_write_failed(Job& job, const WriteItem& item, const kv::TxnResult& result) {
   job.shards[item.shard].dirty = true;
   dirty_.insert({item.job, item.shard});
@@ -139,8 +139,8 @@
   if (!item.not_durable.empty()) job.had_allocations = true;
 }
 
-// The only place where a placement of this leader becomes durable. An allocation that has ended since the write began, or
-// was replaced by another attempt, is skipped.
+// This is the only place where a placement made by this leader becomes durable. An allocation that has ended since the
+// write began, or was replaced by another attempt, is skipped.
 void JobTable::make_durable(JobShard& shard, const std::vector<AllocationReference>& written, Instant now) {
   for (const auto& [index, attempt] : written) {
     const auto allocation = shard.allocations.find(index);
@@ -161,9 +161,9 @@
 }
 
 void JobTable::on_records_removed(Job& job, const WriteItem& item) {
-  for (const std::uint32_t removed : item.removed_parts) {
-    job.shards[removed].revision = Revision{};
-    job.shards[removed].recorded = false;
+  for (const std::uint32_t removed_shard : item.removed_parts) {
+    job.shards[removed_shard].revision = Revision{};
+    job.shards[removed_shard].recorded = false;
   }
   if (!item.removes_last) dirty_.insert({item.job, 0});
 }
--- a/src/jobs/write_batch.h
+++ b/src/jobs/write_batch.h
@@ -1,5 +1,5 @@
-// One transaction of the leader on records of jobs, what the job table needs to know of it when its answer comes, and the
-// builder of such transactions. Pure; not thread-safe.
+// A transaction in which the leader writes job records, together with what the job table needs in order to apply the
+// result, and the builder of such transactions. The builder does no I/O. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -14,53 +14,60 @@
 
 namespace foxshunt::jobs {
 
-// A run of the item's job: the same task in another attempt is another run.
+// Identifies an allocation of the job that a WriteItem belongs to. Another attempt of the same task is another
+// allocation.
 struct AllocationReference {
-  std::uint32_t index = 0;  // of the task in its job
+  std::uint32_t index = 0;  // index of the task in its job
   AttemptNumber attempt;
 };
 
-// What a batch does to the records of one job, or of one of its parts.
+// What a batch does to the records of one job, or of one of its shards.
 struct WriteItem {
   enum class Kind : std::uint8_t {
-    update,  // writes a part as memory has it
-    finish,  // all tasks are done: the active record gives way to the final one
-    remove,  // nothing of a job that has ended may run any more: what is left of its records goes
+    update,  // writes the in-memory state of a shard
+    finish,  // all tasks are done: replaces the active record by the finished one
+    remove,  // the job has ended and has no allocation left: removes its remaining records
   };
   Kind kind = Kind::update;
   JobId job;
-  std::uint32_t shard = 0;                       // update: the part that is written; otherwise 0
-  bool header = false;                           // update: the job's own record is written as well
-  std::vector<AllocationReference> not_durable;  // update: runs that become durable by this write
-  std::vector<std::uint32_t> removed_parts;      // remove: parts whose records it removes
-  bool removes_last = false;                     // remove: no record of the job is left after it
+  std::uint32_t shard = 0;                       // update: the shard that is written; otherwise 0
+  bool header = false;                           // update: the job record is written as well
+  std::vector<AllocationReference> not_durable;  // update: allocations that this write makes durable
+  std::vector<std::uint32_t> removed_parts;      // remove: shards whose records are removed
+  bool removes_last = false;                     // remove: no record of the job is left afterwards
 };
 
+// A transaction and the items that it consists of.
 struct WriteBatch {
-  Revision term_revision;  // of the lead from whose job table it is built
+  Revision term_revision;  // revision of the term record that the transaction requires
   std::vector<WriteItem> items;
   kv::Txn txn;
 };
 
-// Puts writes of several jobs into one transaction, within the store's limits. Every batch is conditioned on the record of
-// the leader's term, every job in it on that job's record as this leader knows it.
+// Combines writes of several jobs into one transaction, within the limits of the key-value store. Every transaction
+// requires that the term record is at the given revision, and that the record of each job in it is at the revision that
+// this leader knows.
 class WriteBatchBuilder {
  public:
-  // `max_changes`: what one transaction may change.
+  // `max_changes` is the number of keys that one transaction may change.
   WriteBatchBuilder(Revision term_revision, std::size_t max_changes);
 
   [[nodiscard]] bool is_empty() const { return batch_.items.empty(); }
+  // Whether the batch has an item of this job.
   [[nodiscard]] bool has_job(const JobId& job) const;
-  // Whether one more item of this kind fits.
+  // Whether an item of this kind for the job still fits.
   [[nodiscard]] bool has_room_for(const Job& job, WriteItem::Kind kind) const;
 
-  // Adds the part as it is in memory. Notes in the job what it writes: that the part has a record, and when its displayed
-  // counts were last written.
+  // Adds a write of the in-memory state of a shard. Updates the job accordingly: the shard may now have a record, and
+  // the time at which the displayed counts were last written.
   void add_update(Job& job, std::uint32_t shard, Instant now);
+  // Adds the write that replaces the active record of a completed job by the finished one.
   void add_finish(const Job& job);
-  // Removes as many records of parts as fit, and the job's last record if no part is left then.
+  // Adds the removal of as many shard records as fit and, if no shard record is left then, of the last record of the
+  // job.
   void add_removal(const Job& job);
 
+  // Returns the batch. The builder must not be used afterwards.
   [[nodiscard]] WriteBatch take() { return std::move(batch_); }
 
  private:
@@ -71,7 +78,7 @@
   [[nodiscard]] std::size_t free_changes() const { return max_changes_ - batch_.txn.changes.size(); }
 
   std::size_t max_changes_;
-  std::size_t bytes_ = 0;  // of the data that is set
+  std::size_t bytes_ = 0;  // size of the data that is set
   WriteBatch batch_;
 };
 
