--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -1,4 +1,5 @@
-// The job table is consistent in itself and with the records whatever comes, and no run leaves it without proof.
+// Tests of the job table: it stays consistent in itself and with the records under any sequence of events, and no
+// allocation is removed from it before the task is confirmed to have terminated.
 #include "jobs/job_table.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 namespace foxshunt::jobs {
 namespace {
 
-constexpr std::size_t kOps = 12;
+constexpr std::size_t kMaxOps = 12;
 const JobId kJob("j-000001");
 const MachineId kMachine("m-000001");
 
@@ -21,15 +22,15 @@
   return JobId("j-" + std::string(6 - digits.size(), '0') + digits);
 }
 
-class Book : public testing::Test {
+class JobTableTest : public testing::Test {
  protected:
-  Book() {
+  JobTableTest() {
     (void)store_.txn({.preconditions = {},
                       .changes = {{.key = state::kTermKey, .data = wire::Value(std::uint64_t{7}), .lease = {}}}});
     term_revision_ = store_.get(state::kTermKey).entry.revision;
   }
 
-  // A user submits; the watch tells of it.
+  // A user submits a job, and the watch reports its record.
   void submit(const JobId& id, std::uint32_t tasks, const std::string& team = "red") {
     wire::JobSpec spec;
     spec.id = id;
@@ -43,56 +44,63 @@
     ASSERT_TRUE(table_.on_record(id, live.revision));
     table_.add(state::job_from(live.data), live.revision, 0, machines_, now_);
   }
-  // A user cancels; true when it was not over yet. The watch has not told of it yet.
+  // A user cancels a job. Returns whether it was still active. The watch does not report the removal yet.
   bool cancel(const JobId& id) {
     const kv::GetResult live = store_.get(state::active_job_key(id));
     return live.answer == kv::Answer::ok &&
            store_.txn(state::cancel_job_txn(state::job_from(live.entry.data), live.entry.revision)).answer ==
                kv::Answer::ok;
   }
-  void hear_of_cancel(const JobId& id) {
-    if (Job* job = table_.on_removed(id)) stop(*job);
+  // The watch reports that the record of an active job was deleted.
+  void on_cancel_reported(const JobId& id) {
+    if (Job* job = table_.on_removed(id)) cancel_in_table(*job);
   }
-  void stop(Job& job) {
-    for (const std::uint32_t index : table_.cancel(job)) gone(job, index);
+  // Cancels the job in the table and confirms the tasks that were never started.
+  void cancel_in_table(Job& job) {
+    for (const std::uint32_t index : table_.cancel(job)) confirm_termination(job, index);
+  }
+  void confirm_termination(Job& job, std::uint32_t index) {
+    EXPECT_TRUE(table_.confirm_terminated(job, index, machines_, now_));
   }
-  void gone(Job& job, std::uint32_t index) { EXPECT_TRUE(table_.confirm_terminated(job, index, machines_, now_)); }
   void place(Job& job, std::uint32_t index, const MachineId& machine = kMachine) {
     const AttemptNumber attempt = job.shards[index / constants::kTasksPerShard].next;
     table_.place(job, index, attempt, machines_.know(machine, now_).machine, now_);
   }
-  std::optional<WriteBatch> begin() { return table_.begin_write(term_revision_, kOps, now_); }
+  std::optional<WriteBatch> begin() { return table_.begin_write(term_revision_, kMaxOps, now_); }
+  // Begins a write and applies its result. Returns false if there was nothing to write.
   bool write() {
     const auto batch = begin();
     if (batch) table_.end_write(*batch, store_.txn(batch->txn), now_);
     return batch.has_value();
   }
+  // Reads again all records that the table asks for.
   void reload() {
     while (const auto reload = table_.next_reload()) {
       const kv::GetResult found = store_.get(reload->key());
-      Job* gone = table_.on_reloaded(
+      Job* deleted = table_.on_reloaded(
           *reload, found.answer == kv::Answer::ok ? std::optional(found.entry.revision) : std::nullopt);
-      if (gone != nullptr) stop(*gone);
+      if (deleted != nullptr) cancel_in_table(*deleted);
     }
   }
-  // Every placement that a record tells of, whatever became of its job.
-  [[nodiscard]] std::set<std::pair<TaskKey, AttemptNumber>> recorded() const {
-    std::set<std::pair<TaskKey, AttemptNumber>> runs;
-    const auto take = [&](const JobId& id, const state::JobShardRecord& shard) {
-      for (const state::AllocationRecord& run : shard.allocations) runs.insert({{id, run.index}, run.attempt});
+  // Every placement in the records, including those of jobs that have ended.
+  [[nodiscard]] std::set<std::pair<TaskKey, AttemptNumber>> recorded_allocations() const {
+    std::set<std::pair<TaskKey, AttemptNumber>> recorded;
+    const auto collect = [&](const JobId& id, const state::JobShardRecord& shard) {
+      for (const state::AllocationRecord& allocation : shard.allocations)
+        recorded.insert({{id, allocation.index}, allocation.attempt});
     };
     for (const char* prefix : {state::kActiveJobPrefix, state::kTerminatingJobPrefix}) {
       for (const kv::Entry& entry : store_.list(prefix).entries) {
         const state::JobRecord job = state::job_from(entry.data);
-        if (job.whole) take(job.spec.id, *job.whole);
+        if (job.whole) collect(job.spec.id, *job.whole);
       }
     }
     for (const kv::Entry& entry : store_.list(state::kJobShardPrefix).entries) {
-      take(*state::job_of_key(entry.key), state::job_shard_from(entry.data, constants::kTasksPerShard));
+      collect(*state::job_of_key(entry.key), state::job_shard_from(entry.data, constants::kTasksPerShard));
     }
-    return runs;
+    return recorded;
   }
-  void expect_agreement() {
+  void expect_consistent() {
     const auto fault = table_.find_inconsistency(machines_);
     ASSERT_FALSE(fault) << *fault;
   }
@@ -104,15 +112,15 @@
   JobTable table_;
 };
 
-TEST_F(Book, APlacementIsDurableOnceItsWriteIsKnownToHaveSucceeded) {
+TEST_F(JobTableTest, MakesAPlacementDurableOnceItsWriteIsKnownToHaveSucceeded) {
   submit(kJob, 2);
   Job& job = table_.at(kJob);
   place(job, 0);
   EXPECT_FALSE(table_.settled({kJob, 0}));
   const auto first = begin();
   ASSERT_TRUE(first);
-  EXPECT_FALSE(begin());  // one at a time
-  place(job, 1);          // what comes meanwhile waits for the next write
+  EXPECT_FALSE(begin());  // a job has one transaction in flight at a time
+  place(job, 1);          // a change made during a write waits for the next one
   EXPECT_FALSE(begin());
   table_.end_write(*first, store_.txn(first->txn), now_);
   EXPECT_TRUE(table_.find_allocation({kJob, 0})->durable);
@@ -124,35 +132,37 @@
   EXPECT_FALSE(table_.writes_wanted());
 }
 
-// The write may be applied, or may be yet: what is tried again names the same revision, so that one of the two fails.
-TEST_F(Book, AWriteWithoutAnAnswerIsTriedAgainOnTheSameRevision) {
+// A write without an answer may have been applied, or may still be. The retry requires the same revision, so that one
+// of the two fails.
+TEST_F(JobTableTest, RetriesAnUnansweredWriteAtTheSameRevision) {
   submit(kJob, 1);
   place(table_.at(kJob), 0);
-  const auto lost = begin();
-  (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  const auto unanswered = begin();
+  (void)store_.txn(unanswered->txn);
+  table_.end_write(*unanswered, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
   EXPECT_FALSE(table_.find_allocation({kJob, 0})->durable);
-  const auto again = begin();
-  ASSERT_TRUE(again);
-  const kv::TxnResult result = store_.txn(again->txn);
+  const auto retry = begin();
+  ASSERT_TRUE(retry);
+  const kv::TxnResult result = store_.txn(retry->txn);
   ASSERT_EQ(result.answer, kv::Answer::conflict);
-  table_.end_write(*again, result, now_);
+  table_.end_write(*retry, result, now_);
   ASSERT_TRUE(table_.next_reload());
   EXPECT_EQ(table_.next_reload()->key(), state::active_job_key(kJob));
-  EXPECT_FALSE(begin());  // the record is read first
+  EXPECT_FALSE(begin());  // the record has to be read first
   reload();
   EXPECT_TRUE(write());
   EXPECT_TRUE(table_.find_allocation({kJob, 0})->durable);
 }
 
-// The same of a job in parts: the part's record is read again, else it would be tried on the old revision for ever.
-TEST_F(Book, APartsWriteWithoutAnAnswerIsTriedAgainOnTheRevisionThatIsThere) {
+// The same for a job with several shards. The shard record has to be read again. Otherwise every retry would require
+// the old revision and fail.
+TEST_F(JobTableTest, RetriesAnUnansweredShardWriteAtTheRevisionReadAgain) {
   submit(kJob, 200);
   place(table_.at(kJob), 150);
-  const auto lost = begin();
-  (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
-  EXPECT_TRUE(write());  // the conflict tells
+  const auto unanswered = begin();
+  (void)store_.txn(unanswered->txn);
+  table_.end_write(*unanswered, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  EXPECT_TRUE(write());  // the conflict shows that the revision is out of date
   for (int round = 0; round < 3; ++round) {
     reload();
     write();
@@ -160,35 +170,36 @@
   EXPECT_TRUE(table_.find_allocation({kJob, 150})->durable);
 }
 
-// What was written without an answer is removed as well when its job is withdrawn.
-TEST_F(Book, NoPartIsLeftOfAJobWhoseWriteHadNoAnswer) {
+// A shard record whose write got no answer is removed as well when the job is cancelled.
+TEST_F(JobTableTest, RemovesAShardRecordWhoseWriteWasUnanswered) {
   submit(kJob, 200);
   place(table_.at(kJob), 150);
-  const auto lost = begin();
-  (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  const auto unanswered = begin();
+  (void)store_.txn(unanswered->txn);
+  table_.end_write(*unanswered, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
   ASSERT_TRUE(cancel(kJob));
-  hear_of_cancel(kJob);
+  on_cancel_reported(kJob);
   while (write()) {
   }
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_TRUE(store_.list(state::kJobShardPrefix).entries.empty());
 }
 
-// An attempt that is placed again while the write of the one before is under way is not made durable by it.
-TEST_F(Book, AWriteMakesDurableOnlyTheAttemptInIt) {
+// If a task is placed again while the write of its previous attempt is in flight, that write must not make the new
+// attempt durable.
+TEST_F(JobTableTest, MakesOnlyTheWrittenAttemptDurable) {
   submit(kJob, 1);
   Job& job = table_.at(kJob);
   place(job, 0);
   const auto first = begin();
-  gone(job, 0);
+  confirm_termination(job, 0);
   place(job, 0);
   table_.end_write(*first, store_.txn(first->txn), now_);
   EXPECT_EQ(table_.find_allocation({kJob, 0})->attempt, AttemptNumber(2));
   EXPECT_FALSE(table_.find_allocation({kJob, 0})->durable);
 }
 
-TEST_F(Book, AWithdrawnJobStaysUntilAllItsRunsAreProvedGone) {
+TEST_F(JobTableTest, KeepsACancelledJobUntilAllAllocationsAreConfirmedTerminated) {
   submit(kJob, 3);
   Job& job = table_.at(kJob);
   place(job, 0);
@@ -196,22 +207,22 @@
   write();
   place(job, 2);
   ASSERT_TRUE(cancel(kJob));
-  hear_of_cancel(kJob);
-  EXPECT_EQ(job.allocation_count, 2U);  // the third was never told to a machine
+  on_cancel_reported(kJob);
+  EXPECT_EQ(job.allocation_count, 2U);  // no start command was sent for the third
   EXPECT_FALSE(write());
-  gone(job, 1);
+  confirm_termination(job, 1);
   EXPECT_FALSE(write());
-  EXPECT_FALSE(machines_.forget(kMachine));  // unproved is never gone
+  EXPECT_FALSE(machines_.forget(kMachine));  // a machine with an unconfirmed allocation is kept
   EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::ok);
   EXPECT_EQ(table_.team_use("red"), job.each);
-  gone(job, 0);
+  confirm_termination(job, 0);
   EXPECT_TRUE(write());
   EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::not_found);
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_TRUE(machines_.forget(kMachine));
 }
 
-TEST_F(Book, ARemovalDuringAWriteWaitsForTheAnswer) {
+TEST_F(JobTableTest, HandlesARemovalDuringAWriteAfterItsResult) {
   submit(kJob, 1);
   Job& job = table_.at(kJob);
   place(job, 0);
@@ -224,29 +235,29 @@
   reload();
   EXPECT_TRUE(job.cancelled);
   EXPECT_EQ(job.allocation_count, 0U);
-  expect_agreement();
+  expect_consistent();
 }
 
-TEST_F(Book, RecordsAreTakenInTheOrderOfTheirRevisions) {
+TEST_F(JobTableTest, AppliesRecordsInTheOrderOfTheirRevisions) {
   submit(kJob, 1);
   Job& job = table_.at(kJob);
   const Revision revision = job.revision;
   EXPECT_FALSE(table_.on_record(kJob, Revision(revision.number() + 4)));
-  EXPECT_FALSE(table_.on_record(kJob, revision));  // an older word
+  EXPECT_FALSE(table_.on_record(kJob, revision));  // an event that is out of date
   EXPECT_EQ(job.revision, Revision(revision.number() + 4));
-  // The end of a job is this leader's own doing: words of it that are under way bring it back no more.
+  // This leader finished the job, so events about it that arrive later do not add it again.
   job.revision = revision;
   place(job, 0);
   write();
   table_.mark_done(job, 0);
-  gone(job, 0);
+  confirm_termination(job, 0);
   EXPECT_TRUE(write());
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_FALSE(table_.on_record(kJob, revision));
   EXPECT_EQ(table_.on_removed(kJob), nullptr);
 }
 
-TEST_F(Book, WhatARecordPlacesIsAdopted) {
+TEST_F(JobTableTest, AdoptsAllocationsFromRecords) {
   submit(kJob, 200);
   place(table_.at(kJob), 5);
   place(table_.at(kJob), 150);
@@ -269,22 +280,22 @@
   EXPECT_FALSE(next.find_inconsistency(machines));
 }
 
-class RandomBook : public Book, public testing::WithParamInterface<unsigned> {};
+class RandomJobTableTest : public JobTableTest, public testing::WithParamInterface<unsigned> {};
 
-// Users, workers and a state service whose answers are lost, late or refused, in any order.
-TEST_P(RandomBook, AgreesWithItselfAndWithTheRecords) {
+// Random sequences of user requests, placements and task ends, with a store whose answers are lost, delayed or refused.
+TEST_P(RandomJobTableTest, StaysConsistentWithTheRecords) {
   std::mt19937 random(GetParam());
   const auto draw = [&](std::uint32_t most) { return std::uniform_int_distribution<std::uint32_t>(0, most)(random); };
   std::uint32_t jobs = 0;
-  std::optional<WriteBatch> under_way;
-  std::vector<kv::Txn> late;     // had no answer, and may be executed yet
-  std::vector<JobId> cancelled;  // the watch has not told yet
-  std::set<std::pair<TaskKey, AttemptNumber>> unproved;
-  const auto prove = [&](Job& job, std::uint32_t index) {
-    unproved.erase({{job.spec.id, index}, table_.find_allocation({job.spec.id, index})->attempt});
-    gone(job, index);
+  std::optional<WriteBatch> in_flight;
+  std::vector<kv::Txn> delayed;  // got no answer and may still be executed
+  std::vector<JobId> cancelled;  // cancelled in the store; the watch has not reported it yet
+  std::set<std::pair<TaskKey, AttemptNumber>> unconfirmed;
+  const auto confirm = [&](Job& job, std::uint32_t index) {
+    unconfirmed.erase({{job.spec.id, index}, table_.find_allocation({job.spec.id, index})->attempt});
+    confirm_termination(job, index);
   };
-  const auto some_run = [&]() -> std::optional<TaskKey> {
+  const auto random_allocation = [&]() -> std::optional<TaskKey> {
     std::vector<TaskKey> keys;
     for (const auto& [id, job] : table_) {
       for (const JobShard& shard : job.shards) {
@@ -295,8 +306,8 @@
     return keys[draw(static_cast<std::uint32_t>(keys.size() - 1))];
   };
   const auto end = [&](kv::TxnResult result) {
-    table_.end_write(*under_way, result, now_);
-    under_way.reset();
+    table_.end_write(*in_flight, result, now_);
+    in_flight.reset();
   };
   for (int step = 0; step < 3'000; ++step) {
     now_ += Millis(draw(400));
@@ -320,11 +331,11 @@
       case 5:
       case 6:
         for (std::uint32_t count = draw(30); count > 0; --count) {
-          const auto key = some_run();
+          const auto key = random_allocation();
           if (!key) break;
           Job& job = table_.at(key->job);
           if (draw(3) > 0 && !job.cancelled && table_.find_allocation(*key)->durable) table_.mark_done(job, key->index);
-          prove(job, key->index);
+          confirm(job, key->index);
         }
         break;
       case 7:
@@ -334,75 +345,76 @@
         }
         break;
       case 8:
-        for (const JobId& id : std::exchange(cancelled, {})) hear_of_cancel(id);
+        for (const JobId& id : std::exchange(cancelled, {})) on_cancel_reported(id);
         break;
       case 9:
-        if (!late.empty()) {
-          (void)store_.txn(late.back());
-          late.pop_back();
+        if (!delayed.empty()) {
+          (void)store_.txn(delayed.back());
+          delayed.pop_back();
         }
         break;
       default:
         reload();
-        if (!under_way) {
-          under_way = begin();
+        if (!in_flight) {
+          in_flight = begin();
           break;
         }
-        const std::uint32_t luck = draw(5);
-        if (luck == 0) {  // no answer: executed, not, or later
-          const std::uint32_t how = draw(2);
-          if (how == 0) (void)store_.txn(under_way->txn);
-          if (how == 1) late.push_back(under_way->txn);
+        const std::uint32_t outcome = draw(5);
+        if (outcome == 0) {  // no answer: the transaction is executed now, later or never
+          const std::uint32_t execution = draw(2);
+          if (execution == 0) (void)store_.txn(in_flight->txn);
+          if (execution == 1) delayed.push_back(in_flight->txn);
           end({.answer = kv::Answer::none, .revision = {}, .failed = {}});
-        } else if (luck == 1) {
+        } else if (outcome == 1) {
           end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
         } else {
-          end(store_.txn(under_way->txn));
+          end(store_.txn(in_flight->txn));
         }
     }
-    // What was durable once stays in memory until it was proved gone, whatever became of its job.
+    // An allocation that has become durable stays in the table until it is confirmed terminated, even if its job ends.
     for (const auto& [id, job] : table_) {
       for (const JobShard& shard : job.shards) {
-        for (const auto& [index, run] : shard.allocations) {
-          if (run.durable) unproved.insert({{id, index}, run.attempt});
+        for (const auto& [index, allocation] : shard.allocations) {
+          if (allocation.durable) unconfirmed.insert({{id, index}, allocation.attempt});
         }
       }
     }
-    for (const auto& [key, attempt] : unproved) {
-      const jobs::Allocation* run = table_.find_allocation(key);
-      ASSERT_NE(run, nullptr) << key.text();
-      ASSERT_EQ(run->attempt, attempt) << key.text();
+    for (const auto& [key, attempt] : unconfirmed) {
+      const jobs::Allocation* allocation = table_.find_allocation(key);
+      ASSERT_NE(allocation, nullptr) << key.text();
+      ASSERT_EQ(allocation->attempt, attempt) << key.text();
     }
-    expect_agreement();
+    expect_consistent();
     if (step % 20 != 0) continue;
-    const auto written = recorded();
-    for (const auto& entry : unproved) ASSERT_TRUE(written.contains(entry)) << entry.first.text();
+    const auto written = recorded_allocations();
+    for (const auto& entry : unconfirmed) ASSERT_TRUE(written.contains(entry)) << entry.first.text();
   }
-  // When all has been proved and written, nothing is left, here or there.
-  for (const JobId& id : cancelled) hear_of_cancel(id);
-  if (under_way) end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
-  while (const auto key = some_run()) {
+  // Once every task is confirmed terminated and everything is written, neither the table nor the store has anything
+  // left.
+  for (const JobId& id : cancelled) on_cancel_reported(id);
+  if (in_flight) end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
+  while (const auto key = random_allocation()) {
     Job& job = table_.at(key->job);
     if (!job.cancelled) table_.mark_done(job, key->index);
-    prove(job, key->index);
+    confirm(job, key->index);
   }
   for (auto& [unused, job] : table_) {
     while (!job.cancelled && job.pending() > 0) {
       for (const std::uint32_t index : JobTable::pending_tasks(job, 500)) {
         place(job, index);
         table_.mark_done(job, index);
-        gone(job, index);
+        confirm_termination(job, index);
       }
     }
   }
   for (int round = 0; round < 500 && (table_.size() > 0 || table_.next_reload()); ++round) {
     reload();
     write();
-    expect_agreement();
+    expect_consistent();
   }
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_GT(jobs, 20U);
-  EXPECT_TRUE(recorded().empty());
+  EXPECT_TRUE(recorded_allocations().empty());
   for (const char* prefix : {state::kActiveJobPrefix, state::kTerminatingJobPrefix, state::kJobShardPrefix}) {
     EXPECT_TRUE(store_.list(prefix).entries.empty()) << prefix;
   }
@@ -411,7 +423,7 @@
   EXPECT_EQ(table_.team_use("blue"), ResourceAmounts{});
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomBook, testing::Range(1U, 13U));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomJobTableTest, testing::Range(1U, 13U));
 
 }  // namespace
 }  // namespace foxshunt::jobs
