--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -44,12 +44,12 @@
   bool adopted = false;  // read from a record that an earlier leader wrote
   bool stopping = false;
   double grace_s = 0;
-  Instant stop_due;                     // when the stop command is sent directly to the machine, if it is still running
+  Instant stop_due;                     // when the stop command is sent directly to the machine, if it is still needed
   std::optional<wire::TaskState> seen;  // state in the last report
   Instant placed;
   std::optional<Instant> running_since;
-  std::optional<Instant>
-      told_began;  // start time in the soft state of an earlier leader; used once a report says it runs
+  // The start time in the soft state of an earlier leader. It counts once a report says that the task runs.
+  std::optional<Instant> told_began;
   plan::BookingId booking = 0;
 };
 
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -80,7 +80,7 @@
   Job& add(const state::JobRecord& record, Revision revision, std::int64_t wall_ms,
            inventory::MachineInventory& machines, Instant now);
   // Takes progress and allocations from the record of shard `number`. The allocations count as durable. To be called
-  // once for each shard of a job that add() has just added.
+  // once for each shard record of a job with several shards; add() has adopted the only shard of any other job.
   void adopt_shard(Job& job, std::uint32_t number, const state::JobShardRecord& record,
                    inventory::MachineInventory& machines, Instant now);
   // To be called when the watch reports a value of live/<job>. Returns true if the caller must add the job.
@@ -114,7 +114,7 @@
   // Whether any record is out of date and no write of it has begun.
   [[nodiscard]] bool writes_wanted() const { return !dirty_.empty(); }
   // Builds one transaction from the writes that may begin now. It makes at most `ops_most` changes and requires that
-  // the term record is still at `term_revision`. Returns nothing if there is nothing to write.
+  // the term record is still at `term_revision`. Returns nothing if no write can begin now.
   [[nodiscard]] std::optional<WriteBatch> begin_write(Revision term_revision, std::size_t ops_most, Instant now);
   // Applies the result of a write that begin_write() returned. Returns the jobs that were removed from the table
   // because they have neither allocations nor active, terminating or shard records left.
@@ -136,6 +136,7 @@
   // Marks a shard as dirty and schedules a write, unless the job is cancelled and still has allocations: its records
   // are then kept until the last allocation is confirmed terminated.
   void touch(Job& job, std::uint32_t number, Instant now);
+  // Removes the job from the table and returns it.
   Job take_out(const JobId& id);
 
   // Steps of begin_write(). They return the first dirty shard after those they have removed from the set.
@@ -151,8 +152,8 @@
   static void make_durable(JobShard& shard, const std::vector<AllocationReference>& written, Instant now);
 
   std::map<JobId, Job> jobs_;
-  DirtyParts dirty_;                                 // shards whose records are out of date
-  std::set<JobId> ended_;                            // jobs whose records were removed; the watch may still report them
+  DirtyParts dirty_;       // shards whose records are out of date
+  std::set<JobId> ended_;  // jobs whose active record was removed; the watch may still report it
   std::map<std::string, ResourceAmounts> team_use_;  // resources of allocations that are not confirmed terminated
 };
 
--- a/src/jobs/write_batch.h
+++ b/src/jobs/write_batch.h
@@ -58,8 +58,8 @@
   // Whether an item of this kind for the job still fits.
   [[nodiscard]] bool has_room_for(const Job& job, WriteItem::Kind kind) const;
 
-  // Adds a write of the in-memory state of a shard. Updates the job accordingly: the shard may now have a record, and
-  // the time at which the displayed counts were last written.
+  // Adds a write of the in-memory state of a shard. Notes in the job that the shard may now have a record and,
+  // if the displayed counts are written, the time of that.
   void add_update(Job& job, std::uint32_t shard, Instant now);
   // Adds the write that replaces the active record of a completed job by the finished one.
   void add_finish(const Job& job);
