--- a/src/health/health.cpp
+++ b/src/health/health.cpp
@@ -17,51 +17,54 @@
   return "";
 }
 
-void HealthCheck::on_state(Instant at) {
-  if (!heard_ || at - *heard_ >= constants::kPeerSilenceTimeout) steady_since_ = at;
-  heard_ = std::max(at, heard_.value_or(at));
+void HealthCheck::on_store_response(Instant at) {
+  if (!last_response_ || at - *last_response_ >= constants::kPeerSilenceTimeout) responding_since_ = at;
+  last_response_ = std::max(at, last_response_.value_or(at));
 }
 
-void HealthCheck::on_contact(const NodeName& sibling, const std::optional<StateContact>& contact, Instant asked) {
-  if (contact) contacts_.insert_or_assign(sibling, Heard{.contact = *contact, .asked = asked});
+void HealthCheck::on_peer_contact(const NodeName& sibling, const std::optional<StoreContact>& contact,
+                                  Instant asked_at) {
+  if (contact) peer_contacts_.insert_or_assign(sibling, PeerContact{.contact = *contact, .asked_at = asked_at});
 }
 
-Millis HealthCheck::silent_for(Instant at) const { return std::max(Millis(0), at - heard_.value_or(began_)); }
+Millis HealthCheck::store_silence(Instant at) const {
+  return std::max(Millis(0), at - last_response_.value_or(started_at_));
+}
 
-StateContact HealthCheck::contact(Instant at) const {
-  return {.silent = silent_for(at), .steady = heard_ ? *heard_ - steady_since_ : Millis(0)};
+StoreContact HealthCheck::store_contact(Instant at) const {
+  return {.silent = store_silence(at), .steady = last_response_ ? *last_response_ - responding_since_ : Millis(0)};
 }
 
 Verdict HealthCheck::assess(Instant at) const {
-  const Millis silent = silent_for(at);
+  const Millis silent = store_silence(at);
   if (silent < constants::kStoreSilenceTimeout) return Verdict::served;
-  bool any = false;
-  for (const auto& [unused, heard] : contacts_) {
-    const Millis age = at - heard.asked;
+  bool has_recent_contact = false;
+  for (const auto& [unused, peer] : peer_contacts_) {
+    const Millis age = at - peer.asked_at;
     if (age >= constants::kPeerStatusTtl) continue;
-    any = true;
+    has_recent_contact = true;
     // One that is served again only since a moment ago may just be the first to notice that an outage is over.
-    if (heard.contact.silent + age < constants::kPeerSilenceTimeout &&
-        heard.contact.steady >= constants::kPeerServedInterval) {
+    if (peer.contact.silent + age < constants::kPeerSilenceTimeout &&
+        peer.contact.steady >= constants::kPeerServedInterval) {
       return Verdict::alone;
     }
   }
-  if (any) return Verdict::shared;
+  if (has_recent_contact) return Verdict::shared;
   return siblings_ > 0 && silent >= constants::kIsolationTimeout ? Verdict::cut_off : Verdict::unheard;
 }
 
-void write_contact(wire::Value::Map& map, const StateContact& contact) {
+void write_contact(wire::Value::Map& map, const StoreContact& contact) {
   map.emplace_back("state_silent_ms", static_cast<std::uint64_t>(contact.silent.count()));
   map.emplace_back("state_steady_ms", static_cast<std::uint64_t>(contact.steady.count()));
 }
 
-std::optional<StateContact> contact_from(const wire::Value& value) {
+std::optional<StoreContact> contact_from(const wire::Value& value) {
   if (value["state_silent_ms"].is_null()) return std::nullopt;
   const auto span = [&](const char* field) {
-    const auto most = static_cast<std::uint64_t>(constants::kUnboundedWait.count());  // so that sums stay small
-    return Millis(static_cast<std::int64_t>(std::min(value.count(field), most)));
+    const auto max_ms = static_cast<std::uint64_t>(constants::kUnboundedWait.count());  // so that sums stay small
+    return Millis(static_cast<std::int64_t>(std::min(value.count(field), max_ms)));
   };
-  return StateContact{.silent = span("state_silent_ms"), .steady = span("state_steady_ms")};
+  return StoreContact{.silent = span("state_silent_ms"), .steady = span("state_steady_ms")};
 }
 
 }  // namespace foxshunt::health
--- a/src/node/context.cpp
+++ b/src/node/context.cpp
@@ -36,12 +36,12 @@
 
 void Context::on_store_answered() {
   const std::lock_guard lock(health.mutex);
-  health.check.on_state(now());
+  health.check.on_store_response(now());
 }
 
 plan::Millis Context::store_silent_for() {
   const std::lock_guard lock(health.mutex);
-  return health.check.silent_for(now());
+  return health.check.store_silence(now());
 }
 
 bool Context::observe_leader(const NodeName& of, Term in) {
--- a/src/node/operator_requests.cpp
+++ b/src/node/operator_requests.cpp
@@ -51,7 +51,7 @@
   };
   {
     const std::lock_guard lock(context.health.mutex);
-    body.emplace_back("state_silent_ms", count_ms(context.health.check.silent_for(now())));
+    body.emplace_back("state_silent_ms", count_ms(context.health.check.store_silence(now())));
     body.emplace_back("health", health::name_of(context.health.check.assess(now())));
   }
   for (const auto& [kind, name] :
--- a/src/node/peer_prober.cpp
+++ b/src/node/peer_prober.cpp
@@ -19,7 +19,7 @@
     word = state::to_value(state::TermRecord{.term = context.cluster_view.term, .leader = context.cluster_view.leader});
   }
   const std::lock_guard lock(context.health.mutex);
-  health::write_contact(*word.as_map(), context.health.check.contact(now()));
+  health::write_contact(*word.as_map(), context.health.check.store_contact(now()));
   return {.status = 200, .body = wire::encode(word), .retry_after_s = {}};
 }
 
@@ -37,7 +37,7 @@
                                           net::Clock::now() + constants::kPeerCallTimeout);
   if (!answer || answer->status != 200) return;
   state::TermRecord word;
-  std::optional<health::StateContact> contact;
+  std::optional<health::StoreContact> contact;
   try {
     const wire::Value body = wire::decode(answer->body);
     word = state::term_from(body);
@@ -48,7 +48,7 @@
   }
   {
     const std::lock_guard lock(context_.health.mutex);
-    context_.health.check.on_contact(sibling.name, contact, asked);
+    context_.health.check.on_peer_contact(sibling.name, contact, asked);
   }
   if (word.leader.empty() || !context_.observe_leader(word.leader, word.term)) return;
   const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -60,15 +60,15 @@
   {
     const std::lock_guard lock(context_.health.mutex);
     verdict = context_.health.check.assess(now());
-    silent = context_.health.check.silent_for(now());
+    silent = context_.health.check.store_silence(now());
   }
   if (const auto before = verdict_.exchange(verdict); before != verdict) {
-    const bool out = !health::healthy(verdict);
+    const bool out = !health::is_healthy(verdict);
     spdlog::log(out ? spdlog::level::warn : spdlog::level::info,
                 "health_changed up={} health={} was={} state_silent_ms={}", out ? "no" : "yes",
                 health::name_of(verdict), health::name_of(before), silent.count());
   }
-  if (!health::healthy(verdict)) return retry_later("this node can't reach the state service");
+  if (!health::is_healthy(verdict)) return retry_later("this node can't reach the state service");
   return {.status = 200, .body = {}, .retry_after_s = {}};
 }
 
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -11,56 +11,58 @@
 using wire::Value;
 
 constexpr Instant kStart{1h};
-const NodeName kFirst("node-1");
-const NodeName kSecond("node-2");
+const NodeName kFirstPeer("node-1");
+const NodeName kSecondPeer("node-2");
 
 TEST(HealthCheck, AFreshProcessIsHealthyAtOnce) {
   const HealthCheck fresh(kStart, 2);
   EXPECT_EQ(fresh.assess(kStart), Verdict::served);
-  EXPECT_EQ(fresh.contact(kStart + 2s), (StateContact{.silent = 2s, .steady = 0s}));
+  EXPECT_EQ(fresh.store_contact(kStart + 2s), (StoreContact{.silent = 2s, .steady = 0s}));
 }
 
 TEST(HealthCheck, AnOutageThatSiblingsShareTakesNobodyOut) {
   HealthCheck node(kStart, 2);
-  node.on_state(kStart + 10s);
+  node.on_store_response(kStart + 10s);
   for (auto at = kStart + 13s; at < kStart + 300s; at += 1s) {
-    node.on_contact(kFirst, StateContact{.silent = at - kStart - 11s, .steady = 11s}, at);  // heard it a second longer
-    EXPECT_TRUE(healthy(node.assess(at))) << (at - kStart).count();
+    node.on_peer_contact(kFirstPeer, StoreContact{.silent = at - kStart - 11s, .steady = 11s},
+                         at);  // heard it a second longer
+    EXPECT_TRUE(is_healthy(node.assess(at))) << (at - kStart).count();
     EXPECT_EQ(node.assess(at), at < kStart + 16s ? Verdict::served : Verdict::shared);
   }
   // The sibling is the first to notice that it is over, or has only just started.
-  node.on_contact(kFirst, StateContact{.silent = 0s, .steady = 0s}, kStart + 300s);
+  node.on_peer_contact(kFirstPeer, StoreContact{.silent = 0s, .steady = 0s}, kStart + 300s);
   EXPECT_EQ(node.assess(kStart + 300s), Verdict::shared);
-  node.on_contact(kFirst, StateContact{.silent = 0s, .steady = constants::kPeerServedInterval - 1ms}, kStart + 303s);
+  node.on_peer_contact(kFirstPeer, StoreContact{.silent = 0s, .steady = constants::kPeerServedInterval - 1ms},
+                       kStart + 303s);
   EXPECT_EQ(node.assess(kStart + 303s), Verdict::shared);
-  node.on_state(kStart + 304s);
+  node.on_store_response(kStart + 304s);
   EXPECT_EQ(node.assess(kStart + 304s), Verdict::served);
 }
 
 TEST(HealthCheck, OneThatIsAloneWithItIsOut) {
   HealthCheck node(kStart, 2);
-  node.on_state(kStart + 10s);
-  node.on_contact(kSecond, StateContact{.silent = 1s, .steady = 10s}, kStart + 15s);
+  node.on_store_response(kStart + 10s);
+  node.on_peer_contact(kSecondPeer, StoreContact{.silent = 1s, .steady = 10s}, kStart + 15s);
   EXPECT_EQ(node.assess(kStart + 15s), Verdict::served);
-  node.on_contact(kFirst, StateContact{.silent = 6s, .steady = 10s}, kStart + 16s);  // another shares its fate
+  node.on_peer_contact(kFirstPeer, StoreContact{.silent = 6s, .steady = 10s}, kStart + 16s);  // another shares its fate
   EXPECT_EQ(node.assess(kStart + 16s), Verdict::alone);
-  EXPECT_FALSE(healthy(node.assess(kStart + 16s)));
+  EXPECT_FALSE(is_healthy(node.assess(kStart + 16s)));
   // What was said grows old: the sibling may have lost the service since.
   EXPECT_EQ(node.assess(kStart + 17s), Verdict::shared);
-  node.on_contact(kSecond, StateContact{.silent = 1s, .steady = 12s}, kStart + 17s);
+  node.on_peer_contact(kSecondPeer, StoreContact{.silent = 1s, .steady = 12s}, kStart + 17s);
   EXPECT_EQ(node.assess(kStart + 17s), Verdict::alone);
-  node.on_state(kStart + 18s);
+  node.on_store_response(kStart + 18s);
   EXPECT_EQ(node.assess(kStart + 18s), Verdict::served);
 }
 
 TEST(HealthCheck, WithoutWordOfSiblingsItStaysForAWhile) {
   HealthCheck node(kStart, 2);
-  node.on_contact(kFirst, std::nullopt, kStart + 6s);  // an older program
+  node.on_peer_contact(kFirstPeer, std::nullopt, kStart + 6s);  // an older program
   EXPECT_EQ(node.assess(kStart + 6s), Verdict::unheard);
-  EXPECT_TRUE(healthy(node.assess(kStart + constants::kIsolationTimeout - 1ms)));
+  EXPECT_TRUE(is_healthy(node.assess(kStart + constants::kIsolationTimeout - 1ms)));
   EXPECT_EQ(node.assess(kStart + constants::kIsolationTimeout), Verdict::cut_off);
-  EXPECT_FALSE(healthy(node.assess(kStart + constants::kIsolationTimeout)));
-  node.on_contact(kFirst, StateContact{.silent = 40s, .steady = 0s}, kStart + 40s);
+  EXPECT_FALSE(is_healthy(node.assess(kStart + constants::kIsolationTimeout)));
+  node.on_peer_contact(kFirstPeer, StoreContact{.silent = 40s, .steady = 0s}, kStart + 40s);
   EXPECT_EQ(node.assess(kStart + 40s), Verdict::shared);
   EXPECT_EQ(node.assess(kStart + 40s + constants::kPeerStatusTtl), Verdict::cut_off);
   // With no other node to go to, being out helps nobody.
@@ -69,17 +71,17 @@
 
 TEST(HealthCheck, ABreakBeginsTheSteadyTimeAnew) {
   HealthCheck node(kStart, 2);
-  for (auto at = kStart; at <= kStart + 10s; at += 2s) node.on_state(at);
-  EXPECT_EQ(node.contact(kStart + 11s), (StateContact{.silent = 1s, .steady = 10s}));
-  node.on_state(kStart + 10s + constants::kPeerSilenceTimeout);
-  EXPECT_EQ(node.contact(kStart + 14s), (StateContact{.silent = 1s, .steady = 0s}));
+  for (auto at = kStart; at <= kStart + 10s; at += 2s) node.on_store_response(at);
+  EXPECT_EQ(node.store_contact(kStart + 11s), (StoreContact{.silent = 1s, .steady = 10s}));
+  node.on_store_response(kStart + 10s + constants::kPeerSilenceTimeout);
+  EXPECT_EQ(node.store_contact(kStart + 14s), (StoreContact{.silent = 1s, .steady = 0s}));
 }
 
 TEST(HealthCheck, WordsAreToldBesideOtherThings) {
   Value::Map map{{"term", 4}};
   EXPECT_EQ(contact_from(map), std::nullopt);
   write_contact(map, {.silent = 1500ms, .steady = 20s});
-  EXPECT_EQ(contact_from(map), (StateContact{.silent = 1500ms, .steady = 20s}));
+  EXPECT_EQ(contact_from(map), (StoreContact{.silent = 1500ms, .steady = 20s}));
   EXPECT_THROW((void)contact_from(Value::Map{{"state_silent_ms", "long"}}), wire::Malformed);
   EXPECT_THROW((void)contact_from(Value::Map{{"state_silent_ms", 5}}), wire::Malformed);
   const Value huge = Value::Map{{"state_silent_ms", UINT64_MAX}, {"state_steady_ms", UINT64_MAX}};
