--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -25,9 +25,9 @@
   }
   plan::Items there = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster.usable(machine, now)))
+    if (machine.plan_node == nullptr || (machine.state != MachineState::booting && !cluster.usable(machine, now)))
       continue;
-    there += machine.planned->info.capacity.of[1];
+    there += machine.plan_node->info.capacity.of[1];
   }
   demand_.learn_gpus(wanted, there, now);
 }
@@ -46,13 +46,13 @@
   for (const auto& [id, machine] : cluster.machines) {
     if (machine.state != MachineState::booting && !cluster.usable(machine, now)) continue;
     const wire::MachineType* kind = cluster.type(machine.type);
-    if (kind == nullptr || machine.planned == nullptr ||
+    if (kind == nullptr || machine.plan_node == nullptr ||
         !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
     if (each.count_in(pricing(cluster).offered(spec, *kind)) <= 0) continue;
     if (!cluster.pools.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
     const Instant from = std::max(now, machine.ready);
-    const std::int64_t fit = each.count_in(machine.planned->use.free(from, from + constants::kStartTimeout));
+    const std::int64_t fit = each.count_in(machine.plan_node->use.free(from, from + constants::kStartTimeout));
     if (fit <= 0) continue;
     const double hourly = hourly_price(*kind, machine.spot);
     found.push_back({.price = hourly / static_cast<double>(fit), .machine = id, .fit = fit});
@@ -125,7 +125,7 @@
 void Autoscaler::size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue,
                             const DeadlinePlanner& deadlines, Instant now) {
   spare_machines_.clear();
-  const CloudCapacityTracker::Held have = cluster.machines.held();
+  const CloudCapacityTracker::Held have = cluster.machines.count_by_kind();
   const TaskPricing prices = pricing(cluster);
   const CloudOffers offers(cluster, prices, capacity_, have, now);
   MachineShares shares;
@@ -138,7 +138,7 @@
 
 std::optional<wire::ScaleOutRequest> Autoscaler::next_scale_out(const ClusterState& cluster, Term term, Instant now) {
   if (!cluster.settings.operators.can_scale_out) return std::nullopt;
-  if (const auto& request = capacity_.next(term, cluster.machines.held(), now)) return request;
+  if (const auto& request = capacity_.next(term, cluster.machines.count_by_kind(), now)) return request;
   // Pools come after live work.
   capacity_.ask(cluster.pools.next_request());
   return capacity_.next(term, {}, now);
@@ -178,7 +178,7 @@
 
 void Autoscaler::note_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
   const CloudCapacityTracker::Kind kind{request.type, request.zone, request.spot};
-  const std::size_t held_now = cluster.machines.held()[kind];
+  const std::size_t held_now = cluster.machines.count_by_kind()[kind];
   const Millis pause = capacity_.refused(kind, held_now, now);
   spdlog::info("no more {} in {}{} to rent, {} are held; asked again after {:.0f} s", request.type, request.zone,
                request.spot ? ", spot" : "", held_now, to_seconds(pause));
--- a/src/control/cloud_capacity_tracker.h
+++ b/src/control/cloud_capacity_tracker.h
@@ -14,7 +14,7 @@
 
 class CloudCapacityTracker {
  public:
-  using Kind = inventory::Kind;
+  using Kind = inventory::MachineKind;
   using Held = std::map<Kind, std::size_t>;      // machines of each kind that there are
   using Wanted = std::map<Kind, std::uint64_t>;  // machines more
 
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -13,7 +13,7 @@
 // Up to when the holder of a delegation may renew the machine's lease. A machine that only another controller's word places in
 // a zone may stand in any: all delegations count.
 Instant delegated_until(const zone::DelegationTable& delegations, const Machine& machine) {
-  const std::string zone = guards::kept(guards::Guard::lease_zone_seen) ? machine.seen_zone() : machine.zone;
+  const std::string zone = guards::kept(guards::Guard::lease_zone_seen) ? machine.confirmed_zone() : machine.zone;
   return delegations.renewed_until(zone, machine.id);
 }
 
@@ -21,17 +21,17 @@
 
 ClusterState::ClusterState(config::Settings made_from)
     : settings(std::move(made_from)),
-      machines({.lease = lease_span(settings), .silence = silence_span(settings), .detour = detour_span(settings)}) {}
+      machines({.lease = lease_span(settings), .silence = silence_span(settings), .reroute = detour_span(settings)}) {}
 
 void ClusterState::rebind_planned_nodes() {
   for (auto& [id, machine] : machines) {
-    if (machine.planned != nullptr) machine.planned = planner.node(id);
+    if (machine.plan_node != nullptr) machine.plan_node = planner.node(id);
   }
 }
 
 Machine& ClusterState::know_machine(const MachineId& id, Instant now) {
-  const inventory::MachineInventory::Known known = machines.know(id, now);
-  if (known.fresh) know_cache(known.machine);
+  const inventory::MachineInventory::FindOrAddResult known = machines.find_or_add(id, now);
+  if (known.is_new) know_cache(known.machine);
   return known.machine;
 }
 
@@ -48,7 +48,7 @@
 }
 
 void ClusterState::refresh_plan_machine(Machine& machine) {
-  if (machine.planned != nullptr && machine.planned->info.ready == machine.ready) return;
+  if (machine.plan_node != nullptr && machine.plan_node->info.ready == machine.ready) return;
   const wire::MachineType* kind = type(machine.type);
   if (kind == nullptr) return;
   planner.set_machine({.id = machine.id,
@@ -57,19 +57,19 @@
                        .spot = machine.spot,
                        .capacity = Amounts::from(kind->cpus, kind->gpus, kind->ram_gb),
                        .ready = machine.ready});
-  machine.planned = planner.node(machine.id);
+  machine.plan_node = planner.node(machine.id);
   plan_wanted = true;
 }
 
 void ClusterState::forget_machine(const MachineId& id) {
-  if (!machines.forget(id)) return;
+  if (!machines.remove(id)) return;
   pools.forget(id);
   planner.remove_machine(id);
   plan_wanted = true;
 }
 
 bool ClusterState::usable(const Machine& machine, Instant now) const {
-  return machines.usable(machine, now) && settings.in_service(machine.zone) && zones.takes_work(machine.zone);
+  return machines.can_accept_tasks(machine, now) && settings.in_service(machine.zone) && zones.takes_work(machine.zone);
 }
 
 Instant ClusterState::lease_end(const Machine& machine) const {
@@ -101,7 +101,7 @@
 }
 
 bool has_bookings(const Machine& machine) {
-  return machine.planned != nullptr && !machine.planned->use.of(0).slots().empty();
+  return machine.plan_node != nullptr && !machine.plan_node->use.of(0).slots().empty();
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -14,8 +14,8 @@
 // Whether no agent reaches this node, and no other controller passes heartbeats on: the agents' leases end soon, whoever leads,
 // and another node may hear them. Only while the state service answers, without which nobody could take the lead.
 bool is_unreachable(const ClusterState& cluster, const Leadership& leadership, Instant now) {
-  return cluster.machines.unheard(now) >= constants::kMinUnreachableMachines && cluster.settings.nodes > 1 &&
-         leadership.can_start(now);
+  return cluster.machines.count_if_all_unheard(now) >= constants::kMinUnreachableMachines &&
+         cluster.settings.nodes > 1 && leadership.can_start(now);
 }
 
 }  // namespace
@@ -32,16 +32,16 @@
 void Controller::on_machine_list(const std::vector<wire::ListedMachine>& listed, Instant now) {
   if (!leadership_.is_leader()) return;
   for (const wire::ListedMachine& entry : listed) {
-    const auto known = cluster_.machines.list(entry, cluster_.boot_time(entry.type), now);
+    const auto known = cluster_.machines.apply_listing(entry, cluster_.boot_time(entry.type), now);
     if (!known) continue;  // an old list
     Machine& machine = known->machine;
-    if (known->fresh) cluster_.know_cache(machine);
+    if (known->is_new) cluster_.know_cache(machine);
     if (!machine.has_reported) cluster_.refresh_plan_machine(machine);
     if (entry.state == wire::ListedState::failed && machine.state != MachineState::returning) {
       spdlog::info("machine {} has failed", entry.id.text());
       machine.listed.failed = true;
       machine.state = MachineState::returning;
-      machine.why = "it has failed";
+      machine.release_reason = "it has failed";
     }
   }
 }
@@ -71,7 +71,7 @@
   for (const MachineId& id : names) {
     const auto entry = cluster_.machines.find(id);
     if (entry == cluster_.machines.end()) continue;
-    spdlog::info("machine {} is returned: {}", id.text(), entry->second.why);
+    spdlog::info("machine {} is returned: {}", id.text(), entry->second.release_reason);
     cluster_.machines.on_scaled_in(id);
     const std::set<TaskKey> runs = entry->second.allocations.copy();
     for (const TaskKey& key : runs) tasks().lose_task(key, "its machine was returned", now);
--- a/src/control/controller_pools.cpp
+++ b/src/control/controller_pools.cpp
@@ -39,7 +39,7 @@
     seen.machines.push_back(std::move(observation));
   }
   for (const auto& [id, unused] : cluster_.pools.members()) {
-    if (cluster_.machines.gone(id)) seen.gone.insert(id);
+    if (cluster_.machines.is_returned(id)) seen.gone.insert(id);
   }
   return seen;
 }
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -144,7 +144,7 @@
                                                                                  Instant now) const {
   std::map<JobId, foresight::DeadlineForecast> deadline_forecasts;
   if (due_jobs_.empty() || view.cluster.types.empty()) return deadline_forecasts;
-  const CloudCapacityTracker::Held have = view.cluster.machines.held();
+  const CloudCapacityTracker::Held have = view.cluster.machines.count_by_kind();
   for (const auto& [id, due] : due_jobs_) {
     const auto entry = view.cluster.jobs.find(id);
     if (entry == view.cluster.jobs.end()) continue;
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -44,7 +44,7 @@
 
 // Apart from its type and from what runs there.
 bool MachineFilter::may_plan_on(const Job& job, const Machine& machine, Instant now) const {
-  if (machine.planned == nullptr || (machine.spot && !job.spec.spot)) return false;
+  if (machine.plan_node == nullptr || (machine.spot && !job.spec.spot)) return false;
   const bool available =
       machine.state == MachineState::booting ? cluster_.counted_on(machine.zone) : cluster_.usable(machine, now);
   return available && (job.spec.zone.empty() || job.spec.zone == machine.zone);
@@ -61,7 +61,7 @@
     (other.spec.gpus <= 0 ? plain : gpu_work) += other.each;
   }
   if (plain.fits(offered)) return true;
-  const plan::Items gpus = machine.planned->info.capacity.of[1];
+  const plan::Items gpus = machine.plan_node->info.capacity.of[1];
   if (gpu_work.of[1] > 0 || spare_gpus < gpus) return false;
   spare_gpus -= gpus;
   return true;
@@ -94,7 +94,7 @@
     }
     if (!fit->allowed || job.failed_on.contains(id) || !do_pools_allow(job, warms, machine, now)) continue;
     if (fit->guards_gpus && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
-    places.push_back({.node = machine.planned, .before = preparation_time(job, machine, fit->fetch, now)});
+    places.push_back({.node = machine.plan_node, .before = preparation_time(job, machine, fit->fetch, now)});
   }
   return places;
 }
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -27,7 +27,7 @@
   const bool awaited = is_zone_awaited(machine, now);
   if (machine.state == MachineState::booting && is_boot_lost(machine, now) && !awaited) {
     machine.state = MachineState::returning;
-    machine.why = "it did not come up";
+    machine.release_reason = "it did not come up";
     return Verdict::returning;
   }
   if (machine.state == MachineState::draining) {
@@ -37,7 +37,7 @@
   // Dead machines stay listed for a while.
   if (machine.expired && !awaited && now - machine.last_heartbeat > lease_span(cluster_.settings) * 2) {
     machine.state = MachineState::returning;
-    if (machine.why.empty()) machine.why = "it is silent";
+    if (machine.release_reason.empty()) machine.release_reason = "it is silent";
     return Verdict::returning;
   }
   return has_vanished(machine, now) ? Verdict::vanished : Verdict::stays;
@@ -74,8 +74,8 @@
   // lost boots. They have the time in which an agent finds its leader.
   const Millis boot = cluster_.boot_time(machine.type);
   const Millis lease = lease_span(cluster_.settings);
-  const Millis known = now - machine.known;
-  if (machine.listed.running || machine.hinted == inventory::Hinted::up) return known > lease * 2 + boot;
+  const Millis known = now - machine.first_seen;
+  if (machine.listed.running || machine.peer_hint == inventory::PeerHint::up) return known > lease * 2 + boot;
   const bool type_known = cluster_.type(machine.type) != nullptr;
   return type_known && known > lease && now - machine.since > boot * constants::kBootLostFactor;
 }
@@ -84,7 +84,7 @@
   // One that is neither heard nor listed no longer exists. The same of one that only a standby's word tells of: it may have
   // been returned since.
   const Millis unlisted = from_seconds(cluster_.settings.cloud_list_delay_s * 3) + constants::kCloudListInterval * 4;
-  const bool hearsay = machine.type.empty() || machine.hinted != inventory::Hinted::no;
+  const bool hearsay = machine.type.empty() || machine.peer_hint != inventory::PeerHint::none;
   return !machine.has_reported && hearsay && now - machine.listed.last > unlisted;
 }
 
@@ -99,7 +99,7 @@
     machine.idle_since = now;
   } else if (can_scale_in(machine, now - *machine.idle_since, now)) {
     machine.state = MachineState::returning;
-    machine.why = "it is idle";
+    machine.release_reason = "it is idle";
   }
 }
 
@@ -113,7 +113,7 @@
   // One that a waiting task is booked on is not idle.
   if (!machine.allocations.empty() || has_bookings(machine) || machine.state != MachineState::up) return false;
   // A silent one of a zone that is waited for is wanted when it is back, most likely.
-  return !(is_zone_awaited(machine, now) && cluster_.machines.silent(machine, now));
+  return !(is_zone_awaited(machine, now) && cluster_.machines.is_silent(machine, now));
 }
 
 }  // namespace foxshunt::control
--- a/src/control/placement_rules.cpp
+++ b/src/control/placement_rules.cpp
@@ -32,7 +32,7 @@
     for (const auto& [unused, allocation] : shard.allocations) {
       const auto other = cluster.machines.find(allocation.machine);
       // Where a machine that nobody has heard of stands is not known.
-      const std::string stands_in = other == cluster.machines.end() ? std::string() : other->second.seen_zone();
+      const std::string stands_in = other == cluster.machines.end() ? std::string() : other->second.confirmed_zone();
       if (stands_in.empty() && guards::kept(guards::Guard::place_known)) return false;
       if (stands_in == machine.zone) {
         ++same;
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -45,7 +45,7 @@
 }  // namespace
 
 std::vector<Command> Reconciler::on_heartbeat(const wire::Heartbeat& heartbeat, Instant now) {
-  if (!cluster_.machines.news(heartbeat)) return {};
+  if (!cluster_.machines.should_accept(heartbeat)) return {};
   Exchange exchange{.heartbeat = heartbeat, .machine = learn_machine(heartbeat, now), .now = now};
   lose_tasks_of_earlier_incarnations(exchange);
   take_statuses(exchange);
@@ -64,7 +64,7 @@
 
 Machine& Reconciler::learn_machine(const wire::Heartbeat& heartbeat, Instant now) {
   Machine& machine = cluster_.know_machine(heartbeat.machine, now);
-  if (cluster_.machines.hear(machine, heartbeat, leadership_.term(), now)) cluster_.plan_wanted = true;
+  if (cluster_.machines.apply_heartbeat(machine, heartbeat, leadership_.term(), now)) cluster_.plan_wanted = true;
   cluster_.refresh_plan_machine(machine);
   return machine;
 }
@@ -220,7 +220,7 @@
   }
   // The agent had seen our term when it made this heartbeat, and this heartbeat is newer than any that was answered with the
   // start command: what is not in it does not run and will not.
-  const bool saw_term = exchange.machine.saw_term || !kept(Guard::absent_saw_term);
+  const bool saw_term = exchange.machine.has_seen_term || !kept(Guard::absent_saw_term);
   std::vector<Command> starts;
   for (const TaskKey& key : absent) {
     Allocation& allocation = *cluster_.jobs.find_allocation(key);
@@ -252,7 +252,7 @@
   if (entry == cluster_.machines.end()) return commands;
   const Machine& machine = entry->second;
   // A newer heartbeat has been taken meanwhile: this one teaches nothing any more.
-  if (!cluster_.machines.newest(heartbeat)) return commands;
+  if (!cluster_.machines.is_latest(heartbeat)) return commands;
   std::set<TaskKey> present;
   for (const wire::TaskStatus& status : heartbeat.tasks) {
     present.insert(status.task);
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -62,7 +62,7 @@
     const bool there = machine.state == MachineState::booting || machine.state == MachineState::up;
     if (!there || machine.type.empty() || machine.listed.failed || machine.expired) continue;
     const bool up =
-        machine.state == MachineState::up || machine.hinted == inventory::Hinted::up || machine.listed.running;
+        machine.state == MachineState::up || machine.peer_hint == inventory::PeerHint::up || machine.listed.running;
     add(entries, Kind::machine, id.text(), 0,
         standby::Shared(standby::Machine{.address = machine.address,
                                          .type = machine.type,
@@ -191,19 +191,20 @@
 
 void SoftState::apply_machine(const std::string& name, const standby::Machine& told, Instant now) {
   const MachineId id(name);
-  if (id.empty() || told.type.empty() || cluster_.machines.gone(id)) return;
+  if (id.empty() || told.type.empty() || cluster_.machines.is_returned(id)) return;
   Machine& machine = cluster_.know_machine(id, now);
   // What reports don't tell. A wrong guess costs a fetch.
   machine.images.insert(told.images.begin(), told.images.end());
   machine.errors = std::max(machine.errors,
                             static_cast<int>(std::min<std::uint64_t>(told.errors, constants::kMaxMachineErrors - 1)));
-  if (machine.has_reported || machine.state != MachineState::booting || machine.hinted != inventory::Hinted::no) return;
+  if (machine.has_reported || machine.state != MachineState::booting || machine.peer_hint != inventory::PeerHint::none)
+    return;
   expect_machine(machine, told, now);
 }
 
 void SoftState::expect_machine(Machine& machine, const standby::Machine& told, Instant now) {
   if (machine.type.empty()) {  // not listed yet
-    machine.hinted = told.up ? inventory::Hinted::up : inventory::Hinted::boots;
+    machine.peer_hint = told.up ? inventory::PeerHint::up : inventory::PeerHint::booting;
     machine.address = told.address;
     machine.type = told.type;
     machine.zone = told.zone;
--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -64,7 +64,7 @@
   if (machine.state == MachineState::draining || machine.state == MachineState::returning) return;
   spdlog::info("machine {} is drained: {}", machine.id.text(), why);
   machine.state = MachineState::draining;
-  machine.why = why;
+  machine.release_reason = why;
   const std::set<TaskKey> runs = machine.allocations.copy();
   for (const TaskKey& key : runs) {
     Job& job = cluster_.jobs.at(key.job);
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -31,9 +31,9 @@
 std::vector<MachineId> ZoneCoordinator::delegation_exceptions(const std::string& zone, Instant now) const {
   std::vector<MachineId> except;
   for (const auto& [id, machine] : cluster_.machines) {
-    const std::string stands_in = machine.seen_zone();
+    const std::string stands_in = machine.confirmed_zone();
     if (!stands_in.empty() && stands_in != zone) continue;
-    if (must_stop_tasks(machine) || (cluster_.machines.silent(machine, now) &&
+    if (must_stop_tasks(machine) || (cluster_.machines.is_silent(machine, now) &&
                                      !cluster_.delegations.used_within(zone, id, silence_span(cluster_.settings), now)))
       except.push_back(id);
   }
@@ -69,12 +69,12 @@
   for (const auto& [unused, machine] : cluster_.machines) {
     if (machine.zone.empty() || machine.state == MachineState::returning || machine.listed.failed) continue;
     zone::ZoneObservation& zone = seen[machine.zone];
-    if (machine.has_reported && !machine.expired && !cluster_.machines.silent(machine, now)) {
+    if (machine.has_reported && !machine.expired && !cluster_.machines.is_silent(machine, now)) {
       ++zone.heard;
     } else if (machine.expired) {
       ++zone.ended;
-    } else if (machine.has_reported ||
-               ((machine.listed.running || !machine.allocations.empty()) && cluster_.machines.silent(machine, now))) {
+    } else if (machine.has_reported || ((machine.listed.running || !machine.allocations.empty()) &&
+                                        cluster_.machines.is_silent(machine, now))) {
       ++zone.silent;
       zone.tasks += machine.allocations.size();
     }
--- a/src/inventory/machine_inventory.cpp
+++ b/src/inventory/machine_inventory.cpp
@@ -12,41 +12,41 @@
 using guards::Guard;
 using guards::kept;
 
-MachineInventory::Known MachineInventory::know(const MachineId& id, Instant now) {
-  const auto [entry, fresh] = machines_.try_emplace(id);
+MachineInventory::FindOrAddResult MachineInventory::find_or_add(const MachineId& id, Instant now) {
+  const auto [entry, is_new] = machines_.try_emplace(id);
   Machine& machine = entry->second;
-  if (fresh) {
+  if (is_new) {
     machine.id = id;
     machine.since = now;
-    machine.known = now;
+    machine.first_seen = now;
     machine.ready = now;
     machine.listed.last = now;
   }
-  return {.machine = machine, .fresh = fresh};
+  return {.machine = machine, .is_new = is_new};
 }
 
-bool MachineInventory::news(const wire::Heartbeat& heartbeat) const {
-  if (gone_.contains(heartbeat.machine) && kept(Guard::report_returned)) return false;
+bool MachineInventory::should_accept(const wire::Heartbeat& heartbeat) const {
+  if (returned_ids_.contains(heartbeat.machine) && kept(Guard::report_returned)) return false;
   const auto known = machines_.find(heartbeat.machine);
   if (known == machines_.end() || !known->second.has_reported || !kept(Guard::report_order)) return true;
   return std::tie(heartbeat.incarnation, heartbeat.sequence) >
          std::tie(known->second.incarnation, known->second.sequence);
 }
 
-bool MachineInventory::newest(const wire::Heartbeat& heartbeat) const {
+bool MachineInventory::is_latest(const wire::Heartbeat& heartbeat) const {
   const auto known = machines_.find(heartbeat.machine);
   return known != machines_.end() && std::tie(heartbeat.incarnation, heartbeat.sequence) ==
                                          std::tie(known->second.incarnation, known->second.sequence);
 }
 
-bool MachineInventory::hear(Machine& machine, const wire::Heartbeat& heartbeat, Term term, Instant now) {
-  const bool booted = machine.state == MachineState::booting;
-  if (!machine.has_reported || booted || machine.type.empty()) {
+bool MachineInventory::apply_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, Term term, Instant now) {
+  const bool was_booting = machine.state == MachineState::booting;
+  if (!machine.has_reported || was_booting || machine.type.empty()) {
     machine.address = heartbeat.address;
     machine.type = heartbeat.type;
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
-    if (booted) {
+    if (was_booting) {
       machine.state = MachineState::up;
       spdlog::info("machine_up machine={} type={} zone={} spot={} boot_s={:.1f}", machine.id.text(), machine.type,
                    machine.zone, machine.spot, std::chrono::duration<double>(now - machine.since).count());
@@ -54,30 +54,30 @@
     machine.ready = now;
   }
   machine.has_reported = true;
-  machine.hinted = Hinted::no;
+  machine.peer_hint = PeerHint::none;
   machine.incarnation = heartbeat.incarnation;
   machine.sequence = heartbeat.sequence;
   machine.last_heartbeat = now;
-  machine.saw_term = heartbeat.term == term;
+  machine.has_seen_term = heartbeat.term == term;
   machine.expired = false;
-  return booted;
+  return was_booting;
 }
 
-std::optional<MachineInventory::Known> MachineInventory::list(const wire::ListedMachine& entry, Millis boot,
-                                                              Instant now) {
-  if (gone_.contains(entry.id)) return std::nullopt;
-  const Known known = know(entry.id, now);
+std::optional<MachineInventory::FindOrAddResult> MachineInventory::apply_listing(const wire::ListedMachine& entry,
+                                                                                 Millis boot, Instant now) {
+  if (returned_ids_.contains(entry.id)) return std::nullopt;
+  const FindOrAddResult known = find_or_add(entry.id, now);
   Machine& machine = known.machine;
   machine.listed.running = entry.state == wire::ListedState::running;
   machine.listed.last = now;
-  if (machine.type.empty() || machine.hinted != Hinted::no) {
-    machine.hinted = Hinted::no;
+  if (machine.type.empty() || machine.peer_hint != PeerHint::none) {
+    machine.peer_hint = PeerHint::none;
     machine.type = entry.type;
     machine.zone = entry.zone;
     machine.spot = entry.spot;
   }
   if (machine.address.empty()) machine.address = entry.address;
-  if (known.fresh) {
+  if (known.is_new) {
     machine.since = now - std::chrono::ceil<Millis>(std::chrono::duration<double>(entry.age_s));
     machine.ready = std::max(now, machine.since + boot);
     spdlog::info("machine_listed machine={} type={} zone={} spot={}", entry.id.text(), entry.type, entry.zone,
@@ -86,7 +86,7 @@
   return known;
 }
 
-bool MachineInventory::forget(const MachineId& id) {
+bool MachineInventory::remove(const MachineId& id) {
   const auto known = machines_.find(id);
   if (known == machines_.end()) return true;
   // Unproved is never gone: what may run there has to find its machine.
@@ -98,16 +98,16 @@
   return true;
 }
 
-bool MachineInventory::silent(const Machine& machine, Instant now) const {
-  if (machine.has_reported) return now - machine.last_heartbeat >= spans_.silence;
+bool MachineInventory::is_silent(const Machine& machine, Instant now) const {
+  if (machine.has_reported) return now - machine.last_heartbeat >= timeouts_.silence;
   // Its worker has had the time to find this leader.
-  return now - machine.known > spans_.detour;
+  return now - machine.first_seen > timeouts_.reroute;
 }
 
-bool MachineInventory::usable(const Machine& machine, Instant now) const {
+bool MachineInventory::can_accept_tasks(const Machine& machine, Instant now) const {
   return machine.state == MachineState::up && machine.has_reported &&
          (!machine.has_unknown_tasks || !kept(Guard::stranger_unusable)) &&
-         (!machine.expired || !kept(Guard::expired_unusable)) && !silent(machine, now);
+         (!machine.expired || !kept(Guard::expired_unusable)) && !is_silent(machine, now);
 }
 
 Instant MachineInventory::lease_end(const Machine& machine, Instant older_leaders_until,
@@ -115,34 +115,34 @@
   // Whoever may answer the worker may renew its lease: this leader only, once the worker has seen its term;
   // before that also an older leader, until its fence.
   Instant renewed = machine.has_reported && kept(Guard::lease_last_report) ? machine.last_heartbeat : Instant{};
-  if (!machine.saw_term && kept(Guard::lease_older_leaders)) renewed = std::max(renewed, older_leaders_until);
+  if (!machine.has_seen_term && kept(Guard::lease_older_leaders)) renewed = std::max(renewed, older_leaders_until);
   // And in this term whoever holds a grant for its zone.
   if (kept(Guard::lease_grants)) renewed = std::max(renewed, delegated_until);
-  return renewed + spans_.lease;
+  return renewed + timeouts_.lease;
 }
 
 bool MachineInventory::is_lease_expired(const Machine& machine, Instant older_leaders_until, Instant delegated_until,
                                         Instant now) const {
-  return (!machine.has_reported || now > machine.last_heartbeat + spans_.lease || !kept(Guard::lease_last_report)) &&
+  return (!machine.has_reported || now > machine.last_heartbeat + timeouts_.lease || !kept(Guard::lease_last_report)) &&
          now > lease_end(machine, older_leaders_until, delegated_until);
 }
 
-std::size_t MachineInventory::unheard(Instant now) const {
-  std::size_t silent = 0;
+std::size_t MachineInventory::count_if_all_unheard(Instant now) const {
+  std::size_t unheard = 0;
   for (const auto& [unused, machine] : machines_) {
     if (!machine.has_reported || machine.expired) continue;
-    if (now - machine.last_heartbeat <= spans_.detour) return 0;
-    ++silent;
+    if (now - machine.last_heartbeat <= timeouts_.reroute) return 0;
+    ++unheard;
   }
-  return silent;
+  return unheard;
 }
 
-std::map<Kind, std::size_t> MachineInventory::held() const {
-  std::map<Kind, std::size_t> count;
+std::map<MachineKind, std::size_t> MachineInventory::count_by_kind() const {
+  std::map<MachineKind, std::size_t> counts;
   for (const auto& [unused, machine] : machines_) {
-    if (!machine.listed.failed) ++count[{machine.type, machine.zone, machine.spot}];
+    if (!machine.listed.failed) ++counts[{machine.type, machine.zone, machine.spot}];
   }
-  return count;
+  return counts;
 }
 
 }  // namespace foxshunt::inventory
--- a/src/inventory/machine_inventory.h
+++ b/src/inventory/machine_inventory.h
@@ -26,7 +26,7 @@
 enum class MachineState : std::uint8_t { booting, up, draining, returning };
 
 // What only a sibling's word says of a machine that has not reported to this leader: plans may count on it, no more.
-enum class Hinted : std::uint8_t { no, boots, up };
+enum class PeerHint : std::uint8_t { none, booting, up };
 
 // The tasks that are placed on a machine and not proved gone. Only the job table changes it, together with the runs
 // themselves, so that the two can't part.
@@ -49,7 +49,7 @@
 };
 
 // What the cloud's lists say of a machine.
-struct Listing {
+struct CloudListing {
   bool running = false;  // the newest list says that it has booted
   bool failed = false;
   Instant last;
@@ -65,8 +65,8 @@
   Instant since;              // rented or first heard of
   Instant ready;              // while booting: when it is expected
   bool has_reported = false;  // to this leader
-  Hinted hinted = Hinted::no;
-  bool saw_term = false;  // its worker has seen our term: only we can renew its lease
+  PeerHint peer_hint = PeerHint::none;
+  bool has_seen_term = false;  // its worker has seen our term: only we can renew its lease
   AgentIncarnation incarnation;
   std::uint64_t sequence = 0;
   Instant last_heartbeat;
@@ -77,35 +77,35 @@
   std::set<std::string> images;
   int errors = 0;
   std::optional<Instant> idle_since;
-  Instant known;  // first heard of by this leader
-  Listing listed;
-  std::string why;                          // it is drained or returned
-  const plan::PlanNode* planned = nullptr;  // of the planner, once its type is known
+  Instant first_seen;  // first heard of by this leader
+  CloudListing listed;
+  std::string release_reason;                 // it is drained or returned
+  const plan::PlanNode* plan_node = nullptr;  // of the planner, once its type is known
 
   // Empty while only a sibling's word tells it: what grants and placements may not be wrong about is not taken from that.
-  [[nodiscard]] std::string seen_zone() const { return hinted == Hinted::no ? zone : std::string(); }
+  [[nodiscard]] std::string confirmed_zone() const { return peer_hint == PeerHint::none ? zone : std::string(); }
 };
 
-// Spans that what is known of machines hangs on, by the settings' figures.
-struct Spans {
+// MachineTimeouts that what is known of machines hangs on, by the settings' figures.
+struct MachineTimeouts {
   Millis lease{};    // a worker's lease certainly ends within it
   Millis silence{};  // one that has reported is a suspect when it was not heard for so long
-  Millis detour{};   // a worker that can't reach the leader, or does not know it yet, is heard by then
+  Millis reroute{};  // a worker that can't reach the leader, or does not know it yet, is heard by then
 };
 
-using Kind = std::tuple<std::string, std::string, bool>;  // type, zone, spot
+using MachineKind = std::tuple<std::string, std::string, bool>;  // type, zone, spot
 
 class MachineInventory {
  public:
   MachineInventory() = default;
-  explicit MachineInventory(const Spans& spans) : spans_(spans) {}
+  explicit MachineInventory(const MachineTimeouts& timeouts) : timeouts_(timeouts) {}
 
   // ---- who is known ----
-  struct Known {
+  struct FindOrAddResult {
     Machine& machine;
-    bool fresh;  // heard of for the first time
+    bool is_new;  // heard of for the first time
   };
-  Known know(const MachineId& id, Instant now);
+  FindOrAddResult find_or_add(const MachineId& id, Instant now);
   [[nodiscard]] auto begin() { return machines_.begin(); }
   [[nodiscard]] auto end() { return machines_.end(); }
   [[nodiscard]] auto begin() const { return machines_.begin(); }
@@ -120,23 +120,23 @@
   // ---- words of it ----
   // Whether the report teaches anything: one of a machine whose return was confirmed, or that is not newer than the last
   // that was taken, was held up on its way.
-  [[nodiscard]] bool news(const wire::Heartbeat& heartbeat) const;
+  [[nodiscard]] bool should_accept(const wire::Heartbeat& heartbeat) const;
   // Takes a report that is news. True when the machine was not known to be up until now.
-  bool hear(Machine& machine, const wire::Heartbeat& heartbeat, Term term, Instant now);
+  bool apply_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, Term term, Instant now);
   // Whether the report is the newest that was taken.
-  [[nodiscard]] bool newest(const wire::Heartbeat& heartbeat) const;
+  [[nodiscard]] bool is_latest(const wire::Heartbeat& heartbeat) const;
   // Takes an entry of the cloud's list; nothing when it is of an old list. `boot`: how long its type takes.
-  std::optional<Known> list(const wire::ListedMachine& entry, Millis boot, Instant now);
+  std::optional<FindOrAddResult> apply_listing(const wire::ListedMachine& entry, Millis boot, Instant now);
   // The cloud has confirmed that it was returned: an old list or report may still show it.
-  void on_scaled_in(const MachineId& id) { gone_.insert(id); }
-  [[nodiscard]] bool gone(const MachineId& id) const { return gone_.contains(id); }
+  void on_scaled_in(const MachineId& id) { returned_ids_.insert(id); }
+  [[nodiscard]] bool is_returned(const MachineId& id) const { return returned_ids_.contains(id); }
   // Never one that something may run on: false, and then it stays.
-  bool forget(const MachineId& id);
+  bool remove(const MachineId& id);
 
   // ---- questions ----
-  [[nodiscard]] bool silent(const Machine& machine, Instant now) const;
+  [[nodiscard]] bool is_silent(const Machine& machine, Instant now) const;
   // Whether it can take work, as far as it is known itself: suspects get none before they are lost.
-  [[nodiscard]] bool usable(const Machine& machine, Instant now) const;
+  [[nodiscard]] bool can_accept_tasks(const Machine& machine, Instant now) const;
   // Up to when its tasks may run on, if nothing more is heard of it: nobody can renew its lease for longer.
   // `older_leaders_until`: older leaders may renew leases until then; `delegated_until`: the same of who holds a grant.
   [[nodiscard]] Instant lease_end(const Machine& machine, Instant older_leaders_until, Instant delegated_until) const;
@@ -144,13 +144,13 @@
   [[nodiscard]] bool is_lease_expired(const Machine& machine, Instant older_leaders_until, Instant delegated_until,
                                       Instant now) const;
   // How many have reported and whose lease may not have ended, if none of them was heard within the detour's span.
-  [[nodiscard]] std::size_t unheard(Instant now) const;
-  [[nodiscard]] std::map<Kind, std::size_t> held() const;
+  [[nodiscard]] std::size_t count_if_all_unheard(Instant now) const;
+  [[nodiscard]] std::map<MachineKind, std::size_t> count_by_kind() const;
 
  private:
-  Spans spans_;
+  MachineTimeouts timeouts_;
   std::map<MachineId, Machine> machines_;
-  std::set<MachineId> gone_;  // returned
+  std::set<MachineId> returned_ids_;  // returned
 };
 
 }  // namespace foxshunt::inventory
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -77,7 +77,7 @@
     allocation.durable.set();
     allocation.adopted = true;
     allocation.placed = now;
-    machines.know(allocation.machine, now).machine.allocations.insert({job.spec.id, record_run.index});
+    machines.find_or_add(allocation.machine, now).machine.allocations.insert({job.spec.id, record_run.index});
     team_use_[job.spec.team] += job.each;
     shard.allocations.add(record_run.index, allocation);
     ++job.allocation_count;
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -114,9 +114,9 @@
       }
     }
     for (const auto& [id, machine] : controller.machines()) {
-      out << id.text() << machine.state << machine.has_reported << machine.saw_term << machine.incarnation
+      out << id.text() << machine.state << machine.has_reported << machine.has_seen_term << machine.incarnation
           << away(machine.last_heartbeat) << machine.expired << machine.stopping << machine.has_unknown_tasks
-          << machine.zone << machine.errors << away(machine.known);
+          << machine.zone << machine.errors << away(machine.first_seen);
       if (setup_->delegations) out << away(controller.delegations().renewed_until(machine.zone, id));
     }
     if (setup_->delegations) out << controller.delegations().have_older_terms_ended();
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -63,7 +63,7 @@
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
   EXPECT_EQ(deadlines_.overdue(view(), job, placings, {}, now_), 2U);
   // A machine has room for them in time: it is something else that lacks.
-  EXPECT_EQ(deadlines_.overdue(view(), job, placings, {{.node = machine.planned}}, now_), 0U);
+  EXPECT_EQ(deadlines_.overdue(view(), job, placings, {{.node = machine.plan_node}}, now_), 0U);
 }
 
 }  // namespace
--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -59,7 +59,7 @@
   void gone(Job& job, std::uint32_t index) { EXPECT_TRUE(table_.confirm_terminated(job, index, machines_, now_)); }
   void place(Job& job, std::uint32_t index, const MachineId& machine = kMachine) {
     const AttemptNumber attempt = job.shards[index / constants::kTasksPerShard].next;
-    table_.place(job, index, attempt, machines_.know(machine, now_).machine, now_);
+    table_.place(job, index, attempt, machines_.find_or_add(machine, now_).machine, now_);
   }
   std::optional<WriteBatch> begin() { return table_.begin_write(term_revision_, kOps, now_); }
   bool write() {
@@ -100,7 +100,7 @@
   standins::StateStore store_;
   Revision term_revision_;
   Instant now_{Millis(1'000'000)};
-  inventory::MachineInventory machines_{{.lease = Millis(10'000), .silence = Millis(3'000), .detour = Millis(6'000)}};
+  inventory::MachineInventory machines_{{.lease = Millis(10'000), .silence = Millis(3'000), .reroute = Millis(6'000)}};
   JobTable table_;
 };
 
@@ -201,14 +201,14 @@
   EXPECT_FALSE(write());
   gone(job, 1);
   EXPECT_FALSE(write());
-  EXPECT_FALSE(machines_.forget(kMachine));  // unproved is never gone
+  EXPECT_FALSE(machines_.remove(kMachine));  // unproved is never gone
   EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::ok);
   EXPECT_EQ(table_.team_use("red"), job.each);
   gone(job, 0);
   EXPECT_TRUE(write());
   EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::not_found);
   EXPECT_EQ(table_.size(), 0U);
-  EXPECT_TRUE(machines_.forget(kMachine));
+  EXPECT_TRUE(machines_.remove(kMachine));
 }
 
 TEST_F(Book, ARemovalDuringAWriteWaitsForTheAnswer) {
--- a/tests/unit/machine_housekeeper_test.cpp
+++ b/tests/unit/machine_housekeeper_test.cpp
@@ -59,7 +59,7 @@
   pass(Millis(5'001));
   housekeeper_.review_machines(now_);
   EXPECT_EQ(machine_.state, MachineState::returning);
-  EXPECT_EQ(machine_.why, "it is idle");
+  EXPECT_EQ(machine_.release_reason, "it is idle");
 }
 
 TEST_F(Housekeeping, AMachineThatOnlyARecordTellsOfIsForgottenWhenNoListNamesIt) {
--- a/tests/unit/machine_inventory_test.cpp
+++ b/tests/unit/machine_inventory_test.cpp
@@ -10,175 +10,183 @@
 
 constexpr Millis kLease{10'000};
 constexpr Millis kSilence{3'000};
-constexpr Millis kDetour{6'000};
+constexpr Millis kReroute{6'000};
 const MachineId kFirst("m-000001");
 
-class Machines : public testing::Test {
+class MachineInventoryTest : public testing::Test {
  protected:
-  static wire::Heartbeat heartbeat(const MachineId& id, std::uint64_t incarnation, std::uint64_t sequence, Term seen) {
-    wire::Heartbeat made;
-    made.machine = id;
-    made.address = "127.0.0.1:1";
-    made.type = "plain";
-    made.zone = "a";
-    made.incarnation = AgentIncarnation(incarnation);
-    made.sequence = sequence;
-    made.term = seen;
-    return made;
+  static wire::Heartbeat make_heartbeat(const MachineId& id, std::uint64_t incarnation, std::uint64_t sequence,
+                                        Term seen) {
+    wire::Heartbeat heartbeat;
+    heartbeat.machine = id;
+    heartbeat.address = "127.0.0.1:1";
+    heartbeat.type = "plain";
+    heartbeat.zone = "a";
+    heartbeat.incarnation = AgentIncarnation(incarnation);
+    heartbeat.sequence = sequence;
+    heartbeat.term = seen;
+    return heartbeat;
   }
   // As the controller does: nothing is taken from a report that is no news.
-  bool hear(const wire::Heartbeat& made) {
-    if (!machines_.news(made)) return false;
-    machines_.hear(machines_.know(made.machine, now_).machine, made, kTerm, now_);
+  bool report(const wire::Heartbeat& heartbeat) {
+    if (!machines_.should_accept(heartbeat)) return false;
+    machines_.apply_heartbeat(machines_.find_or_add(heartbeat.machine, now_).machine, heartbeat, kTerm, now_);
     return true;
   }
-  static wire::ListedMachine listed(const MachineId& id, wire::ListedState state = wire::ListedState::running) {
+  static wire::ListedMachine make_listed_machine(const MachineId& id,
+                                                 wire::ListedState state = wire::ListedState::running) {
     return {.id = id, .address = "127.0.0.1:2", .type = "other", .zone = "b", .state = state, .age_s = 4};
   }
 
   static constexpr Term kTerm{7};
   Instant now_{Millis(1'000'000)};
-  MachineInventory machines_{{.lease = kLease, .silence = kSilence, .detour = kDetour}};
+  MachineInventory machines_{{.lease = kLease, .silence = kSilence, .reroute = kReroute}};
 };
 
-TEST_F(Machines, AReportThatIsNotNewerTeachesNothing) {
-  EXPECT_TRUE(hear(heartbeat(kFirst, 1, 5, kTerm)));
-  EXPECT_FALSE(hear(heartbeat(kFirst, 1, 5, Term(8))));
-  EXPECT_FALSE(hear(heartbeat(kFirst, 1, 4, Term(8))));
-  EXPECT_TRUE(machines_.at(kFirst).saw_term);
-  EXPECT_TRUE(machines_.newest(heartbeat(kFirst, 1, 5, kTerm)));
-  EXPECT_TRUE(hear(heartbeat(kFirst, 2, 1, Term(6))));  // a later session counts from the beginning
-  EXPECT_FALSE(machines_.at(kFirst).saw_term);
-  EXPECT_FALSE(machines_.newest(heartbeat(kFirst, 1, 5, kTerm)));
+TEST_F(MachineInventoryTest, AReportThatIsNotNewerTeachesNothing) {
+  EXPECT_TRUE(report(make_heartbeat(kFirst, 1, 5, kTerm)));
+  EXPECT_FALSE(report(make_heartbeat(kFirst, 1, 5, Term(8))));
+  EXPECT_FALSE(report(make_heartbeat(kFirst, 1, 4, Term(8))));
+  EXPECT_TRUE(machines_.at(kFirst).has_seen_term);
+  EXPECT_TRUE(machines_.is_latest(make_heartbeat(kFirst, 1, 5, kTerm)));
+  EXPECT_TRUE(report(make_heartbeat(kFirst, 2, 1, Term(6))));  // a later session counts from the beginning
+  EXPECT_FALSE(machines_.at(kFirst).has_seen_term);
+  EXPECT_FALSE(machines_.is_latest(make_heartbeat(kFirst, 1, 5, kTerm)));
 }
 
-TEST_F(Machines, OneThatWasReturnedIsNotKnownAgain) {
-  hear(heartbeat(kFirst, 1, 5, kTerm));
+TEST_F(MachineInventoryTest, OneThatWasReturnedIsNotKnownAgain) {
+  report(make_heartbeat(kFirst, 1, 5, kTerm));
   machines_.on_scaled_in(kFirst);
-  EXPECT_TRUE(machines_.forget(kFirst));
-  EXPECT_FALSE(hear(heartbeat(kFirst, 1, 6, kTerm)));
-  EXPECT_FALSE(machines_.list(listed(kFirst), Millis(0), now_));
+  EXPECT_TRUE(machines_.remove(kFirst));
+  EXPECT_FALSE(report(make_heartbeat(kFirst, 1, 6, kTerm)));
+  EXPECT_FALSE(machines_.apply_listing(make_listed_machine(kFirst), Millis(0), now_));
   EXPECT_FALSE(machines_.contains(kFirst));
-  EXPECT_TRUE(machines_.gone(kFirst));
+  EXPECT_TRUE(machines_.is_returned(kFirst));
 }
 
-TEST_F(Machines, AListTellsOnlyWhatNoReportHas) {
-  const auto known = machines_.list(listed(kFirst, wire::ListedState::starting), Millis(10'000), now_);
+TEST_F(MachineInventoryTest, AListTellsOnlyWhatNoReportHas) {
+  const auto known =
+      machines_.apply_listing(make_listed_machine(kFirst, wire::ListedState::starting), Millis(10'000), now_);
   ASSERT_TRUE(known);
-  EXPECT_TRUE(known->fresh);
+  EXPECT_TRUE(known->is_new);
   EXPECT_EQ(known->machine.since, now_ - Millis(4'000));
   EXPECT_EQ(known->machine.ready, now_ + Millis(6'000));
   EXPECT_EQ(known->machine.type, "other");
   EXPECT_FALSE(known->machine.listed.running);
-  EXPECT_FALSE(machines_.usable(known->machine, now_));
-  EXPECT_TRUE(machines_.hear(known->machine, heartbeat(kFirst, 1, 1, kTerm), kTerm, now_));  // it is up now
-  EXPECT_TRUE(machines_.usable(known->machine, now_));
-  const auto again = machines_.list(listed(kFirst), Millis(10'000), now_ + Millis(1'000));
-  EXPECT_FALSE(again->fresh);
-  EXPECT_EQ(again->machine.type, "plain");
-  EXPECT_EQ(again->machine.zone, "a");
-  EXPECT_EQ(again->machine.ready, now_);
-  EXPECT_TRUE(again->machine.listed.running);
+  EXPECT_FALSE(machines_.can_accept_tasks(known->machine, now_));
+  EXPECT_TRUE(
+      machines_.apply_heartbeat(known->machine, make_heartbeat(kFirst, 1, 1, kTerm), kTerm, now_));  // it is up now
+  EXPECT_TRUE(machines_.can_accept_tasks(known->machine, now_));
+  const auto relisted = machines_.apply_listing(make_listed_machine(kFirst), Millis(10'000), now_ + Millis(1'000));
+  EXPECT_FALSE(relisted->is_new);
+  EXPECT_EQ(relisted->machine.type, "plain");
+  EXPECT_EQ(relisted->machine.zone, "a");
+  EXPECT_EQ(relisted->machine.ready, now_);
+  EXPECT_TRUE(relisted->machine.listed.running);
 }
 
-TEST_F(Machines, SuspectsTakeNoWork) {
-  hear(heartbeat(kFirst, 1, 1, kTerm));
+TEST_F(MachineInventoryTest, SuspectsTakeNoWork) {
+  report(make_heartbeat(kFirst, 1, 1, kTerm));
   Machine& machine = machines_.at(kFirst);
-  EXPECT_TRUE(machines_.usable(machine, now_ + kSilence - Millis(1)));
-  EXPECT_FALSE(machines_.usable(machine, now_ + kSilence));
+  EXPECT_TRUE(machines_.can_accept_tasks(machine, now_ + kSilence - Millis(1)));
+  EXPECT_FALSE(machines_.can_accept_tasks(machine, now_ + kSilence));
   machine.has_unknown_tasks = true;
-  EXPECT_FALSE(machines_.usable(machine, now_));
+  EXPECT_FALSE(machines_.can_accept_tasks(machine, now_));
   // One that has not reported yet has the time to find this leader.
-  const Machine& second = machines_.know(MachineId("m-000002"), now_).machine;
-  EXPECT_FALSE(machines_.silent(second, now_ + kDetour));
-  EXPECT_TRUE(machines_.silent(second, now_ + kDetour + Millis(1)));
+  const Machine& second = machines_.find_or_add(MachineId("m-000002"), now_).machine;
+  EXPECT_FALSE(machines_.is_silent(second, now_ + kReroute));
+  EXPECT_TRUE(machines_.is_silent(second, now_ + kReroute + Millis(1)));
 }
 
 // Where reports are rarer than leases are long, a machine whose lease has ended is no suspect yet.
-TEST_F(Machines, OneWhoseLeaseHasEndedTakesNoWork) {
-  hear(heartbeat(kFirst, 1, 1, kTerm));
+TEST_F(MachineInventoryTest, OneWhoseLeaseHasEndedTakesNoWork) {
+  report(make_heartbeat(kFirst, 1, 1, kTerm));
   Machine& machine = machines_.at(kFirst);
-  ASSERT_TRUE(machines_.usable(machine, now_));
+  ASSERT_TRUE(machines_.can_accept_tasks(machine, now_));
   machine.expired = true;
-  EXPECT_FALSE(machines_.usable(machine, now_));
-  hear(heartbeat(kFirst, 2, 2, kTerm));
-  EXPECT_TRUE(machines_.usable(machine, now_)) << "its next session has reported";
+  EXPECT_FALSE(machines_.can_accept_tasks(machine, now_));
+  report(make_heartbeat(kFirst, 2, 2, kTerm));
+  EXPECT_TRUE(machines_.can_accept_tasks(machine, now_)) << "its next session has reported";
 }
 
 // Invariant 1: nothing is taken for gone while anybody may have renewed the worker's lease.
-TEST_F(Machines, ALeaseEndsAfterTheLastThatMayHaveRenewedIt) {
-  const Instant others = now_ + Millis(20'000);
-  const Instant granted = now_ + Millis(15'000);
-  const Machine& machine = machines_.know(kFirst, now_).machine;
-  EXPECT_EQ(machines_.lease_end(machine, others, {}), others + kLease);
-  hear(heartbeat(kFirst, 1, 1, Term(6)));  // it may yet go to a leader that is older
-  EXPECT_EQ(machines_.lease_end(machine, others, {}), others + kLease);
+TEST_F(MachineInventoryTest, ALeaseEndsAfterTheLastThatMayHaveRenewedIt) {
+  const Instant older_leaders_until = now_ + Millis(20'000);
+  const Instant delegated_until = now_ + Millis(15'000);
+  const Machine& machine = machines_.find_or_add(kFirst, now_).machine;
+  EXPECT_EQ(machines_.lease_end(machine, older_leaders_until, {}), older_leaders_until + kLease);
+  report(make_heartbeat(kFirst, 1, 1, Term(6)));  // it may yet go to a leader that is older
+  EXPECT_EQ(machines_.lease_end(machine, older_leaders_until, {}), older_leaders_until + kLease);
   EXPECT_EQ(machines_.lease_end(machine, {}, {}), now_ + kLease);
-  hear(heartbeat(kFirst, 1, 2, kTerm));
-  EXPECT_EQ(machines_.lease_end(machine, others, {}), now_ + kLease);
-  EXPECT_EQ(machines_.lease_end(machine, others, granted), granted + kLease);
-  EXPECT_FALSE(machines_.is_lease_expired(machine, others, granted, granted + kLease));
-  EXPECT_TRUE(machines_.is_lease_expired(machine, others, granted, granted + kLease + Millis(1)));
+  report(make_heartbeat(kFirst, 1, 2, kTerm));
+  EXPECT_EQ(machines_.lease_end(machine, older_leaders_until, {}), now_ + kLease);
+  EXPECT_EQ(machines_.lease_end(machine, older_leaders_until, delegated_until), delegated_until + kLease);
+  EXPECT_FALSE(machines_.is_lease_expired(machine, older_leaders_until, delegated_until, delegated_until + kLease));
+  EXPECT_TRUE(
+      machines_.is_lease_expired(machine, older_leaders_until, delegated_until, delegated_until + kLease + Millis(1)));
 }
 
-TEST_F(Machines, UnheardAreAllOrNone) {
+TEST_F(MachineInventoryTest, UnheardAreAllOrNone) {
   const MachineId second("m-000002");
-  hear(heartbeat(kFirst, 1, 1, kTerm));
-  now_ += kDetour;
-  hear(heartbeat(second, 1, 1, kTerm));
-  EXPECT_EQ(machines_.unheard(now_ + Millis(1)), 0U);  // one of them is heard
-  EXPECT_EQ(machines_.unheard(now_ + kDetour + Millis(1)), 2U);
+  report(make_heartbeat(kFirst, 1, 1, kTerm));
+  now_ += kReroute;
+  report(make_heartbeat(second, 1, 1, kTerm));
+  EXPECT_EQ(machines_.count_if_all_unheard(now_ + Millis(1)), 0U);  // one of them is heard
+  EXPECT_EQ(machines_.count_if_all_unheard(now_ + kReroute + Millis(1)), 2U);
   machines_.at(kFirst).expired = true;
-  EXPECT_EQ(machines_.unheard(now_ + kDetour + Millis(1)), 1U);
+  EXPECT_EQ(machines_.count_if_all_unheard(now_ + kReroute + Millis(1)), 1U);
 }
 
-TEST_F(Machines, TheBooksHoldUnderRandomWords) {
+TEST_F(MachineInventoryTest, TheBooksHoldUnderRandomWords) {
   std::mt19937 random(11);
-  const auto draw = [&](std::uint64_t most) { return std::uniform_int_distribution<std::uint64_t>(0, most)(random); };
-  std::map<MachineId, std::pair<AgentIncarnation, std::uint64_t>> newest;
+  const auto random_up_to = [&](std::uint64_t most) {
+    return std::uniform_int_distribution<std::uint64_t>(0, most)(random);
+  };
+  std::map<MachineId, std::pair<AgentIncarnation, std::uint64_t>> latest_versions;
   std::set<MachineId> returned;
   for (int step = 0; step < 20'000; ++step) {
-    now_ += Millis(draw(50));
-    const MachineId id("m-" + std::to_string(draw(40)));
-    switch (draw(9)) {
+    now_ += Millis(random_up_to(50));
+    const MachineId id("m-" + std::to_string(random_up_to(40)));
+    switch (random_up_to(9)) {
       case 0:
-        machines_.list(listed(id, draw(1) == 0 ? wire::ListedState::starting : wire::ListedState::running),
-                       Millis(5'000), now_);
+        machines_.apply_listing(
+            make_listed_machine(id, random_up_to(1) == 0 ? wire::ListedState::starting : wire::ListedState::running),
+            Millis(5'000), now_);
         break;
       case 1:
-        if (!machines_.contains(id) || draw(20) > 0) break;
+        if (!machines_.contains(id) || random_up_to(20) > 0) break;
         machines_.on_scaled_in(id);
         returned.insert(id);
-        EXPECT_TRUE(machines_.forget(id));
+        EXPECT_TRUE(machines_.remove(id));
         break;
       case 2:
-        if (machines_.contains(id)) machines_.at(id).listed.failed = draw(3) == 0;
+        if (machines_.contains(id)) machines_.at(id).listed.failed = random_up_to(3) == 0;
         break;
       default: {
-        const auto made = heartbeat(id, draw(3), draw(200), Term(6 + draw(1)));
-        const std::pair word(made.incarnation, made.sequence);
-        const auto known = newest.find(id);
-        const bool news = !returned.contains(id) && (known == newest.end() || word > known->second);
-        EXPECT_EQ(hear(made), news);
-        if (news) newest[id] = word;
-        EXPECT_EQ(machines_.newest(made),
-                  news || (known != newest.end() && !returned.contains(id) && word == known->second));
+        const auto heartbeat = make_heartbeat(id, random_up_to(3), random_up_to(200), Term(6 + random_up_to(1)));
+        const std::pair version(heartbeat.incarnation, heartbeat.sequence);
+        const auto known = latest_versions.find(id);
+        const bool accepted = !returned.contains(id) && (known == latest_versions.end() || version > known->second);
+        EXPECT_EQ(report(heartbeat), accepted);
+        if (accepted) latest_versions[id] = version;
+        EXPECT_EQ(machines_.is_latest(heartbeat),
+                  accepted || (known != latest_versions.end() && !returned.contains(id) && version == known->second));
       }
     }
     if (step % 50 != 0) continue;
-    std::map<Kind, std::size_t> held;
+    std::map<MachineKind, std::size_t> held;
     for (const auto& [name, machine] : machines_) {
       ASSERT_EQ(name, machine.id);
       ASSERT_FALSE(returned.contains(name));
-      ASSERT_EQ(machine.has_reported, newest.contains(name));
+      ASSERT_EQ(machine.has_reported, latest_versions.contains(name));
       if (machine.has_reported) {
-        ASSERT_EQ(std::pair(machine.incarnation, machine.sequence), newest.at(name));
+        ASSERT_EQ(std::pair(machine.incarnation, machine.sequence), latest_versions.at(name));
         ASSERT_NE(machine.state, MachineState::booting);
         ASSERT_LE(machine.last_heartbeat, now_);
       }
       if (!machine.listed.failed) ++held[{machine.type, machine.zone, machine.spot}];
     }
-    ASSERT_EQ(held, machines_.held());
+    ASSERT_EQ(held, machines_.count_by_kind());
   }
   EXPECT_FALSE(returned.empty());
 }
