--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -69,7 +69,8 @@
 }
 
 bool ClusterState::usable(const Machine& machine, Instant now) const {
-  return machines.can_accept_tasks(machine, now) && settings.in_service(machine.zone) && zones.takes_work(machine.zone);
+  return machines.can_accept_tasks(machine, now) && settings.in_service(machine.zone) &&
+         zones.accepts_tasks(machine.zone);
 }
 
 Instant ClusterState::lease_end(const Machine& machine) const {
@@ -97,7 +98,7 @@
 }
 
 bool ClusterState::counted_on(const std::string& zone) const {
-  return settings.in_service(zone) && zones.trusted(zone);
+  return settings.in_service(zone) && zones.is_healthy(zone);
 }
 
 bool has_bookings(const Machine& machine) {
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -84,7 +84,7 @@
   if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no worker reaches it", now);
   cluster_.planner.forget_before(now);
   cycle_.request_overdue_pass(cluster_, now);
-  cluster_.delegations.forget_before(now);
+  cluster_.delegations.prune_expired(now);
   ZoneCoordinator zones = zone_coordinator();
   zones.move_services_out();
   if (cluster_.settings.operators.zone_watch) zones.observe_zones(now);
--- a/src/control/explanation.cpp
+++ b/src/control/explanation.cpp
@@ -62,9 +62,9 @@
   if (waiting == 0) return fmt::format("all tasks that are not done are placed: {}", job.allocation_count);
   std::string text = fmt::format("{} of {} tasks wait", waiting, job.spec.tasks) + rank(job);
   if (const auto held = hold(job, now)) return text + *held;
-  if (!job.spec.zone.empty() && !cluster_.zones.trusted(job.spec.zone)) {
+  if (!job.spec.zone.empty() && !cluster_.zones.is_healthy(job.spec.zone)) {
     text += fmt::format("; it may run only in zone {}, which is {}", job.spec.zone,
-                        zone::name_of(cluster_.zones.of(job.spec.zone)));
+                        zone::name_of(cluster_.zones.state_of(job.spec.zone)));
   }
   if (const auto waits = wait(job)) return text + *waits;
   return text + plan(job, now) + renting();
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -50,7 +50,7 @@
   const std::set<TaskKey> runs = machine.allocations.copy();
   if (!runs.empty() || machine.has_reported) {
     // Of a zone that is gone one line tells, not hundreds.
-    const bool alone = cluster_.zones.of(machine.zone) != zone::State::cut;
+    const bool alone = cluster_.zones.state_of(machine.zone) != zone::ZoneState::cut;
     spdlog::log(alone ? spdlog::level::info : spdlog::level::debug,
                 "machine {} is silent, its lease has ended with {} tasks", machine.id.text(), runs.size());
   }
@@ -89,7 +89,7 @@
 }
 
 bool MachineHousekeeper::is_zone_awaited(const Machine& machine, Instant now) const {
-  return cluster_.settings.operators.zone_watch && cluster_.zones.keeps(machine.zone, now);
+  return cluster_.settings.operators.zone_watch && cluster_.zones.retains_silent_machines(machine.zone, now);
 }
 
 void MachineHousekeeper::review_idle(Machine& machine, Instant now) {
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -35,7 +35,7 @@
   if (!cluster.settings.operators.zone_evacuation) return;
   for (auto& [unused, job] : cluster.jobs) job.stranded = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.allocations.empty() || machine.expired || !cluster.zones.leaves(machine.zone)) continue;
+    if (machine.allocations.empty() || machine.expired || !cluster.zones.should_evacuate(machine.zone)) continue;
     const Instant until = cluster.lease_end(machine);
     for (const TaskKey& key : machine.allocations) {
       Job& job = cluster.jobs.at(key.job);
--- a/src/control/times.h
+++ b/src/control/times.h
@@ -39,7 +39,7 @@
 
 // A grant to answer a zone's workers lasts as long as the fence would. The giver's clock may run slow meanwhile, and the
 // holder's fast: by that much it counts it as longer.
-inline zone::Spans delegation_spans(const config::Settings& settings) {
+inline zone::DelegationTimeouts delegation_spans(const config::Settings& settings) {
   const plan::Millis delegation = fence_span(settings);
   return {.delegation = delegation,
           .bound =
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -47,7 +47,7 @@
   if (sibling == cluster_.settings.siblings.end()) return std::nullopt;
   const bool older_over = cluster_.delegations.have_older_terms_ended();
   // First what the word tells: a machine that the sibling has answered is not taken for dead.
-  if (!cluster_.delegations.hear(request, leadership_.term(), now)) return std::nullopt;
+  if (!cluster_.delegations.apply_request(request, leadership_.term(), now)) return std::nullopt;
   std::vector<MachineId> except;
   std::optional<Instant> known;
   if (cluster_.settings.operators.zone_lease_delegation) {
@@ -58,7 +58,7 @@
     cluster_.older_leaders_until = std::min(cluster_.older_leaders_until, now);
     spdlog::info("every sibling has left older terms");
   }
-  return cluster_.delegations.give(request.node, leadership_.term(), known, except, now);
+  return cluster_.delegations.issue_delegation(request.node, leadership_.term(), known, except, now);
 }
 
 // ---- zone health ----
@@ -82,15 +82,15 @@
   for (auto& [name, zone] : seen) {
     zone.own = name == cluster_.settings.zone;
     zone.sibling = cluster_.delegations.has_sibling(name);
-    zone.sibling_silent = cluster_.delegations.silent_for(name, now);
+    zone.sibling_silent = cluster_.delegations.silence_of(name, now);
   }
   return seen;
 }
 
 void ZoneCoordinator::observe_zones(Instant now) {
-  for (const zone::Change& change : cluster_.zones.look(sight_zones(now), now)) {
-    spdlog::log(change.to == zone::State::whole || change.to == zone::State::returning ? spdlog::level::info
-                                                                                       : spdlog::level::warn,
+  for (const zone::ZoneChange& change : cluster_.zones.update(sight_zones(now), now)) {
+    spdlog::log(change.to == zone::ZoneState::whole || change.to == zone::ZoneState::returning ? spdlog::level::info
+                                                                                               : spdlog::level::warn,
                 "zone {} is {}, it was {}: {} machines heard, {} silent with {} tasks, {} with ended leases{}",
                 change.zone, zone::name_of(change.to), zone::name_of(change.from), change.seen.heard,
                 change.seen.silent, change.seen.tasks, change.seen.ended,
--- a/src/node/held_delegation.cpp
+++ b/src/node/held_delegation.cpp
@@ -22,7 +22,7 @@
   const std::lock_guard lock(mutex_);
   const bool leader_answers = last_answer_ && at - *last_answer_ < constants::kLeaderContactTimeout;
   if (leader_answers && !leader_tried) return std::nullopt;
-  return holder_.answers(heartbeat.machine, heartbeat.zone, heartbeat.term, at);
+  return holder_.try_answer(heartbeat.machine, heartbeat.zone, heartbeat.term, at);
 }
 
 zone::DelegationRequest HeldDelegation::next_request(Term leaders) {
--- a/src/node/zone_requests.cpp
+++ b/src/node/zone_requests.cpp
@@ -45,7 +45,7 @@
                                {"silent", static_cast<std::uint64_t>(standing.seen.silent)},
                                {"ended", static_cast<std::uint64_t>(standing.seen.ended)},
                                {"tasks_unheard", static_cast<std::uint64_t>(standing.seen.tasks)},
-                               {"leaving", standing.leaving}});
+                               {"leaving", standing.evacuating}});
   }
   Value::List delegations;
   for (const zone::DelegationTable::Standing& standing : context.control_state.controller.delegations().standings()) {
--- a/src/zone/delegated_lease.h
+++ b/src/zone/delegated_lease.h
@@ -17,17 +17,18 @@
 class DelegatedLease {
  public:
   DelegatedLease() = default;
-  DelegatedLease(const NodeName& self, const std::string& zone, std::uint64_t life, const Spans& spans);
+  DelegatedLease(const NodeName& self, const std::string& zone, std::uint64_t life, const DelegationTimeouts& timeouts);
 
   // The next word to the leader of that term. What was given in an older term is dropped first.
   [[nodiscard]] DelegationRequest next_request(Term leaders, Instant now);
-  // The answer to the word that was sent at `asked`; false when it is not for this node and then nothing is taken.
-  bool on_delegation(const LeaseDelegation& delegation, Instant asked);
+  // The answer to the word that was sent at `asked_at`; false when it is not for this node and then nothing is taken.
+  bool on_delegation(const LeaseDelegation& delegation, Instant asked_at);
   // Ends what was given in a term before this one.
   void observe_term(Term term);
   // Whether the report of a machine that has seen the term `seen` may be answered, in the term that is given back;
   // counts as a use if so.
-  [[nodiscard]] std::optional<Term> answers(const MachineId& machine, const std::string& zone, Term seen, Instant now);
+  [[nodiscard]] std::optional<Term> try_answer(const MachineId& machine, const std::string& zone, Term seen,
+                                               Instant now);
 
   [[nodiscard]] std::optional<Instant> until() const;  // the grant's end
   [[nodiscard]] std::size_t machines_used() const { return used_.size(); }
@@ -36,7 +37,7 @@
   NodeName self_;
   std::string zone_;
   std::uint64_t life_ = 0;
-  Spans spans_;
+  DelegationTimeouts timeouts_;
   std::uint64_t sequence_ = 0;
   std::optional<LeaseDelegation> delegation_;
   std::set<MachineId> except_;
--- a/src/zone/delegation.h
+++ b/src/zone/delegation.h
@@ -21,20 +21,20 @@
 using DelegationNumber = CountId<struct GrantTag>;  // grows within a term; 0: none
 
 // A machine that a holder has answered, and how long ago the last time was.
-struct Use {
+struct DelegationUse {
   MachineId machine;
   Millis ago{};
-  friend bool operator==(const Use&, const Use&) = default;
+  friend bool operator==(const DelegationUse&, const DelegationUse&) = default;
 };
 
 // What a node that does not lead asks the leader, every second or so.
 struct DelegationRequest {
   NodeName node;
-  std::uint64_t life = 0;      // of its process: later ones have higher numbers
-  std::uint64_t sequence = 0;  // grows within a life
-  Term term;                   // in which the node that is asked leads
-  DelegationNumber holds;      // the newest grant in hand; it has replaced all before
-  std::vector<Use> uses;       // of grants, as long as a lease may last on them
+  std::uint64_t life = 0;           // of its process: later ones have higher numbers
+  std::uint64_t sequence = 0;       // grows within a life
+  Term term;                        // in which the node that is asked leads
+  DelegationNumber holds;           // the newest grant in hand; it has replaced all before
+  std::vector<DelegationUse> uses;  // of grants, as long as a lease may last on them
   friend bool operator==(const DelegationRequest&, const DelegationRequest&) = default;
 };
 
@@ -48,7 +48,7 @@
 };
 
 // The three spans that grants hang on, by the settings' figures.
-struct Spans {
+struct DelegationTimeouts {
   Millis delegation{};  // from the giver's last known change to the grant's end, by the holder's clock
   Millis bound{};       // the same by the giver's clock at most, whatever the two clocks do
   Millis lease{};       // a worker's lease certainly ends within it
--- a/src/zone/delegation_table.cpp
+++ b/src/zone/delegation_table.cpp
@@ -10,49 +10,50 @@
 using guards::Guard;
 using guards::kept;
 
-DelegationTable::DelegationTable(const std::vector<config::Sibling>& siblings, const Spans& spans) : spans_(spans) {
+DelegationTable::DelegationTable(const std::vector<config::Sibling>& siblings, const DelegationTimeouts& timeouts)
+    : timeouts_(timeouts) {
   for (const config::Sibling& sibling : siblings) siblings_[sibling.name].zone = sibling.zone;
 }
 
-bool DelegationTable::hear(const DelegationRequest& ask, Term term, Instant now) {
-  const auto entry = siblings_.find(ask.node);
-  if (entry == siblings_.end() || ask.term != term) return false;
+bool DelegationTable::apply_request(const DelegationRequest& request, Term term, Instant now) {
+  const auto entry = siblings_.find(request.node);
+  if (entry == siblings_.end() || request.term != term) return false;
   Sibling& sibling = entry->second;
   // A word that was held up tells what is over: taken for a new life's, it would void grants that are in use.
-  if (kept(Guard::ask_order) && std::tie(ask.life, ask.sequence) <= std::tie(sibling.life, sibling.sequence))
+  if (kept(Guard::ask_order) && std::tie(request.life, request.sequence) <= std::tie(sibling.life, sibling.sequence))
     return false;
-  if (ask.life != sibling.life) {
+  if (request.life != sibling.life) {
     // That process has ended. What it answered before it did, it can't tell any more.
     for (IssuedDelegation& issued : sibling.issued) {
       issued.until = std::min(issued.until, now);
-      if (kept(Guard::ask_life)) sibling.issued_earlier.push_back(std::move(issued));
+      if (kept(Guard::ask_life)) sibling.issued_to_earlier_processes.push_back(std::move(issued));
     }
     sibling.issued.clear();
   } else {
-    std::erase_if(sibling.issued, [&](const IssuedDelegation& issued) { return issued.number < ask.holds; });
+    std::erase_if(sibling.issued, [&](const IssuedDelegation& issued) { return issued.number < request.holds; });
   }
-  sibling.life = ask.life;
-  sibling.sequence = ask.sequence;
+  sibling.life = request.life;
+  sibling.sequence = request.sequence;
   sibling.heard = now;
-  sibling.holds = ask.holds;
-  for (const Use& use : ask.uses) {
+  sibling.holds = request.holds;
+  for (const DelegationUse& use : request.uses) {
     Instant& last = sibling.used[use.machine];
     last = std::max(last, now - use.ago);
   }
-  learn_older_over();
+  update_older_terms_ended();
   return true;
 }
 
-LeaseDelegation DelegationTable::give(const NodeName& node, Term term, std::optional<Instant> known,
-                                      const std::vector<MachineId>& except, Instant now) {
+LeaseDelegation DelegationTable::issue_delegation(const NodeName& node, Term term, std::optional<Instant> known,
+                                                  const std::vector<MachineId>& except, Instant now) {
   Sibling& sibling = siblings_.at(node);
   last_number_ = last_number_.next();
   if (!known)
     return LeaseDelegation{
-        .number = last_number_, .term = term, .zone = sibling.zone, .age = spans_.delegation, .except = {}};
+        .number = last_number_, .term = term, .zone = sibling.zone, .age = timeouts_.delegation, .except = {}};
   if (kept(Guard::grant_counted))
     sibling.issued.push_back(
-        {.number = last_number_, .until = *known + spans_.bound, .except = {except.begin(), except.end()}});
+        {.number = last_number_, .until = *known + timeouts_.bound, .except = {except.begin(), except.end()}});
   return LeaseDelegation{.number = last_number_,
                          .term = term,
                          .zone = sibling.zone,
@@ -62,24 +63,24 @@
 
 // Once every sibling has asked in this term none of them leads in an older one, so that no older grant is issued any
 // more; whoever then asks with a grant in hand that was issued later, asked after that, and had dropped older ones.
-void DelegationTable::learn_older_over() {
-  if (older_over_) return;
-  if (!all_heard_at_) {
+void DelegationTable::update_older_terms_ended() {
+  if (older_terms_ended_) return;
+  if (!number_when_all_heard_) {
     if (std::ranges::all_of(siblings_, [](const auto& entry) { return entry.second.heard.has_value(); })) {
-      all_heard_at_ = last_number_;
-      if (!kept(Guard::older_terms_twice)) older_over_ = true;
+      number_when_all_heard_ = last_number_;
+      if (!kept(Guard::older_terms_twice)) older_terms_ended_ = true;
     }
     return;
   }
-  older_over_ =
-      std::ranges::all_of(siblings_, [this](const auto& entry) { return entry.second.holds > *all_heard_at_; });
+  older_terms_ended_ = std::ranges::all_of(
+      siblings_, [this](const auto& entry) { return entry.second.holds > *number_when_all_heard_; });
 }
 
 Instant DelegationTable::renewed_until(const std::string& zone, const MachineId& machine) const {
   Instant until{};
   for (const auto& [unused, sibling] : siblings_) {
     if (!zone.empty() && sibling.zone != zone) continue;
-    for (const std::vector<IssuedDelegation>* all : {&sibling.issued, &sibling.issued_earlier}) {
+    for (const std::vector<IssuedDelegation>* all : {&sibling.issued, &sibling.issued_to_earlier_processes}) {
       for (const IssuedDelegation& issued : *all) {
         if (!issued.except.contains(machine)) until = std::max(until, issued.until);
       }
@@ -97,7 +98,7 @@
   });
 }
 
-std::optional<Millis> DelegationTable::silent_for(const std::string& zone, Instant now) const {
+std::optional<Millis> DelegationTable::silence_of(const std::string& zone, Instant now) const {
   std::optional<Millis> least;
   for (const auto& [unused, sibling] : siblings_) {
     if (sibling.zone != zone || !sibling.heard) continue;
@@ -111,11 +112,12 @@
   return std::ranges::any_of(siblings_, [&](const auto& entry) { return entry.second.zone == zone; });
 }
 
-void DelegationTable::forget_before(Instant now) {
-  const auto over = [&](Instant until) { return until + spans_.lease < now; };
+void DelegationTable::prune_expired(Instant now) {
+  const auto over = [&](Instant until) { return until + timeouts_.lease < now; };
   for (auto& [unused, sibling] : siblings_) {
     std::erase_if(sibling.issued, [&](const IssuedDelegation& issued) { return over(issued.until); });
-    std::erase_if(sibling.issued_earlier, [&](const IssuedDelegation& issued) { return over(issued.until); });
+    std::erase_if(sibling.issued_to_earlier_processes,
+                  [&](const IssuedDelegation& issued) { return over(issued.until); });
     std::erase_if(sibling.used, [&](const auto& used) { return over(used.second); });
   }
 }
--- a/src/zone/delegation_table.h
+++ b/src/zone/delegation_table.h
@@ -19,26 +19,26 @@
 class DelegationTable {
  public:
   DelegationTable() = default;
-  DelegationTable(const std::vector<config::Sibling>& siblings, const Spans& spans);
+  DelegationTable(const std::vector<config::Sibling>& siblings, const DelegationTimeouts& timeouts);
 
   // Takes note of a sibling's word in this term; false when it is stale, or no sibling's.
-  bool hear(const DelegationRequest& ask, Term term, Instant now);
+  bool apply_request(const DelegationRequest& request, Term term, Instant now);
   // What is given to a sibling that was heard. `known`: up to when all changes are known here; nothing: what is given has
   // ended already, and only answers the word. `except`: machines of the zone that must not be answered by others.
-  LeaseDelegation give(const NodeName& node, Term term, std::optional<Instant> known,
-                       const std::vector<MachineId>& except, Instant now);
+  LeaseDelegation issue_delegation(const NodeName& node, Term term, std::optional<Instant> known,
+                                   const std::vector<MachineId>& except, Instant now);
 
   // Up to when a holder may have renewed, or may yet renew, the lease of the machine; zone empty: not known.
   [[nodiscard]] Instant renewed_until(const std::string& zone, const MachineId& machine) const;
   // Whether a holder of the zone has answered the machine within the span, as far as it told.
   [[nodiscard]] bool used_within(const std::string& zone, const MachineId& machine, Millis span, Instant now) const;
   // How long ago the last word came from any sibling of the zone; nothing if none ever did in this term.
-  [[nodiscard]] std::optional<Millis> silent_for(const std::string& zone, Instant now) const;
+  [[nodiscard]] std::optional<Millis> silence_of(const std::string& zone, Instant now) const;
   [[nodiscard]] bool has_sibling(const std::string& zone) const;
   // Whether every sibling is known to hold nothing of an older term and to have been heard since all of them had left
   // older terms: nobody else can renew a lease of older terms any more.
-  [[nodiscard]] bool have_older_terms_ended() const { return older_over_; }
-  void forget_before(Instant now);
+  [[nodiscard]] bool have_older_terms_ended() const { return older_terms_ended_; }
+  void prune_expired(Instant now);
 
   struct Standing {  // for operators
     NodeName node;
@@ -61,17 +61,19 @@
     std::uint64_t sequence = 0;
     std::optional<Instant> heard;
     DelegationNumber holds;
-    std::vector<IssuedDelegation> issued;          // not yet replaced, oldest first
-    std::vector<IssuedDelegation> issued_earlier;  // to processes that have ended, with what they can't tell any more
+    std::vector<IssuedDelegation> issued;  // not yet replaced, oldest first
+    std::vector<IssuedDelegation>
+        issued_to_earlier_processes;  // to processes that have ended, with what they can't tell any more
     std::map<MachineId, Instant> used;
   };
-  void learn_older_over();
+  void update_older_terms_ended();
 
-  Spans spans_;
+  DelegationTimeouts timeouts_;
   std::map<NodeName, Sibling> siblings_;
   DelegationNumber last_number_;
-  std::optional<DelegationNumber> all_heard_at_;  // grants above it were given after every sibling had been heard
-  bool older_over_ = false;
+  std::optional<DelegationNumber>
+      number_when_all_heard_;  // grants above it were given after every sibling had been heard
+  bool older_terms_ended_ = false;
 };
 
 }  // namespace foxshunt::zone
--- a/src/zone/messages.cpp
+++ b/src/zone/messages.cpp
@@ -27,15 +27,15 @@
 constexpr const char* kExceptField = "except";
 
 // A day: no span that zones hang on is as long.
-constexpr std::uint64_t kSpanMostMs = 86'400'000;
+constexpr std::uint64_t kMaxDurationMs = 86'400'000;
 
-Millis span(const Value& value, const char* field) {
+Millis read_duration(const Value& value, const char* field) {
   const std::uint64_t ms = value.count(field);
-  if (ms > kSpanMostMs) throw Malformed(std::string(field) + ": too long a span");
+  if (ms > kMaxDurationMs) throw Malformed(std::string(field) + ": too long a span");
   return Millis(static_cast<Millis::rep>(ms));
 }
 
-const Value::List& machines(const Value& value, const char* field) {
+const Value::List& read_machines(const Value& value, const char* field) {
   const Value::List& list = value.list(field);
   if (list.size() > constants::kMaxDelegationMachines) throw Malformed(std::string(field) + ": too many machines");
   return list;
@@ -45,27 +45,28 @@
 
 }  // namespace
 
-Value to_value(const DelegationRequest& ask) {
+Value to_value(const DelegationRequest& request) {
   Value::List uses;
-  for (const Use& use : ask.uses) {
+  for (const DelegationUse& use : request.uses) {
     uses.push_back(Value::Map{{kMachineField, use.machine.text()}, {kAgoField, count_ms(use.ago)}});
   }
-  return Value::Map{{kNodeField, ask.node.text()},   {kLifeField, ask.life},           {kSequenceField, ask.sequence},
-                    {kTermField, ask.term.number()}, {kHeldField, ask.holds.number()}, {kUsesField, std::move(uses)}};
+  return Value::Map{{kNodeField, request.node.text()},    {kLifeField, request.life},
+                    {kSequenceField, request.sequence},   {kTermField, request.term.number()},
+                    {kHeldField, request.holds.number()}, {kUsesField, std::move(uses)}};
 }
 
 DelegationRequest delegation_request_from(const Value& value) {
-  DelegationRequest ask{.node = NodeName(value.text(kNodeField)),
-                        .life = value.count(kLifeField),
-                        .sequence = value.count(kSequenceField),
-                        .term = Term(value.count(kTermField)),
-                        .holds = DelegationNumber(value.count(kHeldField)),
-                        .uses = {}};
-  if (ask.sequence == 0) throw Malformed(std::string(kSequenceField) + ": must be above 0");
-  for (const Value& use : machines(value, kUsesField)) {
-    ask.uses.push_back({.machine = MachineId(use.text(kMachineField)), .ago = span(use, kAgoField)});
+  DelegationRequest request{.node = NodeName(value.text(kNodeField)),
+                            .life = value.count(kLifeField),
+                            .sequence = value.count(kSequenceField),
+                            .term = Term(value.count(kTermField)),
+                            .holds = DelegationNumber(value.count(kHeldField)),
+                            .uses = {}};
+  if (request.sequence == 0) throw Malformed(std::string(kSequenceField) + ": must be above 0");
+  for (const Value& use : read_machines(value, kUsesField)) {
+    request.uses.push_back({.machine = MachineId(use.text(kMachineField)), .ago = read_duration(use, kAgoField)});
   }
-  return ask;
+  return request;
 }
 
 Value to_value(const LeaseDelegation& delegation) {
@@ -82,10 +83,10 @@
   LeaseDelegation delegation{.number = DelegationNumber(value.count(kNumberField)),
                              .term = Term(value.count(kTermField)),
                              .zone = value.text(kZoneField),
-                             .age = span(value, kAgeField),
+                             .age = read_duration(value, kAgeField),
                              .except = {}};
   if (delegation.number == DelegationNumber{}) throw Malformed(std::string(kNumberField) + ": must be above 0");
-  for (const Value& machine : machines(value, kExceptField)) {
+  for (const Value& machine : read_machines(value, kExceptField)) {
     const std::string* name = machine.as_text();
     if (name == nullptr || name->empty()) throw Malformed(std::string(kExceptField) + ": must be names of machines");
     delegation.except.emplace_back(*name);
--- a/src/zone/messages.h
+++ b/src/zone/messages.h
@@ -6,7 +6,7 @@
 
 namespace foxshunt::zone {
 
-[[nodiscard]] wire::Value to_value(const DelegationRequest& ask);
+[[nodiscard]] wire::Value to_value(const DelegationRequest& request);
 [[nodiscard]] DelegationRequest delegation_request_from(const wire::Value& value);
 [[nodiscard]] wire::Value to_value(const LeaseDelegation& delegation);
 [[nodiscard]] LeaseDelegation delegation_from(const wire::Value& value);
--- a/src/zone/zone_health.cpp
+++ b/src/zone/zone_health.cpp
@@ -6,25 +6,26 @@
 
 namespace foxshunt::zone {
 
-std::string_view name_of(State state) {
+std::string_view name_of(ZoneState state) {
   switch (state) {
-    case State::whole: return "whole";
-    case State::doubtful: return "doubtful";
-    case State::cut: return "cut off";
-    case State::lost: return "lost";
-    case State::returning: return "returning";
+    case ZoneState::whole: return "whole";
+    case ZoneState::doubtful: return "doubtful";
+    case ZoneState::cut: return "cut off";
+    case ZoneState::lost: return "lost";
+    case ZoneState::returning: return "returning";
   }
   return "";
 }
 
 namespace {
 
-std::size_t missing(const ZoneObservation& seen) { return seen.silent + seen.ended; }
-std::size_t expected(const ZoneObservation& seen) { return seen.heard + missing(seen); }
+std::size_t missing_machines(const ZoneObservation& seen) { return seen.silent + seen.ended; }
+std::size_t expected_machines(const ZoneObservation& seen) { return seen.heard + missing_machines(seen); }
 
 bool has_many_missing(const ZoneObservation& seen) {
-  return missing(seen) >= constants::kMinSilentMachinesOfZone &&
-         static_cast<double>(missing(seen)) >= constants::kZoneDoubtfulShare * static_cast<double>(expected(seen));
+  return missing_machines(seen) >= constants::kMinSilentMachinesOfZone &&
+         static_cast<double>(missing_machines(seen)) >=
+             constants::kZoneDoubtfulShare * static_cast<double>(expected_machines(seen));
 }
 
 // A controller that is heard of shows that the way there is open: its machines have failed, not the zone.
@@ -33,57 +34,57 @@
   return !seen.sibling || !seen.sibling_silent || *seen.sibling_silent > constants::kLeaderContactTimeout;
 }
 
-bool is_away(State state) { return state == State::cut || state == State::lost; }
+bool is_away(ZoneState state) { return state == ZoneState::cut || state == ZoneState::lost; }
 
 // Of a zone that nothing is heard of.
-State away_state(const ZoneObservation& seen) { return seen.silent == 0 ? State::lost : State::cut; }
+ZoneState away_state(const ZoneObservation& seen) { return seen.silent == 0 ? ZoneState::lost : ZoneState::cut; }
 
-State next_of_doubtful(const ZoneObservation& seen) {
-  if (!has_many_missing(seen)) return State::whole;
-  return seen.heard == 0 && is_unreachable(seen) ? away_state(seen) : State::doubtful;
+ZoneState next_state_if_doubtful(const ZoneObservation& seen) {
+  if (!has_many_missing(seen)) return ZoneState::whole;
+  return seen.heard == 0 && is_unreachable(seen) ? away_state(seen) : ZoneState::doubtful;
 }
 
-State next_of_away(State state, const ZoneObservation& seen, Millis in_state) {
-  if (seen.heard > 0 || (seen.sibling && !is_unreachable(seen))) return State::returning;
+ZoneState next_state_if_away(ZoneState state, const ZoneObservation& seen, Millis in_state) {
+  if (seen.heard > 0 || (seen.sibling && !is_unreachable(seen))) return ZoneState::returning;
   // Nothing is left there by which its return could be seen: it is tried by renting.
-  if (expected(seen) == 0 && in_state > constants::kZoneMachineRetention) return State::whole;
-  return state == State::lost ? State::lost : away_state(seen);
+  if (expected_machines(seen) == 0 && in_state > constants::kZoneMachineRetention) return ZoneState::whole;
+  return state == ZoneState::lost ? ZoneState::lost : away_state(seen);
 }
 
-State next_of_returning(const ZoneObservation& seen, Millis in_state, Millis settle) {
+ZoneState next_state_if_returning(const ZoneObservation& seen, Millis in_state, Millis settle_interval) {
   const bool many_missing = has_many_missing(seen);
   if (many_missing && is_unreachable(seen) && seen.heard == 0) return away_state(seen);
-  if (in_state < settle) return State::returning;
+  if (in_state < settle_interval) return ZoneState::returning;
   const bool is_back =
-      static_cast<double>(seen.heard) >= constants::kZoneRecoveredShare * static_cast<double>(expected(seen));
-  return is_back || !many_missing ? State::whole : State::returning;
+      static_cast<double>(seen.heard) >= constants::kZoneRecoveredShare * static_cast<double>(expected_machines(seen));
+  return is_back || !many_missing ? ZoneState::whole : ZoneState::returning;
 }
 
 }  // namespace
 
-State ZoneHealthMonitor::next(const Standing& zone, const ZoneObservation& seen, Instant now) {
+ZoneState ZoneHealthMonitor::next_state(const Standing& zone, const ZoneObservation& seen, Instant now) {
   switch (zone.state) {
-    case State::whole: return has_many_missing(seen) ? State::doubtful : State::whole;
-    case State::doubtful: return next_of_doubtful(seen);
-    case State::cut:
-    case State::lost: return next_of_away(zone.state, seen, now - zone.since);
-    case State::returning: return next_of_returning(seen, now - zone.since, zone.settle);
+    case ZoneState::whole: return has_many_missing(seen) ? ZoneState::doubtful : ZoneState::whole;
+    case ZoneState::doubtful: return next_state_if_doubtful(seen);
+    case ZoneState::cut:
+    case ZoneState::lost: return next_state_if_away(zone.state, seen, now - zone.since);
+    case ZoneState::returning: return next_state_if_returning(seen, now - zone.since, zone.settle_interval);
   }
   return zone.state;
 }
 
-std::vector<Change> ZoneHealthMonitor::look(const std::map<std::string, ZoneObservation>& zones, Instant now) {
-  std::vector<Change> changes;
+std::vector<ZoneChange> ZoneHealthMonitor::update(const std::map<std::string, ZoneObservation>& zones, Instant now) {
+  std::vector<ZoneChange> changes;
   for (const auto& [name, seen] : zones) {
     const auto [entry, is_new] = zones_.try_emplace(name);
     Standing& zone = entry->second;
     if (is_new) {
       zone.since = now;
-      zone.settle = constants::kZoneSettleInterval;
+      zone.settle_interval = constants::kZoneSettleInterval;
     }
     zone.seen = seen;
     // One step a look: a zone is never left on the evidence of a single moment.
-    const State to = next(zone, seen, now);
+    const ZoneState to = next_state(zone, seen, now);
     if (to == zone.state) {
       shorten_settling_if_steady(zone, now);
       continue;
@@ -95,42 +96,43 @@
 }
 
 void ZoneHealthMonitor::shorten_settling_if_steady(Standing& zone, Instant now) {
-  if (zone.state != State::whole || zone.settle <= constants::kZoneSettleInterval) return;
+  if (zone.state != ZoneState::whole || zone.settle_interval <= constants::kZoneSettleInterval) return;
   if (now - zone.since <= constants::kZoneSteadyInterval) return;
-  zone.settle = std::max(constants::kZoneSettleInterval, zone.settle / 2);
+  zone.settle_interval = std::max(constants::kZoneSettleInterval, zone.settle_interval / 2);
   zone.since = now;
 }
 
-void ZoneHealthMonitor::move_to(State to, const std::string& name, Standing& zone, Instant now) {
+void ZoneHealthMonitor::move_to(ZoneState to, const std::string& name, Standing& zone, Instant now) {
   if (is_away(to) && !is_away(zone.state)) {
-    const auto left = left_.find(name);
-    const bool was_left_before = left != left_.end();
-    zone.leaving = !was_left_before || now - left->second >= zone.settle;
-    if (zone.leaving) left_[name] = now;
-    if (was_left_before) zone.settle = std::min(constants::kMaxZoneSettleInterval, zone.settle * 2);
+    const auto evacuated_at = evacuated_at_.find(name);
+    const bool was_evacuated_before = evacuated_at != evacuated_at_.end();
+    zone.evacuating = !was_evacuated_before || now - evacuated_at->second >= zone.settle_interval;
+    if (zone.evacuating) evacuated_at_[name] = now;
+    if (was_evacuated_before)
+      zone.settle_interval = std::min(constants::kMaxZoneSettleInterval, zone.settle_interval * 2);
   }
-  if (!is_away(to)) zone.leaving = false;
+  if (!is_away(to)) zone.evacuating = false;
   zone.state = to;
   zone.since = now;
 }
 
-State ZoneHealthMonitor::of(const std::string& zone) const {
+ZoneState ZoneHealthMonitor::state_of(const std::string& zone) const {
   const auto found = zones_.find(zone);
-  return found == zones_.end() ? State::whole : found->second.state;
+  return found == zones_.end() ? ZoneState::whole : found->second.state;
 }
 
-bool ZoneHealthMonitor::leaves(const std::string& zone) const {
+bool ZoneHealthMonitor::should_evacuate(const std::string& zone) const {
   const auto found = zones_.find(zone);
-  return found != zones_.end() && found->second.leaving;
+  return found != zones_.end() && found->second.evacuating;
 }
 
-bool ZoneHealthMonitor::keeps(const std::string& zone, Instant now) const {
+bool ZoneHealthMonitor::retains_silent_machines(const std::string& zone, Instant now) const {
   const auto found = zones_.find(zone);
   if (found == zones_.end()) return false;
   switch (found->second.state) {
-    case State::cut:
-    case State::returning: return true;
-    case State::lost: return now - found->second.since < constants::kZoneMachineRetention;
+    case ZoneState::cut:
+    case ZoneState::returning: return true;
+    case ZoneState::lost: return now - found->second.since < constants::kZoneMachineRetention;
     default: return false;
   }
 }
--- a/src/zone/zone_health.h
+++ b/src/zone/zone_health.h
@@ -18,8 +18,8 @@
 
 // whole: as usual. doubtful: many of its machines fell silent at once. cut: nobody in it is heard, though its tasks may
 // run on. lost: nothing can run there any more. returning: heard again, not yet trusted.
-enum class State : std::uint8_t { whole, doubtful, cut, lost, returning };
-[[nodiscard]] std::string_view name_of(State state);
+enum class ZoneState : std::uint8_t { whole, doubtful, cut, lost, returning };
+[[nodiscard]] std::string_view name_of(ZoneState state);
 
 // What a look at the machines of a zone found.
 struct ZoneObservation {
@@ -33,44 +33,44 @@
   friend bool operator==(const ZoneObservation&, const ZoneObservation&) = default;
 };
 
-struct Change {
+struct ZoneChange {
   std::string zone;
-  State from;
-  State to;
+  ZoneState from;
+  ZoneState to;
   ZoneObservation seen;
 };
 
 class ZoneHealthMonitor {
  public:
   // Takes a look at all zones in which there are machines or controllers; what changed by it.
-  std::vector<Change> look(const std::map<std::string, ZoneObservation>& zones, Instant now);
+  std::vector<ZoneChange> update(const std::map<std::string, ZoneObservation>& zones, Instant now);
 
-  [[nodiscard]] State of(const std::string& zone) const;
+  [[nodiscard]] ZoneState state_of(const std::string& zone) const;
   // Whether machines may be rented there, and those that boot are counted on.
-  [[nodiscard]] bool trusted(const std::string& zone) const { return of(zone) == State::whole; }
+  [[nodiscard]] bool is_healthy(const std::string& zone) const { return state_of(zone) == ZoneState::whole; }
   // Whether a machine of it that reports may get new work.
-  [[nodiscard]] bool takes_work(const std::string& zone) const { return of(zone) != State::returning; }
+  [[nodiscard]] bool accepts_tasks(const std::string& zone) const { return state_of(zone) != ZoneState::returning; }
   // Whether work there is to be made room for elsewhere. A zone that comes and goes is left at most once in a settling time.
-  [[nodiscard]] bool leaves(const std::string& zone) const;
+  [[nodiscard]] bool should_evacuate(const std::string& zone) const;
   // Whether its silent machines are kept for its return rather than given back.
-  [[nodiscard]] bool keeps(const std::string& zone, Instant now) const;
+  [[nodiscard]] bool retains_silent_machines(const std::string& zone, Instant now) const;
 
   struct Standing {
-    State state = State::whole;
+    ZoneState state = ZoneState::whole;
     Instant since;
-    Millis settle{};  // how long it will be watched when it returns
-    bool leaving = false;
+    Millis settle_interval{};  // how long it will be watched when it returns
+    bool evacuating = false;
     ZoneObservation seen;
   };
   [[nodiscard]] const std::map<std::string, Standing>& standings() const { return zones_; }
 
  private:
-  static State next(const Standing& zone, const ZoneObservation& seen, Instant now);
+  static ZoneState next_state(const Standing& zone, const ZoneObservation& seen, Instant now);
   static void shorten_settling_if_steady(Standing& zone, Instant now);
-  void move_to(State to, const std::string& name, Standing& zone, Instant now);
+  void move_to(ZoneState to, const std::string& name, Standing& zone, Instant now);
 
   std::map<std::string, Standing> zones_;
-  std::map<std::string, Instant> left_;  // when its work was last made room for elsewhere
+  std::map<std::string, Instant> evacuated_at_;  // when its work was last made room for elsewhere
 };
 
 }  // namespace foxshunt::zone
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -85,14 +85,14 @@
       zone::DelegatedLease probe = node.holder;
       out << "holds" << (node.leader_answered ? away(*node.leader_answered) : "-");
       for (const Machine& machine : machines_) {
-        const auto may = probe.answers(machine.worker.id(), machine.zone, Term{}, now_);
+        const auto may = probe.try_answer(machine.worker.id(), machine.zone, Term{}, now_);
         out << (may ? term(*may) : -1);
       }
       if (probe.until()) out << away(*probe.until());
       zone::DelegatedLease asks = node.holder;
       const zone::DelegationRequest ask = asks.next_request(node.term_seen, now_);
       out << (ask.holds != zone::DelegationNumber{});
-      for (const zone::Use& use : ask.uses) out << use.machine.text() << use.ago.count();
+      for (const zone::DelegationUse& use : ask.uses) out << use.machine.text() << use.ago.count();
     }
     if (!controller.is_leader()) continue;
     out << term(controller.term()) << (controller.term_revision() == mark_now(state::kTermKey)) << away(node.lease_at)
--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -638,7 +638,7 @@
   Node& self = nodes_[node];
   const bool near = self.leader_answered && now_ - *self.leader_answered < constants::kLeaderContactTimeout;
   if (near && !tried) return false;
-  const auto term = self.holder.answers(heartbeat.machine, heartbeat.zone, heartbeat.term, now_);
+  const auto term = self.holder.try_answer(heartbeat.machine, heartbeat.zone, heartbeat.term, now_);
   if (!term) return false;
   deliver_answer(number, std::vector<wire::Command>{}, *term, heartbeat.incarnation, sent);
   return true;
@@ -836,7 +836,7 @@
         if (!one.frozen && one.controller.is_leader()) {
           (void)one.controller.on_heartbeat(message.heartbeat, now_);
         } else if (!one.frozen) {
-          (void)one.holder.answers(message.heartbeat.machine, message.heartbeat.zone, message.heartbeat.term, now_);
+          (void)one.holder.try_answer(message.heartbeat.machine, message.heartbeat.zone, message.heartbeat.term, now_);
         }
       }
       return true;
--- a/tests/scenarios/scenario_expectations.cpp
+++ b/tests/scenarios/scenario_expectations.cpp
@@ -146,7 +146,7 @@
     ASSERT_TRUE(world().leader());
     std::string state = words.at(3);
     if (words.size() > 4) state += " " + words[4];
-    EXPECT_EQ(zone::name_of(world().controller(*world().leader()).zones().of(words.at(2))), state);
+    EXPECT_EQ(zone::name_of(world().controller(*world().leader()).zones().state_of(words.at(2))), state);
   } else if (what == "rentals") {  // of pools
     EXPECT_EQ(world().pool_rentals(), count_from(words.at(2), what));
   } else if (what == "digests") {  // equal
--- a/tests/standins/world_troubles.cpp
+++ b/tests/standins/world_troubles.cpp
@@ -245,7 +245,7 @@
     (void)nodes_[*leader].controller->on_heartbeat(heartbeat, time_of(*leader));
     return;
   }
-  (void)self.holder.answers(heartbeat.machine, heartbeat.zone, heartbeat.term, time_of(node));
+  (void)self.holder.try_answer(heartbeat.machine, heartbeat.zone, heartbeat.term, time_of(node));
 }
 
 void World::make_deaf(const MachineId& id, double for_s) {
--- a/tests/standins/world_workers.cpp
+++ b/tests/standins/world_workers.cpp
@@ -117,7 +117,7 @@
   Node& self = nodes_[node];
   const bool near = self.leader_answered && now_ - *self.leader_answered < constants::kLeaderContactTimeout;
   if (!self.alive || (near && !leader_tried)) return false;
-  const auto term = self.holder.answers(id, heartbeat.zone, heartbeat.term, time_of(node));
+  const auto term = self.holder.try_answer(id, heartbeat.zone, heartbeat.term, time_of(node));
   if (!term) return false;
   ++answered_by_grant_;
   record_report_answer(id, node, *term, std::vector<wire::Command>{});
--- a/tests/unit/grants_test.cpp
+++ b/tests/unit/grants_test.cpp
@@ -18,121 +18,121 @@
 const MachineId kMachine("m-000001");
 const NodeName kSibling("node-1");
 
-config::Settings settings() {
-  config::Settings made;
-  made.name = NodeName("node-0");
-  made.siblings = {{.name = kSibling, .zone = "b", .endpoint = "127.0.0.1:1"},
-                   {.name = NodeName("node-2"), .zone = "c", .endpoint = "127.0.0.1:2"}};
-  made.lease_s = 10;
-  made.cancel_s = 40;
-  return made;
+config::Settings make_settings() {
+  config::Settings settings;
+  settings.name = NodeName("node-0");
+  settings.siblings = {{.name = kSibling, .zone = "b", .endpoint = "127.0.0.1:1"},
+                       {.name = NodeName("node-2"), .zone = "c", .endpoint = "127.0.0.1:2"}};
+  settings.lease_s = 10;
+  settings.cancel_s = 40;
+  return settings;
 }
 
-Spans spans() { return control::delegation_spans(settings()); }
-DelegationTable book() { return {settings().siblings, spans()}; }
-DelegatedLease holder(std::uint64_t life = 1) { return {kSibling, "b", life, spans()}; }
+DelegationTimeouts timeouts() { return control::delegation_spans(make_settings()); }
+DelegationTable make_table() { return {make_settings().siblings, timeouts()}; }
+DelegatedLease make_holder(std::uint64_t life = 1) { return {kSibling, "b", life, timeouts()}; }
 
 // A word and its answer, as a leader for whom what the word tells changes nothing of what it leaves out.
-std::optional<LeaseDelegation> on_delegation_request(DelegationTable& giver, const DelegationRequest& ask, Term term,
-                                                     std::optional<Instant> known, const std::vector<MachineId>& except,
-                                                     Instant now) {
-  if (!giver.hear(ask, term, now)) return std::nullopt;
-  return giver.give(ask.node, term, known, except, now);
+std::optional<LeaseDelegation> on_delegation_request(DelegationTable& table, const DelegationRequest& request,
+                                                     Term term, std::optional<Instant> known,
+                                                     const std::vector<MachineId>& except, Instant now) {
+  if (!table.apply_request(request, term, now)) return std::nullopt;
+  return table.issue_delegation(request.node, term, known, except, now);
 }
 
 TEST(Grants, EndAFenceAfterWhatTheGiverKnew) {
-  DelegationTable giver = book();
-  DelegatedLease held = holder();
-  EXPECT_FALSE(held.answers(kMachine, "b", Term(0), kStart));
-  const auto delegation = on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3),
+  DelegationTable table = make_table();
+  DelegatedLease holder = make_holder();
+  EXPECT_FALSE(holder.try_answer(kMachine, "b", Term(0), kStart));
+  const auto delegation = on_delegation_request(table, holder.next_request(Term(3), kStart), Term(3),
                                                 kStart - Millis(700), {}, kStart + Millis(20));
   ASSERT_TRUE(delegation);
   // The answer comes minutes late, and counts from when it was asked for.
-  ASSERT_TRUE(held.on_delegation(*delegation, kStart));
-  EXPECT_EQ(held.answers(kMachine, "b", Term(2), kStart + Millis(100)), Term(3));
-  const Instant end = kStart - Millis(720) + spans().delegation;
-  EXPECT_TRUE(held.answers(kMachine, "b", Term(3), end - Millis(1)));
-  EXPECT_FALSE(held.answers(kMachine, "b", Term(3), end));
-  EXPECT_GE(giver.renewed_until("b", kMachine), end);
-  EXPECT_GE(giver.renewed_until("", kMachine), end) << "in a zone that is not known";
-  EXPECT_EQ(giver.renewed_until("c", kMachine), Instant{});
+  ASSERT_TRUE(holder.on_delegation(*delegation, kStart));
+  EXPECT_EQ(holder.try_answer(kMachine, "b", Term(2), kStart + Millis(100)), Term(3));
+  const Instant end = kStart - Millis(720) + timeouts().delegation;
+  EXPECT_TRUE(holder.try_answer(kMachine, "b", Term(3), end - Millis(1)));
+  EXPECT_FALSE(holder.try_answer(kMachine, "b", Term(3), end));
+  EXPECT_GE(table.renewed_until("b", kMachine), end);
+  EXPECT_GE(table.renewed_until("", kMachine), end) << "in a zone that is not known";
+  EXPECT_EQ(table.renewed_until("c", kMachine), Instant{});
 }
 
 TEST(Grants, AreForTheZoneTheTermAndWhoIsNotLeftOut) {
-  DelegationTable giver = book();
-  DelegatedLease held = holder();
-  const auto delegation = on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), kStart,
+  DelegationTable table = make_table();
+  DelegatedLease holder = make_holder();
+  const auto delegation = on_delegation_request(table, holder.next_request(Term(3), kStart), Term(3), kStart,
                                                 {MachineId("m-000002")}, kStart);
-  ASSERT_TRUE(held.on_delegation(*delegation, kStart));
-  EXPECT_FALSE(held.answers(MachineId("m-000002"), "b", Term(3), kStart)) << "left out";
-  EXPECT_FALSE(held.answers(kMachine, "a", Term(3), kStart)) << "another zone";
-  EXPECT_FALSE(held.answers(kMachine, "b", Term(4), kStart)) << "the worker has seen a later term";
-  EXPECT_EQ(giver.renewed_until("b", MachineId("m-000002")), Instant{});
-  held.observe_term(Term(4));
-  EXPECT_FALSE(held.answers(kMachine, "b", Term(3), kStart)) << "a later term";
+  ASSERT_TRUE(holder.on_delegation(*delegation, kStart));
+  EXPECT_FALSE(holder.try_answer(MachineId("m-000002"), "b", Term(3), kStart)) << "left out";
+  EXPECT_FALSE(holder.try_answer(kMachine, "a", Term(3), kStart)) << "another zone";
+  EXPECT_FALSE(holder.try_answer(kMachine, "b", Term(4), kStart)) << "the worker has seen a later term";
+  EXPECT_EQ(table.renewed_until("b", MachineId("m-000002")), Instant{});
+  holder.observe_term(Term(4));
+  EXPECT_FALSE(holder.try_answer(kMachine, "b", Term(3), kStart)) << "a later term";
 }
 
 TEST(Grants, ANewerOneReplacesOlderOnesForTheGiverOnlyWhenTheHolderSaysSo) {
-  DelegationTable giver = book();
-  DelegatedLease held = holder();
-  const auto first = on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), kStart, {}, kStart);
-  ASSERT_TRUE(held.on_delegation(*first, kStart));
-  EXPECT_TRUE(held.answers(kMachine, "b", Term(3), kStart + Millis(200)));
+  DelegationTable table = make_table();
+  DelegatedLease holder = make_holder();
+  const auto first = on_delegation_request(table, holder.next_request(Term(3), kStart), Term(3), kStart, {}, kStart);
+  ASSERT_TRUE(holder.on_delegation(*first, kStart));
+  EXPECT_TRUE(holder.try_answer(kMachine, "b", Term(3), kStart + Millis(200)));
   const Instant later = kStart + Millis(1000);
   const auto second =
-      on_delegation_request(giver, held.next_request(Term(3), later), Term(3), later, {kMachine}, later);
-  EXPECT_GE(giver.renewed_until("b", kMachine), kStart + spans().delegation) << "the first may be in use";
-  ASSERT_TRUE(held.on_delegation(*second, later));
-  EXPECT_FALSE(held.on_delegation(*first, later)) << "an older one is no step back";
+      on_delegation_request(table, holder.next_request(Term(3), later), Term(3), later, {kMachine}, later);
+  EXPECT_GE(table.renewed_until("b", kMachine), kStart + timeouts().delegation) << "the first may be in use";
+  ASSERT_TRUE(holder.on_delegation(*second, later));
+  EXPECT_FALSE(holder.on_delegation(*first, later)) << "an older one is no step back";
   const Instant last = later + Millis(1000);
-  ASSERT_TRUE(on_delegation_request(giver, held.next_request(Term(3), last), Term(3), last, {kMachine}, last));
-  EXPECT_EQ(giver.renewed_until("b", kMachine), kStart + Millis(200)) << "the use that was told";
-  EXPECT_TRUE(giver.used_within("b", kMachine, Millis(1800), last));
-  EXPECT_FALSE(giver.used_within("b", kMachine, Millis(1700), last));
+  ASSERT_TRUE(on_delegation_request(table, holder.next_request(Term(3), last), Term(3), last, {kMachine}, last));
+  EXPECT_EQ(table.renewed_until("b", kMachine), kStart + Millis(200)) << "the use that was told";
+  EXPECT_TRUE(table.used_within("b", kMachine, Millis(1800), last));
+  EXPECT_FALSE(table.used_within("b", kMachine, Millis(1700), last));
 }
 
 TEST(Grants, WhatAnEndedProcessDidIsCountedUpToItsSuccessor) {
-  DelegationTable giver = book();
-  DelegatedLease held = holder(5);
-  ASSERT_TRUE(held.on_delegation(
-      *on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), kStart, {}, kStart), kStart));
-  const DelegationRequest stale = held.next_request(Term(3), kStart + Millis(500));
-  DelegatedLease next = holder(6);
+  DelegationTable table = make_table();
+  DelegatedLease holder = make_holder(5);
+  ASSERT_TRUE(holder.on_delegation(
+      *on_delegation_request(table, holder.next_request(Term(3), kStart), Term(3), kStart, {}, kStart), kStart));
+  const DelegationRequest stale = holder.next_request(Term(3), kStart + Millis(500));
+  DelegatedLease next = make_holder(6);
   const Instant back = kStart + Millis(6000);
-  ASSERT_TRUE(on_delegation_request(giver, next.next_request(Term(3), back), Term(3), back, {kMachine}, back));
-  EXPECT_EQ(giver.renewed_until("b", kMachine), back);
+  ASSERT_TRUE(on_delegation_request(table, next.next_request(Term(3), back), Term(3), back, {kMachine}, back));
+  EXPECT_EQ(table.renewed_until("b", kMachine), back);
   // A word of the ended process that was held up till now says nothing of its successor.
-  ASSERT_FALSE(on_delegation_request(giver, stale, Term(3), back, {}, back + Millis(10)));
-  const auto delegation = on_delegation_request(giver, next.next_request(Term(3), back + Millis(20)), Term(3), back,
+  ASSERT_FALSE(on_delegation_request(table, stale, Term(3), back, {}, back + Millis(10)));
+  const auto delegation = on_delegation_request(table, next.next_request(Term(3), back + Millis(20)), Term(3), back,
                                                 {kMachine}, back + Millis(20));
   ASSERT_TRUE(next.on_delegation(*delegation, back + Millis(20)));
-  (void)on_delegation_request(giver, next.next_request(Term(3), back + Millis(900)), Term(3), back, {kMachine},
+  (void)on_delegation_request(table, next.next_request(Term(3), back + Millis(900)), Term(3), back, {kMachine},
                               back + Millis(900));
-  EXPECT_EQ(giver.renewed_until("b", kMachine), back) << "not forgotten with the grants that the successor replaced";
+  EXPECT_EQ(table.renewed_until("b", kMachine), back) << "not forgotten with the grants that the successor replaced";
 }
 
 TEST(Grants, WithoutTheRightThereIsAnAnswerThatGivesNothing) {
-  DelegationTable giver = book();
-  DelegatedLease held = holder();
+  DelegationTable table = make_table();
+  DelegatedLease holder = make_holder();
   const auto delegation =
-      on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), std::nullopt, {}, kStart);
+      on_delegation_request(table, holder.next_request(Term(3), kStart), Term(3), std::nullopt, {}, kStart);
   ASSERT_TRUE(delegation);
-  ASSERT_TRUE(held.on_delegation(*delegation, kStart));
-  EXPECT_FALSE(held.answers(kMachine, "b", Term(3), kStart));
-  EXPECT_EQ(giver.renewed_until("b", kMachine), Instant{});
-  EXPECT_FALSE(on_delegation_request(giver, held.next_request(Term(4), kStart), Term(3), kStart, {}, kStart))
+  ASSERT_TRUE(holder.on_delegation(*delegation, kStart));
+  EXPECT_FALSE(holder.try_answer(kMachine, "b", Term(3), kStart));
+  EXPECT_EQ(table.renewed_until("b", kMachine), Instant{});
+  EXPECT_FALSE(on_delegation_request(table, holder.next_request(Term(4), kStart), Term(3), kStart, {}, kStart))
       << "another term";
-  DelegatedLease stranger(NodeName("node-9"), "b", 1, spans());
-  EXPECT_FALSE(on_delegation_request(giver, stranger.next_request(Term(3), kStart), Term(3), kStart, {}, kStart))
+  DelegatedLease unknown_node(NodeName("node-9"), "b", 1, timeouts());
+  EXPECT_FALSE(on_delegation_request(table, unknown_node.next_request(Term(3), kStart), Term(3), kStart, {}, kStart))
       << "no sibling";
 }
 
 TEST(Grants, OlderTermsAreOverWhenAllHaveAskedAndAskedAgain) {
-  DelegationTable giver = book();
-  DelegatedLease one = holder();
-  DelegatedLease two(NodeName("node-2"), "c", 1, spans());
+  DelegationTable table = make_table();
+  DelegatedLease one = make_holder();
+  DelegatedLease two(NodeName("node-2"), "c", 1, timeouts());
   const auto round = [&](DelegatedLease& each, Instant when) {
-    const auto delegation = on_delegation_request(giver, each.next_request(Term(3), when), Term(3), when, {}, when);
+    const auto delegation = on_delegation_request(table, each.next_request(Term(3), when), Term(3), when, {}, when);
     ASSERT_TRUE(delegation);
     ASSERT_TRUE(each.on_delegation(*delegation, when));
   };
@@ -140,35 +140,35 @@
   round(one, kStart + Millis(1));
   round(two, kStart + Millis(2));
   // The second might have given the first an older term's grant until it asked itself.
-  EXPECT_FALSE(giver.have_older_terms_ended());
+  EXPECT_FALSE(table.have_older_terms_ended());
   round(two, kStart + Millis(3));
-  EXPECT_FALSE(giver.have_older_terms_ended());
+  EXPECT_FALSE(table.have_older_terms_ended());
   round(one, kStart + Millis(4));
-  EXPECT_FALSE(giver.have_older_terms_ended()) << "what it holds was given before the second had asked";
+  EXPECT_FALSE(table.have_older_terms_ended()) << "what it holds was given before the second had asked";
   round(one, kStart + Millis(5));
-  EXPECT_TRUE(giver.have_older_terms_ended());
+  EXPECT_TRUE(table.have_older_terms_ended());
 }
 
 TEST(Grants, UsesHaveToFitAWord) {
-  DelegationTable giver = book();
-  DelegatedLease held = holder();
-  ASSERT_TRUE(held.on_delegation(
-      *on_delegation_request(giver, held.next_request(Term(3), kStart), Term(3), kStart, {}, kStart), kStart));
+  DelegationTable table = make_table();
+  DelegatedLease holder = make_holder();
+  ASSERT_TRUE(holder.on_delegation(
+      *on_delegation_request(table, holder.next_request(Term(3), kStart), Term(3), kStart, {}, kStart), kStart));
   for (std::size_t machine = 0; machine < constants::kMaxDelegationMachines; ++machine) {
-    ASSERT_TRUE(held.answers(MachineId("m-" + std::to_string(100'000 + machine)), "b", Term(3), kStart));
+    ASSERT_TRUE(holder.try_answer(MachineId("m-" + std::to_string(100'000 + machine)), "b", Term(3), kStart));
   }
-  EXPECT_FALSE(held.answers(kMachine, "b", Term(3), kStart));
-  EXPECT_LT(wire::encode(to_value(held.next_request(Term(3), kStart))).size(), constants::kMaxBodyBytes);
+  EXPECT_FALSE(holder.try_answer(kMachine, "b", Term(3), kStart));
+  EXPECT_LT(wire::encode(to_value(holder.next_request(Term(3), kStart))).size(), constants::kMaxBodyBytes);
 }
 
 TEST(Grants, WordsComeBackAsTheyWere) {
-  const DelegationRequest ask{.node = kSibling,
-                              .life = 1'800'000'000'123,
-                              .sequence = 9,
-                              .term = Term(4),
-                              .holds = DelegationNumber(17),
-                              .uses = {{.machine = kMachine, .ago = Millis(1200)}}};
-  EXPECT_EQ(delegation_request_from(wire::decode(wire::encode(to_value(ask)))), ask);
+  const DelegationRequest request{.node = kSibling,
+                                  .life = 1'800'000'000'123,
+                                  .sequence = 9,
+                                  .term = Term(4),
+                                  .holds = DelegationNumber(17),
+                                  .uses = {{.machine = kMachine, .ago = Millis(1200)}}};
+  EXPECT_EQ(delegation_request_from(wire::decode(wire::encode(to_value(request)))), request);
   const LeaseDelegation delegation{
       .number = DelegationNumber(18), .term = Term(4), .zone = "b", .age = Millis(800), .except = {kMachine}};
   EXPECT_EQ(delegation_from(wire::decode(wire::encode(to_value(delegation)))), delegation);
@@ -200,9 +200,9 @@
 // A leader, a sibling and its later lives, words lost or held up at will, two clocks at the ends of their drift: at every
 // moment, a machine that was answered keeps its lease for as long as the giver reckons with, and no answer is given later
 // than the last moment that the giver knew allows.
-class GrantDays : public testing::TestWithParam<unsigned> {};
+class LeaseDelegationSimulation : public testing::TestWithParam<unsigned> {};
 
-TEST_P(GrantDays, GiverReckonsWithAllThatHoldersDo) {
+TEST_P(LeaseDelegationSimulation, GiverReckonsWithAllThatHoldersDo) {
   std::mt19937 random(GetParam());
   const auto pick = [&random](int low, int high) { return std::uniform_int_distribution<int>(low, high)(random); };
   const double drift = pick(0, 1) == 0 ? constants::kClockDrift : -constants::kClockDrift;
@@ -211,14 +211,14 @@
   const auto holder_clock = [&](double at_ms) {
     return Instant(Millis(77'000 + std::llround(at_ms * (1 - drift / 2))));
   };
-  const Spans limits = spans();
-  DelegationTable giver = book();
+  const DelegationTimeouts limits = timeouts();
+  DelegationTable table = make_table();
   std::uint64_t life = 1;
-  DelegatedLease held = holder(life);
+  DelegatedLease holder = make_holder(life);
   struct OnTheWay {
     double arrives;
-    DelegationRequest ask;
-    double asked;
+    DelegationRequest request;
+    double asked_at;
     std::uint64_t life;
   };
   std::vector<OnTheWay> words;
@@ -231,8 +231,8 @@
     if (pick(0, 19) == 0) {
       const bool lost = pick(0, 2) == 0;
       const double way = pick(0, 5) == 0 ? pick(0, 90'000) : pick(1, 30);
-      const DelegationRequest ask = held.next_request(Term(1), holder_clock(at));
-      if (!lost) words.push_back({.arrives = at + way, .ask = ask, .asked = at, .life = life});
+      const DelegationRequest request = holder.next_request(Term(1), holder_clock(at));
+      if (!lost) words.push_back({.arrives = at + way, .request = request, .asked_at = at, .life = life});
     }
     for (std::size_t word = 0; word < words.size();) {
       if (words[word].arrives > at) {
@@ -242,32 +242,32 @@
       std::vector<MachineId> except;
       if (pick(0, 2) == 0) except.push_back(machine);
       const auto delegation =
-          on_delegation_request(giver, words[word].ask, Term(1), giver_clock(known), except, giver_clock(at));
+          on_delegation_request(table, words[word].request, Term(1), giver_clock(known), except, giver_clock(at));
       // The sibling may have given up waiting for it, or have been restarted.
       if (delegation && words[word].life == life && pick(0, 3) > 0) {
-        (void)held.on_delegation(*delegation, holder_clock(words[word].asked));
+        (void)holder.on_delegation(*delegation, holder_clock(words[word].asked_at));
       }
       words.erase(words.begin() + static_cast<std::ptrdiff_t>(word));
     }
-    if (pick(0, 3) > 0 && held.answers(machine, "b", Term(1), holder_clock(at))) {
+    if (pick(0, 3) > 0 && holder.try_answer(machine, "b", Term(1), holder_clock(at))) {
       answered[machine] = at;
       ++uses;
       EXPECT_LE(at, known + (40'000 - 10'000) - 1000) << "a cancellation after the last known change could be overrun";
     }
-    if (pick(0, 600) == 0) held = holder(++life);
-    giver.forget_before(giver_clock(at));
+    if (pick(0, 600) == 0) holder = make_holder(++life);
+    table.prune_expired(giver_clock(at));
     for (const auto& [name, when] : answered) {
       // Its lease ends 10 s by its own clock, which may be slow, after the last answer.
       const double over = when + 10'000 * (1 + constants::kClockDrift);
       if (over <= at) continue;
-      ASSERT_GE(giver.renewed_until("b", name) + limits.lease, giver_clock(over) - Millis(1))
+      ASSERT_GE(table.renewed_until("b", name) + limits.lease, giver_clock(over) - Millis(1))
           << name.text() << " at " << at;
     }
   }
   EXPECT_GT(uses, 0U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, GrantDays, testing::Range(1U, 101U));
+INSTANTIATE_TEST_SUITE_P(Seeds, LeaseDelegationSimulation, testing::Range(1U, 101U));
 
 }  // namespace
 }  // namespace foxshunt::zone
--- a/tests/unit/zone_view_test.cpp
+++ b/tests/unit/zone_view_test.cpp
@@ -8,121 +8,121 @@
 namespace foxshunt::zone {
 namespace {
 
-constexpr Millis kLook{350};
+constexpr Millis kUpdateInterval{350};
 
 // A zone that is looked at as often as the leader does, until it is said otherwise.
-class OneZone {
+class SimulatedZone {
  public:
-  void look(const ZoneObservation& seen, Millis span = kLook) {
-    for (const Instant until = now_ + span; now_ < until; now_ += kLook)
-      changes_ += view_.look({{"b", seen}}, now_).size();
+  void observe(const ZoneObservation& seen, Millis span = kUpdateInterval) {
+    for (const Instant until = now_ + span; now_ < until; now_ += kUpdateInterval)
+      changes_ += monitor_.update({{"b", seen}}, now_).size();
   }
-  [[nodiscard]] State state() const { return view_.of("b"); }
+  [[nodiscard]] ZoneState state() const { return monitor_.state_of("b"); }
   [[nodiscard]] std::size_t changes() const { return changes_; }
-  [[nodiscard]] const ZoneHealthMonitor& view() const { return view_; }
+  [[nodiscard]] const ZoneHealthMonitor& monitor() const { return monitor_; }
   [[nodiscard]] Instant now() const { return now_; }
 
  private:
-  ZoneHealthMonitor view_;
+  ZoneHealthMonitor monitor_;
   Instant now_{Millis(1'000'000)};
   std::size_t changes_ = 0;
 };
 
-const ZoneObservation kWhole{.heard = 20, .sibling = true, .sibling_silent = Millis(500)};
-const ZoneObservation kGone{.silent = 20, .tasks = 40, .sibling = true, .sibling_silent = Millis(9000)};
+const ZoneObservation kHealthy{.heard = 20, .sibling = true, .sibling_silent = Millis(500)};
+const ZoneObservation kSilent{.silent = 20, .tasks = 40, .sibling = true, .sibling_silent = Millis(9000)};
 const ZoneObservation kEnded{.ended = 20, .sibling = true, .sibling_silent = Millis(60'000)};
 
-TEST(ZoneView, TwentyMachinesAreOneEvent) {
-  OneZone zone;
-  zone.look(kWhole);
-  zone.look(kGone, Millis(20'000));
-  EXPECT_EQ(zone.state(), State::cut);
+TEST(ZoneHealthMonitorTest, TwentyMachinesAreOneEvent) {
+  SimulatedZone zone;
+  zone.observe(kHealthy);
+  zone.observe(kSilent, Millis(20'000));
+  EXPECT_EQ(zone.state(), ZoneState::cut);
   EXPECT_EQ(zone.changes(), 2U) << "doubtful, then cut off";
-  zone.look(kEnded);
-  EXPECT_EQ(zone.state(), State::lost);
+  zone.observe(kEnded);
+  EXPECT_EQ(zone.state(), ZoneState::lost);
   EXPECT_EQ(zone.changes(), 3U);
 }
 
-TEST(ZoneView, AFewMachinesAreNotTheZone) {
-  OneZone zone;
-  zone.look({.heard = 18, .silent = 2, .sibling = true, .sibling_silent = Millis(9000)}, Millis(60'000));
-  EXPECT_EQ(zone.state(), State::whole);
-  zone.look({.heard = 0, .silent = 2}, Millis(60'000));
-  EXPECT_EQ(zone.state(), State::whole) << "two machines may well fail by chance";
+TEST(ZoneHealthMonitorTest, AFewMachinesAreNotTheZone) {
+  SimulatedZone zone;
+  zone.observe({.heard = 18, .silent = 2, .sibling = true, .sibling_silent = Millis(9000)}, Millis(60'000));
+  EXPECT_EQ(zone.state(), ZoneState::whole);
+  zone.observe({.heard = 0, .silent = 2}, Millis(60'000));
+  EXPECT_EQ(zone.state(), ZoneState::whole) << "two machines may well fail by chance";
 }
 
-TEST(ZoneView, MachinesThatDieWhereTheControllerIsHeardDoNotCutItOff) {
-  OneZone zone;
-  zone.look({.silent = 20, .sibling = true, .sibling_silent = Millis(300)}, Millis(60'000));
-  EXPECT_EQ(zone.state(), State::doubtful);
+TEST(ZoneHealthMonitorTest, MachinesThatDieWhereTheControllerIsHeardDoNotCutItOff) {
+  SimulatedZone zone;
+  zone.observe({.silent = 20, .sibling = true, .sibling_silent = Millis(300)}, Millis(60'000));
+  EXPECT_EQ(zone.state(), ZoneState::doubtful);
 }
 
-TEST(ZoneView, TheOwnZoneIsNeverCutOff) {
-  OneZone zone;
-  zone.look({.silent = 20, .own = true}, Millis(60'000));
-  EXPECT_EQ(zone.state(), State::doubtful);
+TEST(ZoneHealthMonitorTest, TheOwnZoneIsNeverCutOff) {
+  SimulatedZone zone;
+  zone.observe({.silent = 20, .own = true}, Millis(60'000));
+  EXPECT_EQ(zone.state(), ZoneState::doubtful);
 }
 
-TEST(ZoneView, WithoutAControllerTheMachinesTell) {
-  OneZone zone;
-  zone.look({.silent = 5}, Millis(1000));
-  EXPECT_EQ(zone.state(), State::cut);
-  EXPECT_FALSE(zone.view().trusted("b"));
-  zone.look({.heard = 5}, kLook);
-  EXPECT_EQ(zone.state(), State::returning);
+TEST(ZoneHealthMonitorTest, WithoutAControllerTheMachinesTell) {
+  SimulatedZone zone;
+  zone.observe({.silent = 5}, Millis(1000));
+  EXPECT_EQ(zone.state(), ZoneState::cut);
+  EXPECT_FALSE(zone.monitor().is_healthy("b"));
+  zone.observe({.heard = 5}, kUpdateInterval);
+  EXPECT_EQ(zone.state(), ZoneState::returning);
 }
 
-TEST(ZoneView, AZoneWithoutMachinesIsWhole) {
-  OneZone zone;
-  zone.look({}, Millis(60'000));
-  EXPECT_EQ(zone.state(), State::whole);
-  EXPECT_EQ(zone.view().of("none"), State::whole);
+TEST(ZoneHealthMonitorTest, AZoneWithoutMachinesIsWhole) {
+  SimulatedZone zone;
+  zone.observe({}, Millis(60'000));
+  EXPECT_EQ(zone.state(), ZoneState::whole);
+  EXPECT_EQ(zone.monitor().state_of("none"), ZoneState::whole);
 }
 
-TEST(ZoneView, ReturnTakesASettlingTime) {
-  OneZone zone;
-  zone.look(kGone, Millis(2000));
-  zone.look(kWhole);
-  EXPECT_EQ(zone.state(), State::returning);
-  EXPECT_FALSE(zone.view().takes_work("b"));
-  EXPECT_FALSE(zone.view().trusted("b"));
-  zone.look(kWhole, constants::kZoneSettleInterval + kLook);
-  EXPECT_EQ(zone.state(), State::whole);
+TEST(ZoneHealthMonitorTest, ReturnTakesASettlingTime) {
+  SimulatedZone zone;
+  zone.observe(kSilent, Millis(2000));
+  zone.observe(kHealthy);
+  EXPECT_EQ(zone.state(), ZoneState::returning);
+  EXPECT_FALSE(zone.monitor().accepts_tasks("b"));
+  EXPECT_FALSE(zone.monitor().is_healthy("b"));
+  zone.observe(kHealthy, constants::kZoneSettleInterval + kUpdateInterval);
+  EXPECT_EQ(zone.state(), ZoneState::whole);
 }
 
-TEST(ZoneView, AFlappingZoneIsLeftOnceInASettlingTimeThatDoublesAndDecays) {
-  OneZone zone;
-  zone.look(kGone, Millis(1400));
-  EXPECT_TRUE(zone.view().leaves("b"));
-  zone.look(kWhole, kLook);
-  zone.look(kGone, Millis(1400));
-  EXPECT_FALSE(zone.view().leaves("b")) << "again within the settling time";
-  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kZoneSettleInterval * 2);
+TEST(ZoneHealthMonitorTest, AFlappingZoneIsLeftOnceInASettlingTimeThatDoublesAndDecays) {
+  SimulatedZone zone;
+  zone.observe(kSilent, Millis(1400));
+  EXPECT_TRUE(zone.monitor().should_evacuate("b"));
+  zone.observe(kHealthy, kUpdateInterval);
+  zone.observe(kSilent, Millis(1400));
+  EXPECT_FALSE(zone.monitor().should_evacuate("b")) << "again within the settling time";
+  EXPECT_EQ(zone.monitor().standings().at("b").settle_interval, constants::kZoneSettleInterval * 2);
   for (int flap = 0; flap < 10; ++flap) {
-    zone.look(kWhole, kLook);
-    zone.look(kGone, Millis(1400));
+    zone.observe(kHealthy, kUpdateInterval);
+    zone.observe(kSilent, Millis(1400));
   }
-  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kMaxZoneSettleInterval);
-  zone.look(kWhole, constants::kMaxZoneSettleInterval + kLook * 2);
-  ASSERT_EQ(zone.state(), State::whole);
-  zone.look(kWhole, constants::kZoneSteadyInterval * 6);
-  EXPECT_EQ(zone.view().standings().at("b").settle, constants::kZoneSettleInterval);
-  zone.look(kGone, Millis(1400));
-  EXPECT_TRUE(zone.view().leaves("b"));
+  EXPECT_EQ(zone.monitor().standings().at("b").settle_interval, constants::kMaxZoneSettleInterval);
+  zone.observe(kHealthy, constants::kMaxZoneSettleInterval + kUpdateInterval * 2);
+  ASSERT_EQ(zone.state(), ZoneState::whole);
+  zone.observe(kHealthy, constants::kZoneSteadyInterval * 6);
+  EXPECT_EQ(zone.monitor().standings().at("b").settle_interval, constants::kZoneSettleInterval);
+  zone.observe(kSilent, Millis(1400));
+  EXPECT_TRUE(zone.monitor().should_evacuate("b"));
 }
 
-TEST(ZoneView, SilentMachinesAreKeptForAWhileAfterALoss) {
-  OneZone zone;
-  zone.look(kGone, Millis(1400));
-  EXPECT_TRUE(zone.view().keeps("b", zone.now()));
-  zone.look(kEnded, Millis(1000));
-  EXPECT_TRUE(zone.view().keeps("b", zone.now()));
-  zone.look(kEnded, constants::kZoneMachineRetention);
-  EXPECT_FALSE(zone.view().keeps("b", zone.now()));
-  EXPECT_EQ(zone.state(), State::lost);
+TEST(ZoneHealthMonitorTest, SilentMachinesAreKeptForAWhileAfterALoss) {
+  SimulatedZone zone;
+  zone.observe(kSilent, Millis(1400));
+  EXPECT_TRUE(zone.monitor().retains_silent_machines("b", zone.now()));
+  zone.observe(kEnded, Millis(1000));
+  EXPECT_TRUE(zone.monitor().retains_silent_machines("b", zone.now()));
+  zone.observe(kEnded, constants::kZoneMachineRetention);
+  EXPECT_FALSE(zone.monitor().retains_silent_machines("b", zone.now()));
+  EXPECT_EQ(zone.state(), ZoneState::lost);
   // With all machines given back only renting can show that it is there again.
-  zone.look({.sibling = true, .sibling_silent = Millis(200'000)}, kLook);
-  EXPECT_EQ(zone.state(), State::whole);
+  zone.observe({.sibling = true, .sibling_silent = Millis(200'000)}, kUpdateInterval);
+  EXPECT_EQ(zone.state(), ZoneState::whole);
 }
 
 }  // namespace
