--- a/src/health/health.cpp
+++ b/src/health/health.cpp
@@ -43,7 +43,7 @@
     const Millis age = at - peer.asked_at;
     if (age >= constants::kPeerStatusTtl) continue;
     has_recent_contact = true;
-    // One that is served again only since a moment ago may just be the first to notice that an outage is over.
+    // A sibling whose contact has only just resumed may be the first node to notice the end of a shared outage.
     if (peer.contact.silent + age < constants::kPeerSilenceTimeout &&
         peer.contact.steady >= constants::kPeerServedInterval) {
       return Verdict::alone;
@@ -61,7 +61,8 @@
 std::optional<StoreContact> contact_from(const wire::Value& value) {
   if (value["state_silent_ms"].is_null()) return std::nullopt;
   const auto span = [&](const char* field) {
-    const auto max_ms = static_cast<std::uint64_t>(constants::kUnboundedWait.count());  // so that sums stay small
+    const auto max_ms =
+        static_cast<std::uint64_t>(constants::kUnboundedWait.count());  // prevents overflow in sums of durations
     return Millis(static_cast<std::int64_t>(std::min(value.count(field), max_ms)));
   };
   return StoreContact{.silent = span("state_silent_ms"), .steady = span("state_steady_ms")};
