--- a/src/inventory/machine_inventory.cpp
+++ b/src/inventory/machine_inventory.cpp
@@ -89,7 +89,7 @@
 bool MachineInventory::remove(const MachineId& id) {
   const auto known = machines_.find(id);
   if (known == machines_.end()) return true;
-  // Unproved is never gone: what may run there has to find its machine.
+  // Tasks whose termination is not confirmed may still run there, and their allocations refer to the machine's entry.
   if (!known->second.allocations.empty()) {
     spdlog::error("machine_kept machine={} allocations={}", id.text(), known->second.allocations.size());
     return false;
@@ -100,7 +100,7 @@
 
 bool MachineInventory::is_silent(const Machine& machine, Instant now) const {
   if (machine.has_reported) return now - machine.last_heartbeat >= timeouts_.silence;
-  // Its worker has had the time to find this leader.
+  // Until `reroute` has passed, its worker may still be looking for this leader.
   return now - machine.first_seen > timeouts_.reroute;
 }
 
@@ -112,11 +112,11 @@
 
 Instant MachineInventory::lease_end(const Machine& machine, Instant older_leaders_until,
                                     Instant delegated_until) const {
-  // Whoever may answer the worker may renew its lease: this leader only, once the worker has seen its term;
-  // before that also an older leader, until its fence.
+  // Any leader whose answer the worker accepts may renew its lease. Once the worker has seen this leader's term, that
+  // is this leader alone. Before that, leaders of earlier terms may renew it too, until their fencing timeout.
   Instant renewed = machine.has_reported && kept(Guard::lease_last_report) ? machine.last_heartbeat : Instant{};
   if (!machine.has_seen_term && kept(Guard::lease_older_leaders)) renewed = std::max(renewed, older_leaders_until);
-  // And in this term whoever holds a grant for its zone.
+  // In this leader's term the holder of a grant for the machine's zone may renew it as well.
   if (kept(Guard::lease_grants)) renewed = std::max(renewed, delegated_until);
   return renewed + timeouts_.lease;
 }
--- a/src/inventory/machine_inventory.h
+++ b/src/inventory/machine_inventory.h
@@ -1,5 +1,6 @@
-// The machine inventory: the machines that this leader has heard of by reports, lists, rentals and records, what is known of
-// each, and which were returned. What becomes of a machine the controller decides. Pure: the time is passed in; not thread-safe.
+// The machine inventory: every machine that this leader knows from heartbeats, cloud listings, rentals or stored
+// records, the state of each, and the ids of machines that were returned to the cloud. The controller decides when to
+// drain or return a machine. The inventory does no I/O and reads no clock: callers pass the time in. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -25,11 +26,12 @@
 
 enum class MachineState : std::uint8_t { booting, up, draining, returning };
 
-// What only a sibling's word says of a machine that has not reported to this leader: plans may count on it, no more.
+// State of a machine as told by another scheduler node, for a machine that has not reported to this leader yet.
+// Planning may use it; placements, leases and zone grants may not.
 enum class PeerHint : std::uint8_t { none, booting, up };
 
-// The tasks that are placed on a machine and not proved gone. Only the job table changes it, together with the runs
-// themselves, so that the two can't part.
+// The tasks that are placed on a machine and not confirmed terminated. Only the job table modifies this set, in the
+// same call that changes the task's allocation, so that the two stay consistent.
 class MachineAllocations {
  public:
   [[nodiscard]] auto begin() const { return keys_.begin(); }
@@ -37,7 +39,7 @@
   [[nodiscard]] bool empty() const { return keys_.empty(); }
   [[nodiscard]] std::size_t size() const { return keys_.size(); }
   [[nodiscard]] bool contains(const TaskKey& key) const { return keys_.contains(key); }
-  // For those that prove runs gone while they look at them.
+  // A snapshot for callers that confirm terminations while they iterate.
   [[nodiscard]] std::set<TaskKey> copy() const { return keys_; }
 
  private:
@@ -48,11 +50,11 @@
   std::set<TaskKey> keys_;
 };
 
-// What the cloud's lists say of a machine.
+// State of a machine according to the cloud provider's machine lists.
 struct CloudListing {
-  bool running = false;  // the newest list says that it has booted
+  bool running = false;  // the latest list shows the machine as booted
   bool failed = false;
-  Instant last;
+  Instant last;  // when a list last contained the machine; initially when it was added
 };
 
 struct Machine {
@@ -62,35 +64,36 @@
   std::string zone;
   bool spot = false;
   MachineState state = MachineState::booting;
-  Instant since;              // rented or first heard of
-  Instant ready;              // while booting: when it is expected
-  bool has_reported = false;  // to this leader
+  Instant since;              // rental time, or when the machine was first known
+  Instant ready;              // while booting: the expected end of the boot
+  bool has_reported = false;  // a heartbeat has reached this leader
   PeerHint peer_hint = PeerHint::none;
-  bool has_seen_term = false;  // its worker has seen our term: only we can renew its lease
+  bool has_seen_term = false;  // its worker has seen this leader's term: no older leader can renew its lease
   AgentIncarnation incarnation;
   std::uint64_t sequence = 0;
   Instant last_heartbeat;
-  bool expired = false;  // its last known session has certainly ended
+  bool expired = false;  // the lease of the worker's last known session has certainly ended
   MachineAllocations allocations;
-  bool stopping = false;           // some of them may have to be stopped
-  bool has_unknown_tasks = false;  // its newest report has tasks that we didn't place there
+  bool stopping = false;           // some of the allocations may have to be stopped
+  bool has_unknown_tasks = false;  // the latest heartbeat lists tasks that this leader did not place there
   std::set<std::string> images;
   int errors = 0;
   std::optional<Instant> idle_since;
-  Instant first_seen;  // first heard of by this leader
+  Instant first_seen;  // when this leader added the machine
   CloudListing listed;
-  std::string release_reason;                 // it is drained or returned
-  const plan::PlanNode* plan_node = nullptr;  // of the planner, once its type is known
+  std::string release_reason;                 // why the machine is drained or returned
+  const plan::PlanNode* plan_node = nullptr;  // the planner's node; null until the machine type is known
 
-  // Empty while only a sibling's word tells it: what grants and placements may not be wrong about is not taken from that.
+  // The zone, or an empty string while it is known only from a peer hint. Zone grants and placements need the true
+  // zone, and a hint may be wrong.
   [[nodiscard]] std::string confirmed_zone() const { return peer_hint == PeerHint::none ? zone : std::string(); }
 };
 
-// MachineTimeouts that what is known of machines hangs on, by the settings' figures.
+// Timeouts that decide whether a machine counts as silent and when its lease has ended. Derived from the settings.
 struct MachineTimeouts {
-  Millis lease{};    // a worker's lease certainly ends within it
-  Millis silence{};  // one that has reported is a suspect when it was not heard for so long
-  Millis reroute{};  // a worker that can't reach the leader, or does not know it yet, is heard by then
+  Millis lease{};    // a worker's lease ends no later than this after its last renewal
+  Millis silence{};  // a machine that has reported counts as silent after this time without a heartbeat
+  Millis reroute{};  // within this time a worker reaches the leader by another route or finds a new leader
 };
 
 using MachineKind = std::tuple<std::string, std::string, bool>;  // type, zone, spot
@@ -100,11 +103,12 @@
   MachineInventory() = default;
   explicit MachineInventory(const MachineTimeouts& timeouts) : timeouts_(timeouts) {}
 
-  // ---- who is known ----
+  // ---- Lookup ----
   struct FindOrAddResult {
     Machine& machine;
-    bool is_new;  // heard of for the first time
+    bool is_new;  // added by this call
   };
+  // Returns the machine, and adds it as booting when it is not known yet.
   FindOrAddResult find_or_add(const MachineId& id, Instant now);
   [[nodiscard]] auto begin() { return machines_.begin(); }
   [[nodiscard]] auto end() { return machines_.end(); }
@@ -117,40 +121,51 @@
   [[nodiscard]] bool contains(const MachineId& id) const { return machines_.contains(id); }
   [[nodiscard]] const std::map<MachineId, Machine>& all() const { return machines_; }
 
-  // ---- words of it ----
-  // Whether the report teaches anything: one of a machine whose return was confirmed, or that is not newer than the last
-  // that was taken, was held up on its way.
+  // ---- Updates ----
+  // False for a delayed heartbeat: the machine's return has been confirmed, or the heartbeat is not newer than the last
+  // applied one.
   [[nodiscard]] bool should_accept(const wire::Heartbeat& heartbeat) const;
-  // Takes a report that is news. True when the machine was not known to be up until now.
+  // Applies a heartbeat for which should_accept() is true. `term` is the term of this leader. Returns true when the
+  // machine was booting until now.
   bool apply_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, Term term, Instant now);
-  // Whether the report is the newest that was taken.
+  // Whether the heartbeat is the last one that was applied for its machine.
   [[nodiscard]] bool is_latest(const wire::Heartbeat& heartbeat) const;
-  // Takes an entry of the cloud's list; nothing when it is of an old list. `boot`: how long its type takes.
+  // Applies an entry of a cloud listing. Returns nullopt for a machine whose return has been confirmed: the list is
+  // outdated. `boot` is the boot duration of the machine type.
   std::optional<FindOrAddResult> apply_listing(const wire::ListedMachine& entry, Millis boot, Instant now);
-  // The cloud has confirmed that it was returned: an old list or report may still show it.
+  // Records that the cloud has confirmed the return of the machine. Later heartbeats and list entries for it are
+  // outdated and are rejected.
   void on_scaled_in(const MachineId& id) { returned_ids_.insert(id); }
   [[nodiscard]] bool is_returned(const MachineId& id) const { return returned_ids_.contains(id); }
-  // Never one that something may run on: false, and then it stays.
+  // Removes the machine. Returns false, and keeps the machine, while tasks are allocated to it. Returns true for an
+  // unknown machine.
   bool remove(const MachineId& id);
 
-  // ---- questions ----
+  // ---- Queries ----
+  // Whether heartbeats are overdue: for `silence` since the last one, or for `reroute` since the machine was added if
+  // it has not reported to this leader yet.
   [[nodiscard]] bool is_silent(const Machine& machine, Instant now) const;
-  // Whether it can take work, as far as it is known itself: suspects get none before they are lost.
+  // Whether the state of the machine itself allows new tasks; zones and settings are checked elsewhere. Silent machines
+  // get no tasks even before they are declared lost.
   [[nodiscard]] bool can_accept_tasks(const Machine& machine, Instant now) const;
-  // Up to when its tasks may run on, if nothing more is heard of it: nobody can renew its lease for longer.
-  // `older_leaders_until`: older leaders may renew leases until then; `delegated_until`: the same of who holds a grant.
+  // The latest time until which tasks on the machine may keep running if no further heartbeat arrives.
+  // `older_leaders_until`: until when leaders of earlier terms may renew leases. `delegated_until`: until when the
+  // holder of a grant for the machine's zone may renew them.
   [[nodiscard]] Instant lease_end(const Machine& machine, Instant older_leaders_until, Instant delegated_until) const;
-  // The same, but sooner known.
+  // Whether lease_end() has passed. First compares with the last heartbeat alone, which answers most calls without the
+  // computation of lease_end().
   [[nodiscard]] bool is_lease_expired(const Machine& machine, Instant older_leaders_until, Instant delegated_until,
                                       Instant now) const;
-  // How many have reported and whose lease may not have ended, if none of them was heard within the detour's span.
+  // The number of machines that have reported and whose lease may still be valid, if none of them has sent a heartbeat
+  // within `reroute`; otherwise 0.
   [[nodiscard]] std::size_t count_if_all_unheard(Instant now) const;
+  // The number of machines of each kind, without those that the cloud lists as failed.
   [[nodiscard]] std::map<MachineKind, std::size_t> count_by_kind() const;
 
  private:
   MachineTimeouts timeouts_;
   std::map<MachineId, Machine> machines_;
-  std::set<MachineId> returned_ids_;  // returned
+  std::set<MachineId> returned_ids_;  // machines whose return the cloud has confirmed
 };
 
 }  // namespace foxshunt::inventory
--- a/tests/unit/machine_inventory_test.cpp
+++ b/tests/unit/machine_inventory_test.cpp
@@ -1,4 +1,4 @@
-// What is known of machines: which words teach something, and up to when their tasks may run on.
+// MachineInventory: which heartbeats and list entries are applied, and when the lease of a machine ends.
 #include "inventory/machine_inventory.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
     heartbeat.term = seen;
     return heartbeat;
   }
-  // As the controller does: nothing is taken from a report that is no news.
+  // Applies the heartbeat as the controller does: only if the inventory accepts it.
   bool report(const wire::Heartbeat& heartbeat) {
     if (!machines_.should_accept(heartbeat)) return false;
     machines_.apply_heartbeat(machines_.find_or_add(heartbeat.machine, now_).machine, heartbeat, kTerm, now_);
@@ -43,18 +43,18 @@
   MachineInventory machines_{{.lease = kLease, .silence = kSilence, .reroute = kReroute}};
 };
 
-TEST_F(MachineInventoryTest, AReportThatIsNotNewerTeachesNothing) {
+TEST_F(MachineInventoryTest, RejectsHeartbeatsThatAreNotNewer) {
   EXPECT_TRUE(report(make_heartbeat(kFirst, 1, 5, kTerm)));
   EXPECT_FALSE(report(make_heartbeat(kFirst, 1, 5, Term(8))));
   EXPECT_FALSE(report(make_heartbeat(kFirst, 1, 4, Term(8))));
   EXPECT_TRUE(machines_.at(kFirst).has_seen_term);
   EXPECT_TRUE(machines_.is_latest(make_heartbeat(kFirst, 1, 5, kTerm)));
-  EXPECT_TRUE(report(make_heartbeat(kFirst, 2, 1, Term(6))));  // a later session counts from the beginning
+  EXPECT_TRUE(report(make_heartbeat(kFirst, 2, 1, Term(6))));  // the sequence restarts with each incarnation
   EXPECT_FALSE(machines_.at(kFirst).has_seen_term);
   EXPECT_FALSE(machines_.is_latest(make_heartbeat(kFirst, 1, 5, kTerm)));
 }
 
-TEST_F(MachineInventoryTest, OneThatWasReturnedIsNotKnownAgain) {
+TEST_F(MachineInventoryTest, ReturnedMachineIsNotAddedAgain) {
   report(make_heartbeat(kFirst, 1, 5, kTerm));
   machines_.on_scaled_in(kFirst);
   EXPECT_TRUE(machines_.remove(kFirst));
@@ -64,7 +64,7 @@
   EXPECT_TRUE(machines_.is_returned(kFirst));
 }
 
-TEST_F(MachineInventoryTest, AListTellsOnlyWhatNoReportHas) {
+TEST_F(MachineInventoryTest, ListingDoesNotOverwriteReportedFields) {
   const auto known =
       machines_.apply_listing(make_listed_machine(kFirst, wire::ListedState::starting), Millis(10'000), now_);
   ASSERT_TRUE(known);
@@ -74,8 +74,8 @@
   EXPECT_EQ(known->machine.type, "other");
   EXPECT_FALSE(known->machine.listed.running);
   EXPECT_FALSE(machines_.can_accept_tasks(known->machine, now_));
-  EXPECT_TRUE(
-      machines_.apply_heartbeat(known->machine, make_heartbeat(kFirst, 1, 1, kTerm), kTerm, now_));  // it is up now
+  EXPECT_TRUE(machines_.apply_heartbeat(known->machine, make_heartbeat(kFirst, 1, 1, kTerm), kTerm,
+                                        now_));  // the machine was booting
   EXPECT_TRUE(machines_.can_accept_tasks(known->machine, now_));
   const auto relisted = machines_.apply_listing(make_listed_machine(kFirst), Millis(10'000), now_ + Millis(1'000));
   EXPECT_FALSE(relisted->is_new);
@@ -85,37 +85,37 @@
   EXPECT_TRUE(relisted->machine.listed.running);
 }
 
-TEST_F(MachineInventoryTest, SuspectsTakeNoWork) {
+TEST_F(MachineInventoryTest, SilentMachinesAcceptNoTasks) {
   report(make_heartbeat(kFirst, 1, 1, kTerm));
   Machine& machine = machines_.at(kFirst);
   EXPECT_TRUE(machines_.can_accept_tasks(machine, now_ + kSilence - Millis(1)));
   EXPECT_FALSE(machines_.can_accept_tasks(machine, now_ + kSilence));
   machine.has_unknown_tasks = true;
   EXPECT_FALSE(machines_.can_accept_tasks(machine, now_));
-  // One that has not reported yet has the time to find this leader.
+  // A machine that has not reported yet has the time `reroute` to find this leader.
   const Machine& second = machines_.find_or_add(MachineId("m-000002"), now_).machine;
   EXPECT_FALSE(machines_.is_silent(second, now_ + kReroute));
   EXPECT_TRUE(machines_.is_silent(second, now_ + kReroute + Millis(1)));
 }
 
-// Where reports are rarer than leases are long, a machine whose lease has ended is no suspect yet.
-TEST_F(MachineInventoryTest, OneWhoseLeaseHasEndedTakesNoWork) {
+// When the heartbeat interval is longer than the lease, a machine whose lease has ended does not count as silent yet.
+TEST_F(MachineInventoryTest, MachineWithExpiredLeaseAcceptsNoTasks) {
   report(make_heartbeat(kFirst, 1, 1, kTerm));
   Machine& machine = machines_.at(kFirst);
   ASSERT_TRUE(machines_.can_accept_tasks(machine, now_));
   machine.expired = true;
   EXPECT_FALSE(machines_.can_accept_tasks(machine, now_));
   report(make_heartbeat(kFirst, 2, 2, kTerm));
-  EXPECT_TRUE(machines_.can_accept_tasks(machine, now_)) << "its next session has reported";
+  EXPECT_TRUE(machines_.can_accept_tasks(machine, now_)) << "a later incarnation has reported";
 }
 
-// Invariant 1: nothing is taken for gone while anybody may have renewed the worker's lease.
-TEST_F(MachineInventoryTest, ALeaseEndsAfterTheLastThatMayHaveRenewedIt) {
+// Invariant 1: no task counts as terminated while a leader or a grant holder may have renewed the worker's lease.
+TEST_F(MachineInventoryTest, LeaseEndsAfterTheLastPossibleRenewal) {
   const Instant older_leaders_until = now_ + Millis(20'000);
   const Instant delegated_until = now_ + Millis(15'000);
   const Machine& machine = machines_.find_or_add(kFirst, now_).machine;
   EXPECT_EQ(machines_.lease_end(machine, older_leaders_until, {}), older_leaders_until + kLease);
-  report(make_heartbeat(kFirst, 1, 1, Term(6)));  // it may yet go to a leader that is older
+  report(make_heartbeat(kFirst, 1, 1, Term(6)));  // the worker may still report to an older leader
   EXPECT_EQ(machines_.lease_end(machine, older_leaders_until, {}), older_leaders_until + kLease);
   EXPECT_EQ(machines_.lease_end(machine, {}, {}), now_ + kLease);
   report(make_heartbeat(kFirst, 1, 2, kTerm));
@@ -126,18 +126,18 @@
       machines_.is_lease_expired(machine, older_leaders_until, delegated_until, delegated_until + kLease + Millis(1)));
 }
 
-TEST_F(MachineInventoryTest, UnheardAreAllOrNone) {
+TEST_F(MachineInventoryTest, UnheardMachinesCountOnlyIfNoneIsHeard) {
   const MachineId second("m-000002");
   report(make_heartbeat(kFirst, 1, 1, kTerm));
   now_ += kReroute;
   report(make_heartbeat(second, 1, 1, kTerm));
-  EXPECT_EQ(machines_.count_if_all_unheard(now_ + Millis(1)), 0U);  // one of them is heard
+  EXPECT_EQ(machines_.count_if_all_unheard(now_ + Millis(1)), 0U);  // the second machine has just reported
   EXPECT_EQ(machines_.count_if_all_unheard(now_ + kReroute + Millis(1)), 2U);
   machines_.at(kFirst).expired = true;
   EXPECT_EQ(machines_.count_if_all_unheard(now_ + kReroute + Millis(1)), 1U);
 }
 
-TEST_F(MachineInventoryTest, TheBooksHoldUnderRandomWords) {
+TEST_F(MachineInventoryTest, StaysConsistentUnderRandomUpdates) {
   std::mt19937 random(11);
   const auto random_up_to = [&](std::uint64_t most) {
     return std::uniform_int_distribution<std::uint64_t>(0, most)(random);
