--- a/src/zone/delegated_lease.cpp
+++ b/src/zone/delegated_lease.cpp
@@ -33,7 +33,7 @@
     return false;
   delegation_ = delegation;
   except_ = {delegation.except.begin(), delegation.except.end()};
-  // From when it was asked for, which was before it was given, however long the answer took.
+  // Counted from the request, which precedes the moment of issue however long the answer took.
   until_ = asked_at - delegation.age + timeouts_.delegation;
   return true;
 }
@@ -49,7 +49,7 @@
       (kept(Guard::holder_except) && except_.contains(machine))) {
     return std::nullopt;
   }
-  // All uses have to fit a word.
+  // The next request has to list every use, and its size is limited.
   if (used_.size() >= constants::kMaxDelegationMachines && !used_.contains(machine)) return std::nullopt;
   used_[machine] = now;
   return delegation_->term;
--- a/src/zone/delegated_lease.h
+++ b/src/zone/delegated_lease.h
@@ -1,4 +1,5 @@
-// What a node that does not lead may answer for the leader. Pure: the time is passed in; not thread-safe.
+// The holder's side of a lease delegation: which heartbeats a node that does not lead may answer in the leader's term.
+// No I/O and no clock: callers pass the time in. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +14,28 @@
 
 namespace foxshunt::zone {
 
-// A sibling's side: the newest grant in hand.
+// The newest delegation that this node holds, and the machines that it has answered under one. Settings, wire fields
+// and docs/design.md call a delegation a grant.
 class DelegatedLease {
  public:
   DelegatedLease() = default;
+  // `life` identifies the process: later processes of the same node have higher numbers.
   DelegatedLease(const NodeName& self, const std::string& zone, std::uint64_t life, const DelegationTimeouts& timeouts);
 
-  // The next word to the leader of that term. What was given in an older term is dropped first.
+  // The next request to the leader of the term `leaders`. First drops a delegation of an older term.
   [[nodiscard]] DelegationRequest next_request(Term leaders, Instant now);
-  // The answer to the word that was sent at `asked_at`; false when it is not for this node and then nothing is taken.
+  // Stores the leader's answer to the request sent at `asked_at`. Returns false, and changes nothing, if the answer is
+  // for another zone, has no number, or is not newer than the held delegation.
   bool on_delegation(const LeaseDelegation& delegation, Instant asked_at);
-  // Ends what was given in a term before this one.
+  // Drops the held delegation if it is of a term before `term`.
   void observe_term(Term term);
-  // Whether the report of a machine that has seen the term `seen` may be answered, in the term that is given back;
-  // counts as a use if so.
+  // Returns the term in which this node may answer a heartbeat of a machine that has seen the term `seen`, and records
+  // the use; nullopt if it may not answer.
   [[nodiscard]] std::optional<Term> try_answer(const MachineId& machine, const std::string& zone, Term seen,
                                                Instant now);
 
-  [[nodiscard]] std::optional<Instant> until() const;  // the grant's end
+  // The end of the held delegation by this node's clock; nullopt if none is held.
+  [[nodiscard]] std::optional<Instant> until() const;
   [[nodiscard]] std::size_t machines_used() const { return used_.size(); }
 
  private:
--- a/src/zone/delegation.h
+++ b/src/zone/delegation.h
@@ -1,9 +1,11 @@
-// What the leader and its siblings exchange about rights to answer the workers of a zone in the leader's term, so that a zone
-// that is cut off keeps its work for as long as no cancellation can be overrun.
+// Messages between the leader and its siblings about lease delegations: rights to answer the workers of a zone in the
+// leader's term. With them a zone that is cut off from the leader keeps its tasks running for as long as no
+// cancellation can be missed.
 //
-// Why no rule hangs on whether a message arrives, and when, is in docs/design.md, "Zone grants". In short: what a holder
-// may do ends a fence after the last moment up to which the giver knew all changes, reckoned from when the holder
-// *asked*; the giver counts every grant as used to its end until the holder has asked with a newer one in hand.
+// docs/design.md, "Zone grants", explains why safety does not depend on the arrival or delay of any message. In short,
+// a delegation ends one fencing timeout after the last moment up to which the leader knew all changes, and the holder
+// counts from when it sent the *request*. The leader assumes that every delegation is used until its end, unless the
+// holder has sent a request that names a newer one as held.
 #pragma once
 
 #include <cstdint>
@@ -18,40 +20,41 @@
 using plan::Instant;
 using plan::Millis;
 
-using DelegationNumber = CountId<struct GrantTag>;  // grows within a term; 0: none
+using DelegationNumber = CountId<struct GrantTag>;  // increases within a term; 0 means none
 
-// A machine that a holder has answered, and how long ago the last time was.
+// A machine that the holder of a delegation has answered, and the time since the last answer.
 struct DelegationUse {
   MachineId machine;
   Millis ago{};
   friend bool operator==(const DelegationUse&, const DelegationUse&) = default;
 };
 
-// What a node that does not lead asks the leader, every second or so.
+// The request that a node which does not lead sends to the leader about every second.
 struct DelegationRequest {
   NodeName node;
-  std::uint64_t life = 0;           // of its process: later ones have higher numbers
-  std::uint64_t sequence = 0;       // grows within a life
-  Term term;                        // in which the node that is asked leads
-  DelegationNumber holds;           // the newest grant in hand; it has replaced all before
-  std::vector<DelegationUse> uses;  // of grants, as long as a lease may last on them
+  std::uint64_t life = 0;           // identifies the process of the node: later processes have higher numbers
+  std::uint64_t sequence = 0;       // increases within one `life`
+  Term term;                        // the term in which the receiver leads
+  DelegationNumber holds;           // the newest delegation held, which has replaced all earlier ones
+  std::vector<DelegationUse> uses;  // under delegations, until the renewed leases have certainly ended
   friend bool operator==(const DelegationRequest&, const DelegationRequest&) = default;
 };
 
+// The leader's answer: the right to answer the workers of `zone` in `term`.
 struct LeaseDelegation {
   DelegationNumber number;
   Term term;
   std::string zone;
-  Millis age{};                   // of the moment up to which the giver knew all changes
+  Millis age{};                   // time since the last moment up to which the leader knew all changes
   std::vector<MachineId> except;  // machines that only the leader may answer
   friend bool operator==(const LeaseDelegation&, const LeaseDelegation&) = default;
 };
 
-// The three spans that grants hang on, by the settings' figures.
+// Durations that limit delegations, derived from the settings.
 struct DelegationTimeouts {
-  Millis delegation{};  // from the giver's last known change to the grant's end, by the holder's clock
-  Millis bound{};       // the same by the giver's clock at most, whatever the two clocks do
-  Millis lease{};       // a worker's lease certainly ends within it
+  Millis delegation{};  // from the moment up to which the leader knew all changes to the end, by the holder's clock
+  Millis bound{};       // upper limit of the same by the leader's clock, with the drift of both clocks
+  Millis lease{};       // a worker's lease ends no later than this after its last renewal
 };
 
 }  // namespace foxshunt::zone
--- a/src/zone/delegation_table.cpp
+++ b/src/zone/delegation_table.cpp
@@ -19,11 +19,12 @@
   const auto entry = siblings_.find(request.node);
   if (entry == siblings_.end() || request.term != term) return false;
   Sibling& sibling = entry->second;
-  // A word that was held up tells what is over: taken for a new life's, it would void grants that are in use.
+  // A delayed request describes an outdated state. If it counted as the request of a new process, delegations that are
+  // in use would be voided.
   if (kept(Guard::ask_order) && std::tie(request.life, request.sequence) <= std::tie(sibling.life, sibling.sequence))
     return false;
   if (request.life != sibling.life) {
-    // That process has ended. What it answered before it did, it can't tell any more.
+    // The earlier process has ended and cannot tell any more which machines it answered last.
     for (IssuedDelegation& issued : sibling.issued) {
       issued.until = std::min(issued.until, now);
       if (kept(Guard::ask_life)) sibling.issued_to_earlier_processes.push_back(std::move(issued));
@@ -61,8 +62,9 @@
                          .except = except};
 }
 
-// Once every sibling has asked in this term none of them leads in an older one, so that no older grant is issued any
-// more; whoever then asks with a grant in hand that was issued later, asked after that, and had dropped older ones.
+// Once every sibling has sent a request in this term, none of them leads in an older term, so no delegation of an older
+// term is issued any more. A sibling that then holds a delegation with a higher number requested it after that point,
+// and had dropped any delegation of an older term by then.
 void DelegationTable::update_older_terms_ended() {
   if (older_terms_ended_) return;
   if (!number_when_all_heard_) {
--- a/src/zone/delegation_table.h
+++ b/src/zone/delegation_table.h
@@ -1,4 +1,5 @@
-// The leader's table of what it gave its siblings in its term. Pure: the time is passed in; not thread-safe.
+// The leader's table of the lease delegations that it issued to siblings in its term. No I/O and no clock: callers pass
+// the time in. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,36 +16,40 @@
 
 namespace foxshunt::zone {
 
-// The leader's side: what was given in this term, and what it may have been used for.
+// The delegations issued in this term, and the machines whose leases they may have renewed.
 class DelegationTable {
  public:
   DelegationTable() = default;
   DelegationTable(const std::vector<config::Sibling>& siblings, const DelegationTimeouts& timeouts);
 
-  // Takes note of a sibling's word in this term; false when it is stale, or no sibling's.
+  // Records a sibling's request. Returns false if it is outdated, is for another term, or does not come from a sibling.
   bool apply_request(const DelegationRequest& request, Term term, Instant now);
-  // What is given to a sibling that was heard. `known`: up to when all changes are known here; nothing: what is given has
-  // ended already, and only answers the word. `except`: machines of the zone that must not be answered by others.
+  // Issues a delegation to a sibling after apply_request() has accepted its request. `known` is the moment up to which
+  // this leader knows all changes; if it is nullopt, the delegation has already ended and only answers the request.
+  // `except` lists the machines of the zone that only the leader may answer.
   LeaseDelegation issue_delegation(const NodeName& node, Term term, std::optional<Instant> known,
                                    const std::vector<MachineId>& except, Instant now);
 
-  // Up to when a holder may have renewed, or may yet renew, the lease of the machine; zone empty: not known.
+  // The latest time at which a holder may have renewed, or may still renew, the lease of the machine. An empty zone
+  // means that the zone is unknown.
   [[nodiscard]] Instant renewed_until(const std::string& zone, const MachineId& machine) const;
-  // Whether a holder of the zone has answered the machine within the span, as far as it told.
+  // Whether a holder in the zone has told that it answered the machine within `span` before `now`.
   [[nodiscard]] bool used_within(const std::string& zone, const MachineId& machine, Millis span, Instant now) const;
-  // How long ago the last word came from any sibling of the zone; nothing if none ever did in this term.
+  // Time since the last request of any sibling in the zone; nullopt if there was none in this term.
   [[nodiscard]] std::optional<Millis> silence_of(const std::string& zone, Instant now) const;
   [[nodiscard]] bool has_sibling(const std::string& zone) const;
-  // Whether every sibling is known to hold nothing of an older term and to have been heard since all of them had left
-  // older terms: nobody else can renew a lease of older terms any more.
+  // Whether no sibling can renew a lease in an older term any more: each is known to hold no delegation of an older
+  // term, and to have sent a request after all of them had left older terms.
   [[nodiscard]] bool have_older_terms_ended() const { return older_terms_ended_; }
+  // Drops delegations and uses whose leases have ended by `now`.
   void prune_expired(Instant now);
 
-  struct Standing {  // for operators
+  // State of the delegations to one sibling, shown to operators.
+  struct Standing {
     NodeName node;
     std::string zone;
     std::optional<Instant> heard;
-    Instant until;  // the latest end of its grants, by this clock
+    Instant until;  // the latest end of its delegations by the leader's clock
     std::size_t machines_used = 0;
   };
   [[nodiscard]] std::vector<Standing> standings() const;
@@ -61,9 +66,8 @@
     std::uint64_t sequence = 0;
     std::optional<Instant> heard;
     DelegationNumber holds;
-    std::vector<IssuedDelegation> issued;  // not yet replaced, oldest first
-    std::vector<IssuedDelegation>
-        issued_to_earlier_processes;  // to processes that have ended, with what they can't tell any more
+    std::vector<IssuedDelegation> issued;                       // not replaced yet, oldest first
+    std::vector<IssuedDelegation> issued_to_earlier_processes;  // to ended processes, which cannot tell their last uses
     std::map<MachineId, Instant> used;
   };
   void update_older_terms_ended();
@@ -71,8 +75,8 @@
   DelegationTimeouts timeouts_;
   std::map<NodeName, Sibling> siblings_;
   DelegationNumber last_number_;
-  std::optional<DelegationNumber>
-      number_when_all_heard_;  // grants above it were given after every sibling had been heard
+  // The last number issued before every sibling had sent a request.
+  std::optional<DelegationNumber> number_when_all_heard_;
   bool older_terms_ended_ = false;
 };
 
--- a/src/zone/messages.cpp
+++ b/src/zone/messages.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// Fields of the messages between controllers. They stay as they are, so that controllers of two releases understand
-// each other.
+// Field names of the messages between controllers. They must not change, so that controllers of different releases can
+// exchange them.
 constexpr const char* kNodeField = "node";
 constexpr const char* kLifeField = "life";
 constexpr const char* kSequenceField = "sequence";
@@ -26,12 +26,12 @@
 constexpr const char* kAgeField = "age";
 constexpr const char* kExceptField = "except";
 
-// A day: no span that zones hang on is as long.
+// One day, which is longer than any valid duration in these messages.
 constexpr std::uint64_t kMaxDurationMs = 86'400'000;
 
 Millis read_duration(const Value& value, const char* field) {
   const std::uint64_t ms = value.count(field);
-  if (ms > kMaxDurationMs) throw Malformed(std::string(field) + ": too long a span");
+  if (ms > kMaxDurationMs) throw Malformed(std::string(field) + ": duration is longer than one day");
   return Millis(static_cast<Millis::rep>(ms));
 }
 
--- a/src/zone/messages.h
+++ b/src/zone/messages.h
@@ -1,4 +1,5 @@
-// The words that siblings exchange about zones, as CBOR. Both directions throw wire::Malformed, naming the field.
+// CBOR encoding of the delegation messages between nodes. The decoding functions throw wire::Malformed with the name of
+// the invalid field.
 #pragma once
 
 #include "wire/value.h"
--- a/src/zone/zone_health.cpp
+++ b/src/zone/zone_health.cpp
@@ -28,15 +28,15 @@
              constants::kZoneDoubtfulShare * static_cast<double>(expected_machines(seen));
 }
 
-// A controller that is heard of shows that the way there is open: its machines have failed, not the zone.
+// If a controller in the zone is heard, the network path is open: machines have failed, but the zone is reachable.
 bool is_unreachable(const ZoneObservation& seen) {
   if (seen.own) return false;
   return !seen.sibling || !seen.sibling_silent || *seen.sibling_silent > constants::kLeaderContactTimeout;
 }
 
-bool is_away(ZoneState state) { return state == ZoneState::cut || state == ZoneState::lost; }
+bool is_cut_or_lost(ZoneState state) { return state == ZoneState::cut || state == ZoneState::lost; }
 
-// Of a zone that nothing is heard of.
+// The state of a zone from which nothing is heard.
 ZoneState away_state(const ZoneObservation& seen) { return seen.silent == 0 ? ZoneState::lost : ZoneState::cut; }
 
 ZoneState next_state_if_doubtful(const ZoneObservation& seen) {
@@ -46,7 +46,8 @@
 
 ZoneState next_state_if_away(ZoneState state, const ZoneObservation& seen, Millis in_state) {
   if (seen.heard > 0 || (seen.sibling && !is_unreachable(seen))) return ZoneState::returning;
-  // Nothing is left there by which its return could be seen: it is tried by renting.
+  // No machine is left whose heartbeat could show the return of the zone, so the scheduler may rent there again to try
+  // it.
   if (expected_machines(seen) == 0 && in_state > constants::kZoneMachineRetention) return ZoneState::whole;
   return state == ZoneState::lost ? ZoneState::lost : away_state(seen);
 }
@@ -83,7 +84,7 @@
       zone.settle_interval = constants::kZoneSettleInterval;
     }
     zone.seen = seen;
-    // One step a look: a zone is never left on the evidence of a single moment.
+    // At most one transition per observation, so that a single observation never leads to an evacuation.
     const ZoneState to = next_state(zone, seen, now);
     if (to == zone.state) {
       shorten_settling_if_steady(zone, now);
@@ -103,7 +104,7 @@
 }
 
 void ZoneHealthMonitor::move_to(ZoneState to, const std::string& name, Standing& zone, Instant now) {
-  if (is_away(to) && !is_away(zone.state)) {
+  if (is_cut_or_lost(to) && !is_cut_or_lost(zone.state)) {
     const auto evacuated_at = evacuated_at_.find(name);
     const bool was_evacuated_before = evacuated_at != evacuated_at_.end();
     zone.evacuating = !was_evacuated_before || now - evacuated_at->second >= zone.settle_interval;
@@ -111,7 +112,7 @@
     if (was_evacuated_before)
       zone.settle_interval = std::min(constants::kMaxZoneSettleInterval, zone.settle_interval * 2);
   }
-  if (!is_away(to)) zone.evacuating = false;
+  if (!is_cut_or_lost(to)) zone.evacuating = false;
   zone.state = to;
   zone.since = now;
 }
--- a/tests/unit/zone_view_test.cpp
+++ b/tests/unit/zone_view_test.cpp
@@ -1,4 +1,4 @@
-// Whether zones are there: what is one event, what is none, and how a zone comes back.
+// ZoneHealthMonitor: when a zone counts as cut off or lost, when it does not, and how it returns to service.
 #include "zone/zone_health.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 constexpr Millis kUpdateInterval{350};
 
-// A zone that is looked at as often as the leader does, until it is said otherwise.
+// One zone "b", observed at the leader's update interval. observe() repeats the observation for `span`.
 class SimulatedZone {
  public:
   void observe(const ZoneObservation& seen, Millis span = kUpdateInterval) {
@@ -32,7 +32,7 @@
 const ZoneObservation kSilent{.silent = 20, .tasks = 40, .sibling = true, .sibling_silent = Millis(9000)};
 const ZoneObservation kEnded{.ended = 20, .sibling = true, .sibling_silent = Millis(60'000)};
 
-TEST(ZoneHealthMonitorTest, TwentyMachinesAreOneEvent) {
+TEST(ZoneHealthMonitorTest, ManySilentMachinesAreOneEvent) {
   SimulatedZone zone;
   zone.observe(kHealthy);
   zone.observe(kSilent, Millis(20'000));
@@ -43,27 +43,27 @@
   EXPECT_EQ(zone.changes(), 3U);
 }
 
-TEST(ZoneHealthMonitorTest, AFewMachinesAreNotTheZone) {
+TEST(ZoneHealthMonitorTest, FewSilentMachinesLeaveTheZoneWhole) {
   SimulatedZone zone;
   zone.observe({.heard = 18, .silent = 2, .sibling = true, .sibling_silent = Millis(9000)}, Millis(60'000));
   EXPECT_EQ(zone.state(), ZoneState::whole);
   zone.observe({.heard = 0, .silent = 2}, Millis(60'000));
-  EXPECT_EQ(zone.state(), ZoneState::whole) << "two machines may well fail by chance";
+  EXPECT_EQ(zone.state(), ZoneState::whole) << "two machines may fail independently";
 }
 
-TEST(ZoneHealthMonitorTest, MachinesThatDieWhereTheControllerIsHeardDoNotCutItOff) {
+TEST(ZoneHealthMonitorTest, ZoneIsNotCutOffWhileItsControllerIsHeard) {
   SimulatedZone zone;
   zone.observe({.silent = 20, .sibling = true, .sibling_silent = Millis(300)}, Millis(60'000));
   EXPECT_EQ(zone.state(), ZoneState::doubtful);
 }
 
-TEST(ZoneHealthMonitorTest, TheOwnZoneIsNeverCutOff) {
+TEST(ZoneHealthMonitorTest, OwnZoneIsNeverCutOff) {
   SimulatedZone zone;
   zone.observe({.silent = 20, .own = true}, Millis(60'000));
   EXPECT_EQ(zone.state(), ZoneState::doubtful);
 }
 
-TEST(ZoneHealthMonitorTest, WithoutAControllerTheMachinesTell) {
+TEST(ZoneHealthMonitorTest, ZoneWithoutControllerIsJudgedByItsMachines) {
   SimulatedZone zone;
   zone.observe({.silent = 5}, Millis(1000));
   EXPECT_EQ(zone.state(), ZoneState::cut);
@@ -72,14 +72,14 @@
   EXPECT_EQ(zone.state(), ZoneState::returning);
 }
 
-TEST(ZoneHealthMonitorTest, AZoneWithoutMachinesIsWhole) {
+TEST(ZoneHealthMonitorTest, ZoneWithoutMachinesIsWhole) {
   SimulatedZone zone;
   zone.observe({}, Millis(60'000));
   EXPECT_EQ(zone.state(), ZoneState::whole);
   EXPECT_EQ(zone.monitor().state_of("none"), ZoneState::whole);
 }
 
-TEST(ZoneHealthMonitorTest, ReturnTakesASettlingTime) {
+TEST(ZoneHealthMonitorTest, ReturningZoneHasASettlingInterval) {
   SimulatedZone zone;
   zone.observe(kSilent, Millis(2000));
   zone.observe(kHealthy);
@@ -90,13 +90,13 @@
   EXPECT_EQ(zone.state(), ZoneState::whole);
 }
 
-TEST(ZoneHealthMonitorTest, AFlappingZoneIsLeftOnceInASettlingTimeThatDoublesAndDecays) {
+TEST(ZoneHealthMonitorTest, FlappingZoneIsEvacuatedOncePerSettlingInterval) {
   SimulatedZone zone;
   zone.observe(kSilent, Millis(1400));
   EXPECT_TRUE(zone.monitor().should_evacuate("b"));
   zone.observe(kHealthy, kUpdateInterval);
   zone.observe(kSilent, Millis(1400));
-  EXPECT_FALSE(zone.monitor().should_evacuate("b")) << "again within the settling time";
+  EXPECT_FALSE(zone.monitor().should_evacuate("b")) << "again within the settling interval";
   EXPECT_EQ(zone.monitor().standings().at("b").settle_interval, constants::kZoneSettleInterval * 2);
   for (int flap = 0; flap < 10; ++flap) {
     zone.observe(kHealthy, kUpdateInterval);
@@ -111,7 +111,7 @@
   EXPECT_TRUE(zone.monitor().should_evacuate("b"));
 }
 
-TEST(ZoneHealthMonitorTest, SilentMachinesAreKeptForAWhileAfterALoss) {
+TEST(ZoneHealthMonitorTest, SilentMachinesAreRetainedForATimeAfterALoss) {
   SimulatedZone zone;
   zone.observe(kSilent, Millis(1400));
   EXPECT_TRUE(zone.monitor().retains_silent_machines("b", zone.now()));
@@ -120,7 +120,7 @@
   zone.observe(kEnded, constants::kZoneMachineRetention);
   EXPECT_FALSE(zone.monitor().retains_silent_machines("b", zone.now()));
   EXPECT_EQ(zone.state(), ZoneState::lost);
-  // With all machines given back only renting can show that it is there again.
+  // After all machines are returned, only a new rental can show that the zone is available again.
   zone.observe({.sibling = true, .sibling_silent = Millis(200'000)}, kUpdateInterval);
   EXPECT_EQ(zone.state(), ZoneState::whole);
 }
