--- a/src/inventory/machine_inventory.h
+++ b/src/inventory/machine_inventory.h
@@ -152,7 +152,7 @@
   // `older_leaders_until`: until when leaders of earlier terms may renew leases. `delegated_until`: until when the
   // holder of a grant for the machine's zone may renew them.
   [[nodiscard]] Instant lease_end(const Machine& machine, Instant older_leaders_until, Instant delegated_until) const;
-  // Whether lease_end() has passed. First compares with the last heartbeat alone, which answers most calls without the
+  // Whether lease_end() has passed. First compares with the lease that the last heartbeat renewed, which needs no
   // computation of lease_end().
   [[nodiscard]] bool is_lease_expired(const Machine& machine, Instant older_leaders_until, Instant delegated_until,
                                       Instant now) const;
