--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -25,9 +25,9 @@
   }
   plan::MilliUnits available = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.planned == nullptr || (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)))
+    if (machine.plan_node == nullptr || (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)))
       continue;
-    available += machine.planned->spec.capacity.values[1];
+    available += machine.plan_node->spec.capacity.values[1];
   }
   demand_.record_gpu_counts(wanted, available, now);
 }
@@ -44,14 +44,14 @@
   for (const auto& [id, machine] : cluster.machines) {
     if (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)) continue;
     const wire::MachineType* type = cluster.find_machine_type(machine.type);
-    if (type == nullptr || machine.planned == nullptr ||
+    if (type == nullptr || machine.plan_node == nullptr ||
         !is_machine_allowed(spec, machine.type, machine.zone, machine.spot))
       continue;
     if (each.count_fitting_in(pricing(cluster).usable_capacity(spec, *type)) <= 0) continue;
     if (!cluster.pools.allows(spec, from_seconds(spec.estimate_s), Millis(0), id)) continue;
     const Instant from = std::max(now, machine.ready);
     const std::int64_t fitting_tasks =
-        each.count_fitting_in(machine.planned->usage.free(from, from + constants::kStartTimeout));
+        each.count_fitting_in(machine.plan_node->usage.free(from, from + constants::kStartTimeout));
     if (fitting_tasks <= 0) continue;
     const double hourly = hourly_price(*type, machine.spot);
     candidates.push_back(
@@ -129,7 +129,7 @@
 void Autoscaler::size_fleet(const ClusterState& cluster, const std::vector<Job*>& queue,
                             const DeadlinePlanner& deadlines, Instant now) {
   spare_machines_.clear();
-  const CloudCapacityTracker::HeldMachines held = cluster.machines.held();
+  const CloudCapacityTracker::HeldMachines held = cluster.machines.count_by_kind();
   const TaskPricing prices = pricing(cluster);
   const CloudOffers offers(cluster, prices, capacity_, held, now);
   MachineShares shares;
@@ -142,7 +142,7 @@
 
 std::optional<wire::ScaleOutRequest> Autoscaler::next_scale_out(const ClusterState& cluster, Term term, Instant now) {
   if (!cluster.settings.operators.can_scale_out) return std::nullopt;
-  if (const auto& request = capacity_.next_request(term, cluster.machines.held(), now)) return request;
+  if (const auto& request = capacity_.next_request(term, cluster.machines.count_by_kind(), now)) return request;
   // Warm pools are served after waiting tasks.
   capacity_.set_request(cluster.pools.next_request());
   return capacity_.next_request(term, {}, now);
@@ -182,7 +182,7 @@
 
 void Autoscaler::record_refusal(const ClusterState& cluster, const wire::ScaleOutRequest& request, Instant now) {
   const CloudCapacityTracker::Kind kind{request.type, request.zone, request.spot};
-  const std::size_t held_now = cluster.machines.held()[kind];
+  const std::size_t held_now = cluster.machines.count_by_kind()[kind];
   const Millis pause = capacity_.on_refused(kind, held_now, now);
   spdlog::info("scale_out_refused type={} zone={}{} held={} retry_after_s={:.0f}", request.type, request.zone,
                request.spot ? " spot=true" : "", held_now, to_seconds(pause));
--- a/src/control/cluster_state.cpp
+++ b/src/control/cluster_state.cpp
@@ -13,7 +13,7 @@
 // Returns until when the holder of a delegation may renew the machine's lease. If the machine's zone is known only from
 // another controller's soft state, the machine may be in any zone, so that all delegations count.
 Instant delegated_until(const zone::DelegationTable& delegations, const Machine& machine) {
-  const std::string zone = guards::kept(guards::Guard::lease_zone_seen) ? machine.seen_zone() : machine.zone;
+  const std::string zone = guards::kept(guards::Guard::lease_zone_seen) ? machine.confirmed_zone() : machine.zone;
   return delegations.renewed_until(zone, machine.id);
 }
 
@@ -23,17 +23,17 @@
     : settings(std::move(cluster_settings)),
       machines({.lease = agent_lease_timeout(settings),
                 .silence = heartbeat_silence_timeout(settings),
-                .detour = heartbeat_reroute_timeout(settings)}) {}
+                .reroute = heartbeat_reroute_timeout(settings)}) {}
 
 void ClusterState::rebind_planned_nodes() {
   for (auto& [id, machine] : machines) {
-    if (machine.planned != nullptr) machine.planned = planner.find_machine(id);
+    if (machine.plan_node != nullptr) machine.plan_node = planner.find_machine(id);
   }
 }
 
 Machine& ClusterState::find_or_add_machine(const MachineId& id, Instant now) {
-  const inventory::MachineInventory::Known known = machines.know(id, now);
-  if (known.fresh) register_image_cache(known.machine);
+  const inventory::MachineInventory::FindOrAddResult known = machines.find_or_add(id, now);
+  if (known.is_new) register_image_cache(known.machine);
   return known.machine;
 }
 
@@ -51,7 +51,7 @@
 }
 
 void ClusterState::update_planner_machine(Machine& machine) {
-  if (machine.planned != nullptr && machine.planned->spec.ready_at == machine.ready) return;
+  if (machine.plan_node != nullptr && machine.plan_node->spec.ready_at == machine.ready) return;
   const wire::MachineType* machine_type_info = find_machine_type(machine.type);
   if (machine_type_info == nullptr) return;
   planner.set_machine(
@@ -61,19 +61,20 @@
        .spot = machine.spot,
        .capacity = ResourceAmounts::from(machine_type_info->cpus, machine_type_info->gpus, machine_type_info->ram_gb),
        .ready_at = machine.ready});
-  machine.planned = planner.find_machine(machine.id);
+  machine.plan_node = planner.find_machine(machine.id);
   needs_planning = true;
 }
 
 void ClusterState::forget_machine(const MachineId& id) {
-  if (!machines.forget(id)) return;
+  if (!machines.remove(id)) return;
   pools.forget(id);
   planner.remove_machine(id);
   needs_planning = true;
 }
 
 bool ClusterState::is_schedulable(const Machine& machine, Instant now) const {
-  return machines.usable(machine, now) && settings.in_service(machine.zone) && zone_health.takes_work(machine.zone);
+  return machines.can_accept_tasks(machine, now) && settings.in_service(machine.zone) &&
+         zone_health.accepts_tasks(machine.zone);
 }
 
 Instant ClusterState::lease_end(const Machine& machine) const {
@@ -101,11 +102,11 @@
 }
 
 bool ClusterState::can_rent_in_zone(const std::string& zone) const {
-  return settings.in_service(zone) && zone_health.trusted(zone);
+  return settings.in_service(zone) && zone_health.is_healthy(zone);
 }
 
 bool has_bookings(const Machine& machine) {
-  return machine.planned != nullptr && !machine.planned->usage.usage_of(0).slots().empty();
+  return machine.plan_node != nullptr && !machine.plan_node->usage.usage_of(0).slots().empty();
 }
 
 }  // namespace foxshunt::control
--- a/src/control/controller_fleet.cpp
+++ b/src/control/controller_fleet.cpp
@@ -15,8 +15,8 @@
 // expire soon under this leader, while another node may still receive their heartbeats. Always false while the state
 // service does not answer, because no other controller could become leader then.
 bool is_unreachable(const ClusterState& cluster, const Leadership& leadership, Instant now) {
-  return cluster.machines.unheard(now) >= constants::kMinUnreachableMachines && cluster.settings.nodes > 1 &&
-         leadership.can_modify_cluster(now);
+  return cluster.machines.count_if_all_unheard(now) >= constants::kMinUnreachableMachines &&
+         cluster.settings.nodes > 1 && leadership.can_modify_cluster(now);
 }
 
 }  // namespace
@@ -33,16 +33,16 @@
 void Controller::on_machine_list(const std::vector<wire::ListedMachine>& listed, Instant now) {
   if (!leadership_.is_leader()) return;
   for (const wire::ListedMachine& entry : listed) {
-    const auto known = cluster_.machines.list(entry, cluster_.boot_duration(entry.type), now);
+    const auto known = cluster_.machines.apply_listing(entry, cluster_.boot_duration(entry.type), now);
     if (!known) continue;  // the entry is from an outdated list
     Machine& machine = known->machine;
-    if (known->fresh) cluster_.register_image_cache(machine);
+    if (known->is_new) cluster_.register_image_cache(machine);
     if (!machine.has_reported) cluster_.update_planner_machine(machine);
     if (entry.state == wire::ListedState::failed && machine.state != MachineState::returning) {
       spdlog::info("machine_failed machine={}", entry.id.text());
       machine.listed.failed = true;
       machine.state = MachineState::returning;
-      machine.why = "the cloud lists it as failed";
+      machine.release_reason = "the cloud lists it as failed";
     }
   }
 }
@@ -72,7 +72,7 @@
   for (const MachineId& id : returned) {
     const auto entry = cluster_.machines.find(id);
     if (entry == cluster_.machines.end()) continue;
-    spdlog::info("machine_returned machine={} reason=\"{}\"", id.text(), entry->second.why);
+    spdlog::info("machine_returned machine={} reason=\"{}\"", id.text(), entry->second.release_reason);
     cluster_.machines.on_scaled_in(id);
     const std::set<TaskKey> task_keys = entry->second.allocations.copy();
     for (const TaskKey& key : task_keys)
@@ -86,7 +86,7 @@
   if (is_unreachable(cluster_, leadership_, now)) return leadership_.yield("no agent can reach this node", now);
   cluster_.planner.forget_before(now);
   scheduling_cycle_.request_periodic_pass(cluster_, now);
-  cluster_.delegations.forget_before(now);
+  cluster_.delegations.prune_expired(now);
   ZoneCoordinator zones = zone_coordinator();
   zones.drain_zones_out_of_service();
   if (cluster_.settings.operators.zone_watch) zones.observe_zones(now);
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -157,7 +157,7 @@
                                                                                  Instant now) const {
   std::map<JobId, foresight::DeadlineForecast> forecasts;
   if (due_jobs_.empty() || context.cluster.machine_types.empty()) return forecasts;
-  const CloudCapacityTracker::HeldMachines held_machines = context.cluster.machines.held();
+  const CloudCapacityTracker::HeldMachines held_machines = context.cluster.machines.count_by_kind();
   for (const auto& [id, due] : due_jobs_) {
     const auto entry = context.cluster.jobs.find(id);
     if (entry == context.cluster.jobs.end()) continue;
--- a/src/control/explanation.cpp
+++ b/src/control/explanation.cpp
@@ -63,9 +63,9 @@
   if (waiting == 0) return fmt::format("all tasks that are not done are placed: {}", job.allocation_count);
   std::string text = fmt::format("{} of {} tasks wait", waiting, job.spec.tasks) + rank_text(job);
   if (const auto blocker = planning_blocker(job, now)) return text + *blocker;
-  if (!job.spec.zone.empty() && !cluster_.zone_health.trusted(job.spec.zone)) {
+  if (!job.spec.zone.empty() && !cluster_.zone_health.is_healthy(job.spec.zone)) {
     text += fmt::format("; it may run only in zone {}, which is {}", job.spec.zone,
-                        zone::name_of(cluster_.zone_health.of(job.spec.zone)));
+                        zone::name_of(cluster_.zone_health.state_of(job.spec.zone)));
   }
   if (const auto blocker = placement_blocker(job)) return text + *blocker;
   return text + plan_text(job, now) + renting_text();
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -45,7 +45,7 @@
 }
 
 bool MachineFilter::is_machine_eligible(const Job& job, const Machine& machine, Instant now) const {
-  if (machine.planned == nullptr || (machine.spot && !job.spec.spot)) return false;
+  if (machine.plan_node == nullptr || (machine.spot && !job.spec.spot)) return false;
   const bool available = machine.state == MachineState::booting ? cluster_.can_rent_in_zone(machine.zone)
                                                                 : cluster_.is_schedulable(machine, now);
   return available && (job.spec.zone.empty() || job.spec.zone == machine.zone);
@@ -60,7 +60,7 @@
     (other.spec.gpus <= 0 ? cpu_work : gpu_work) += other.each;
   }
   if (cpu_work.fits_in(offered)) return true;
-  const plan::MilliUnits gpus = machine.planned->spec.capacity.values[1];
+  const plan::MilliUnits gpus = machine.plan_node->spec.capacity.values[1];
   if (gpu_work.values[1] > 0 || spare_gpus < gpus) return false;
   spare_gpus -= gpus;
   return true;
@@ -92,7 +92,7 @@
     }
     if (!fit->allowed || job.failed_on.contains(id) || !is_allowed_by_pools(job, warmed_pool, machine, now)) continue;
     if (fit->reserves_gpu_room && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
-    places.push_back({.machine = machine.planned, .setup_time = preparation_time(job, machine, fit->image_fetch, now)});
+    places.push_back({.machine = machine.plan_node, .setup_time = preparation_time(job, machine, fit->image_fetch, now)});
   }
   return places;
 }
--- a/src/control/machine_housekeeper.cpp
+++ b/src/control/machine_housekeeper.cpp
@@ -27,7 +27,7 @@
   const bool zone_awaited = is_zone_return_awaited(machine, now);
   if (machine.state == MachineState::booting && is_boot_lost(machine, now) && !zone_awaited) {
     machine.state = MachineState::returning;
-    machine.why = "boot timed out";
+    machine.release_reason = "boot timed out";
     return ReviewResult::returning;
   }
   if (machine.state == MachineState::draining) {
@@ -37,7 +37,7 @@
   // A machine whose lease has expired is returned only two lease times after its last heartbeat.
   if (machine.expired && !zone_awaited && now - machine.last_heartbeat > agent_lease_timeout(cluster_.settings) * 2) {
     machine.state = MachineState::returning;
-    if (machine.why.empty()) machine.why = "no heartbeats received";
+    if (machine.release_reason.empty()) machine.release_reason = "no heartbeats received";
     return ReviewResult::returning;
   }
   return is_deleted(machine, now) ? ReviewResult::deleted : ReviewResult::active;
@@ -50,7 +50,7 @@
   const std::set<TaskKey> tasks = machine.allocations.copy();
   if (!tasks.empty() || machine.has_reported) {
     // The loss of a whole zone is logged once for the zone, so its machines are only logged at debug level.
-    const bool log_each = cluster_.zone_health.of(machine.zone) != zone::State::cut;
+    const bool log_each = cluster_.zone_health.state_of(machine.zone) != zone::ZoneState::cut;
     spdlog::log(log_each ? spdlog::level::info : spdlog::level::debug, "machine_lease_expired machine={} tasks={}",
                 machine.id.text(), tasks.size());
   }
@@ -74,8 +74,8 @@
   // machine must not count as a lost boot, so agents get time to find the new leader.
   const Millis boot = cluster_.boot_duration(machine.type);
   const Millis lease_time = agent_lease_timeout(cluster_.settings);
-  const Millis known_for = now - machine.known;
-  if (machine.listed.running || machine.hinted == inventory::Hinted::up) return known_for > lease_time * 2 + boot;
+  const Millis known_for = now - machine.first_seen;
+  if (machine.listed.running || machine.peer_hint == inventory::PeerHint::up) return known_for > lease_time * 2 + boot;
   const bool type_known = cluster_.find_machine_type(machine.type) != nullptr;
   return type_known && known_for > lease_time && now - machine.since > boot * constants::kBootLostFactor;
 }
@@ -85,12 +85,12 @@
   // hint. If it neither reports nor is listed, it does not exist any more: it may have been returned since.
   const Millis unlisted_timeout =
       from_seconds(cluster_.settings.cloud_list_delay_s * 3) + constants::kCloudListInterval * 4;
-  const bool only_hinted = machine.type.empty() || machine.hinted != inventory::Hinted::no;
+  const bool only_hinted = machine.type.empty() || machine.peer_hint != inventory::PeerHint::none;
   return !machine.has_reported && only_hinted && now - machine.listed.last > unlisted_timeout;
 }
 
 bool MachineHousekeeper::is_zone_return_awaited(const Machine& machine, Instant now) const {
-  return cluster_.settings.operators.zone_watch && cluster_.zone_health.keeps(machine.zone, now);
+  return cluster_.settings.operators.zone_watch && cluster_.zone_health.retains_silent_machines(machine.zone, now);
 }
 
 void MachineHousekeeper::review_idle(Machine& machine, Instant now) {
@@ -100,7 +100,7 @@
     machine.idle_since = now;
   } else if (can_scale_in(machine, now - *machine.idle_since, now)) {
     machine.state = MachineState::returning;
-    machine.why = "it is idle";
+    machine.release_reason = "it is idle";
   }
 }
 
@@ -114,7 +114,7 @@
   // A machine with a booking for a waiting task is not idle.
   if (!machine.allocations.empty() || has_bookings(machine) || machine.state != MachineState::up) return false;
   // A silent machine of a zone that is expected back will most likely be needed when the zone returns.
-  return !(is_zone_return_awaited(machine, now) && cluster_.machines.silent(machine, now));
+  return !(is_zone_return_awaited(machine, now) && cluster_.machines.is_silent(machine, now));
 }
 
 }  // namespace foxshunt::control
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -45,7 +45,7 @@
 }  // namespace
 
 std::vector<Command> Reconciler::on_heartbeat(const wire::Heartbeat& heartbeat, Instant now) {
-  if (!cluster_.machines.news(heartbeat)) return {};
+  if (!cluster_.machines.should_accept(heartbeat)) return {};
   Exchange exchange{.heartbeat = heartbeat, .machine = update_machine(heartbeat, now), .now = now};
   mark_tasks_of_earlier_incarnations_lost(exchange);
   process_task_statuses(exchange);
@@ -64,7 +64,7 @@
 
 Machine& Reconciler::update_machine(const wire::Heartbeat& heartbeat, Instant now) {
   Machine& machine = cluster_.find_or_add_machine(heartbeat.machine, now);
-  if (cluster_.machines.hear(machine, heartbeat, leadership_.term(), now)) cluster_.needs_planning = true;
+  if (cluster_.machines.apply_heartbeat(machine, heartbeat, leadership_.term(), now)) cluster_.needs_planning = true;
   cluster_.update_planner_machine(machine);
   return machine;
 }
@@ -233,7 +233,7 @@
   // If the agent had seen this leader's term when it built the heartbeat, the heartbeat is newer than any that was
   // answered with the start command. A task that it does not report is not running and will not start. An allocation
   // that was never reported and is not stopping is started instead.
-  const bool saw_term = exchange.machine.saw_term || !kept(Guard::absent_saw_term);
+  const bool saw_term = exchange.machine.has_seen_term || !kept(Guard::absent_saw_term);
   std::vector<Command> starts;
   for (const TaskKey& key : unreported) {
     Allocation& allocation = *cluster_.jobs.find_allocation(key);
@@ -266,7 +266,7 @@
   if (entry == cluster_.machines.end()) return commands;
   const Machine& machine = entry->second;
   // A newer heartbeat of the machine has been processed meanwhile, so this one is outdated.
-  if (!cluster_.machines.newest(heartbeat)) return commands;
+  if (!cluster_.machines.is_latest(heartbeat)) return commands;
   std::set<TaskKey> reported;
   for (const wire::TaskStatus& status : heartbeat.tasks) {
     reported.insert(status.task);
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -37,7 +37,7 @@
   if (!cluster.settings.operators.zone_evacuation) return;
   for (auto& [unused, job] : cluster.jobs) job.stranded = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.allocations.empty() || machine.expired || !cluster.zone_health.leaves(machine.zone)) continue;
+    if (machine.allocations.empty() || machine.expired || !cluster.zone_health.should_evacuate(machine.zone)) continue;
     const Instant until = cluster.lease_end(machine);
     for (const TaskKey& key : machine.allocations) {
       Job& job = cluster.jobs.at(key.job);
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -71,7 +71,7 @@
     const bool is_active = machine.state == MachineState::booting || machine.state == MachineState::up;
     if (!is_active || machine.type.empty() || machine.listed.failed || machine.expired) continue;
     const bool up =
-        machine.state == MachineState::up || machine.hinted == inventory::Hinted::up || machine.listed.running;
+        machine.state == MachineState::up || machine.peer_hint == inventory::PeerHint::up || machine.listed.running;
     add_entry(entries, Kind::machine, id.text(), 0,
               standby::Shared(standby::Machine{.address = machine.address,
                                                .type = machine.type,
@@ -206,19 +206,20 @@
 
 void SoftStateRestorer::apply_machine(const std::string& name, const standby::Machine& hint, Instant now) {
   const MachineId id(name);
-  if (id.empty() || hint.type.empty() || cluster_.machines.gone(id)) return;
+  if (id.empty() || hint.type.empty() || cluster_.machines.is_returned(id)) return;
   Machine& machine = cluster_.find_or_add_machine(id, now);
   // Heartbeats do not list cached images. A wrong entry costs only an image fetch.
   machine.images.insert(hint.images.begin(), hint.images.end());
   machine.errors = std::max(machine.errors,
                             static_cast<int>(std::min<std::uint64_t>(hint.errors, constants::kMaxMachineErrors - 1)));
-  if (machine.has_reported || machine.state != MachineState::booting || machine.hinted != inventory::Hinted::no) return;
+  if (machine.has_reported || machine.state != MachineState::booting || machine.peer_hint != inventory::PeerHint::none)
+    return;
   set_expected_ready(machine, hint, now);
 }
 
 void SoftStateRestorer::set_expected_ready(Machine& machine, const standby::Machine& hint, Instant now) {
   if (machine.type.empty()) {  // the cloud has not listed it to this leader yet
-    machine.hinted = hint.up ? inventory::Hinted::up : inventory::Hinted::boots;
+    machine.peer_hint = hint.up ? inventory::PeerHint::up : inventory::PeerHint::booting;
     machine.address = hint.address;
     machine.type = hint.type;
     machine.zone = hint.zone;
--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -65,7 +65,7 @@
   if (machine.state == MachineState::draining || machine.state == MachineState::returning) return;
   spdlog::info("machine_draining machine={} reason=\"{}\"", machine.id.text(), why);
   machine.state = MachineState::draining;
-  machine.why = why;
+  machine.release_reason = why;
   const std::set<TaskKey> tasks = machine.allocations.copy();
   for (const TaskKey& key : tasks) {
     Job& job = cluster_.jobs.at(key.job);
--- a/src/control/times.h
+++ b/src/control/times.h
@@ -41,7 +41,7 @@
 
 // A delegation of the right to renew a zone's agent leases lasts for the fencing timeout by the holder's clock. The
 // leader counts it as longer, because the two clocks may drift apart meanwhile.
-inline zone::Spans delegation_spans(const config::Settings& settings) {
+inline zone::DelegationTimeouts delegation_spans(const config::Settings& settings) {
   const plan::Millis delegation = fencing_timeout(settings);
   return {.delegation = delegation,
           .bound =
--- a/src/control/zone_coordinator.cpp
+++ b/src/control/zone_coordinator.cpp
@@ -33,10 +33,10 @@
 std::vector<MachineId> ZoneCoordinator::machines_excluded_from_delegation(const std::string& zone, Instant now) const {
   std::vector<MachineId> excluded;
   for (const auto& [id, machine] : cluster_.machines) {
-    const std::string machine_zone = machine.seen_zone();
+    const std::string machine_zone = machine.confirmed_zone();
     if (!machine_zone.empty() && machine_zone != zone) continue;
     if (has_tasks_to_stop(machine) ||
-        (cluster_.machines.silent(machine, now) &&
+        (cluster_.machines.is_silent(machine, now) &&
          !cluster_.delegations.used_within(zone, id, heartbeat_silence_timeout(cluster_.settings), now)))
       excluded.push_back(id);
   }
@@ -51,7 +51,7 @@
   const bool older_terms_had_ended = cluster_.delegations.have_older_terms_ended();
   // The request is processed first: it names the machines that the sibling has answered, which must not be taken for
   // failed.
-  if (!cluster_.delegations.hear(request, leadership_.term(), now)) return std::nullopt;
+  if (!cluster_.delegations.apply_request(request, leadership_.term(), now)) return std::nullopt;
   std::vector<MachineId> excluded;
   std::optional<Instant> confirmed_until;
   if (cluster_.settings.operators.zone_lease_delegation) {
@@ -62,7 +62,7 @@
     cluster_.older_leaders_until = std::min(cluster_.older_leaders_until, now);
     spdlog::info("older_terms_ended reason=\"no other controller can renew leases of an older term\"");
   }
-  return cluster_.delegations.give(request.node, leadership_.term(), confirmed_until, excluded, now);
+  return cluster_.delegations.issue_delegation(request.node, leadership_.term(), confirmed_until, excluded, now);
 }
 
 // ---- zone health ----
@@ -73,12 +73,12 @@
   for (const auto& [unused, machine] : cluster_.machines) {
     if (machine.zone.empty() || machine.state == MachineState::returning || machine.listed.failed) continue;
     zone::ZoneObservation& zone = seen[machine.zone];
-    if (machine.has_reported && !machine.expired && !cluster_.machines.silent(machine, now)) {
+    if (machine.has_reported && !machine.expired && !cluster_.machines.is_silent(machine, now)) {
       ++zone.heard;
     } else if (machine.expired) {
       ++zone.ended;
-    } else if (machine.has_reported ||
-               ((machine.listed.running || !machine.allocations.empty()) && cluster_.machines.silent(machine, now))) {
+    } else if (machine.has_reported || ((machine.listed.running || !machine.allocations.empty()) &&
+                                        cluster_.machines.is_silent(machine, now))) {
       ++zone.silent;
       zone.tasks += machine.allocations.size();
     }
@@ -86,15 +86,15 @@
   for (auto& [name, zone] : seen) {
     zone.own = name == cluster_.settings.zone;
     zone.sibling = cluster_.delegations.has_sibling(name);
-    zone.sibling_silent = cluster_.delegations.silent_for(name, now);
+    zone.sibling_silent = cluster_.delegations.silence_of(name, now);
   }
   return seen;
 }
 
 void ZoneCoordinator::observe_zones(Instant now) {
-  for (const zone::Change& change : cluster_.zone_health.look(collect_zone_observations(now), now)) {
-    spdlog::log(change.to == zone::State::whole || change.to == zone::State::returning ? spdlog::level::info
-                                                                                       : spdlog::level::warn,
+  for (const zone::ZoneChange& change : cluster_.zone_health.update(collect_zone_observations(now), now)) {
+    spdlog::log(change.to == zone::ZoneState::whole || change.to == zone::ZoneState::returning ? spdlog::level::info
+                                                                                               : spdlog::level::warn,
                 "zone_state_changed zone={} state={} previous={} heard={} silent={} silent_tasks={} expired={}{}",
                 change.zone, zone::name_of(change.to), zone::name_of(change.from), change.seen.heard,
                 change.seen.silent, change.seen.tasks, change.seen.ended,
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -78,7 +78,7 @@
     allocation.durable.set();
     allocation.adopted = true;
     allocation.placed = now;
-    machines.know(allocation.machine, now).machine.allocations.insert({job.spec.id, allocation_record.index});
+    machines.find_or_add(allocation.machine, now).machine.allocations.insert({job.spec.id, allocation_record.index});
     team_use_[job.spec.team] += job.each;
     shard.allocations.add(allocation_record.index, allocation);
     ++job.allocation_count;
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -85,14 +85,14 @@
       zone::DelegatedLease probe = node.holder;
       out << "holds" << (node.leader_answered ? away(*node.leader_answered) : "-");
       for (const Machine& machine : machines_) {
-        const auto may = probe.answers(machine.worker.id(), machine.zone, Term{}, now_);
+        const auto may = probe.try_answer(machine.worker.id(), machine.zone, Term{}, now_);
         out << (may ? term(*may) : -1);
       }
       if (probe.until()) out << away(*probe.until());
       zone::DelegatedLease asks = node.holder;
       const zone::DelegationRequest ask = asks.next_request(node.term_seen, now_);
       out << (ask.holds != zone::DelegationNumber{});
-      for (const zone::Use& use : ask.uses) out << use.machine.text() << use.ago.count();
+      for (const zone::DelegationUse& use : ask.uses) out << use.machine.text() << use.ago.count();
     }
     if (!controller.is_leader()) continue;
     out << term(controller.term()) << (controller.term_revision() == mark_now(state::kTermKey)) << away(node.lease_at)
@@ -114,9 +114,9 @@
       }
     }
     for (const auto& [id, machine] : controller.machines()) {
-      out << id.text() << machine.state << machine.has_reported << machine.saw_term << machine.incarnation
+      out << id.text() << machine.state << machine.has_reported << machine.has_seen_term << machine.incarnation
           << away(machine.last_heartbeat) << machine.expired << machine.stopping << machine.has_unknown_tasks
-          << machine.zone << machine.errors << away(machine.known);
+          << machine.zone << machine.errors << away(machine.first_seen);
       if (setup_->delegations) out << away(controller.delegations().renewed_until(machine.zone, id));
     }
     if (setup_->delegations) out << controller.delegations().have_older_terms_ended();
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -64,7 +64,7 @@
   deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
   EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {}, now_), 2U);
   // An existing machine has room for the tasks in time, so something other than machines is missing.
-  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {{.machine = machine.planned}}, now_), 0U);
+  EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {{.machine = machine.plan_node}}, now_), 0U);
 }
 
 }  // namespace
--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -64,7 +64,7 @@
   }
   void place(Job& job, std::uint32_t index, const MachineId& machine = kMachine) {
     const AttemptNumber attempt = job.shards[index / constants::kTasksPerShard].next;
-    table_.place(job, index, attempt, machines_.know(machine, now_).machine, now_);
+    table_.place(job, index, attempt, machines_.find_or_add(machine, now_).machine, now_);
   }
   std::optional<WriteBatch> begin() { return table_.begin_write(term_revision_, kMaxOps, now_); }
   // Begins a write and applies its result. Returns false if there was nothing to write.
@@ -108,7 +108,7 @@
   standins::StateStore store_;
   Revision term_revision_;
   Instant now_{Millis(1'000'000)};
-  inventory::MachineInventory machines_{{.lease = Millis(10'000), .silence = Millis(3'000), .detour = Millis(6'000)}};
+  inventory::MachineInventory machines_{{.lease = Millis(10'000), .silence = Millis(3'000), .reroute = Millis(6'000)}};
   JobTable table_;
 };
 
@@ -212,14 +212,14 @@
   EXPECT_FALSE(write());
   confirm_termination(job, 1);
   EXPECT_FALSE(write());
-  EXPECT_FALSE(machines_.forget(kMachine));  // a machine with an unconfirmed allocation is kept
+  EXPECT_FALSE(machines_.remove(kMachine));  // a machine with an unconfirmed allocation is kept
   EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::ok);
   EXPECT_EQ(table_.team_use("red"), job.each);
   confirm_termination(job, 0);
   EXPECT_TRUE(write());
   EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::not_found);
   EXPECT_EQ(table_.size(), 0U);
-  EXPECT_TRUE(machines_.forget(kMachine));
+  EXPECT_TRUE(machines_.remove(kMachine));
 }
 
 TEST_F(JobTableTest, HandlesARemovalDuringAWriteAfterItsResult) {
