--- a/src/control/autoscaler.cpp
+++ b/src/control/autoscaler.cpp
@@ -25,7 +25,8 @@
   }
   plan::MilliUnits available = 0;
   for (const auto& [unused, machine] : cluster.machines) {
-    if (machine.plan_node == nullptr || (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)))
+    if (machine.plan_node == nullptr ||
+        (machine.state != MachineState::booting && !cluster.is_schedulable(machine, now)))
       continue;
     available += machine.plan_node->spec.capacity.values[1];
   }
--- a/src/control/cloud_capacity_tracker.h
+++ b/src/control/cloud_capacity_tracker.h
@@ -17,7 +17,7 @@
 
 class CloudCapacityTracker {
  public:
-  using Kind = inventory::MachineKind;                          // machine type, zone, and whether it is a spot machine
+  using Kind = inventory::MachineKind;                   // machine type, zone, and whether it is a spot machine
   using HeldMachines = std::map<Kind, std::size_t>;      // number of machines that the cluster has of each kind
   using WantedMachines = std::map<Kind, std::uint64_t>;  // number of further machines to rent of each kind
 
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -92,7 +92,8 @@
     }
     if (!fit->allowed || job.failed_on.contains(id) || !is_allowed_by_pools(job, warmed_pool, machine, now)) continue;
     if (fit->reserves_gpu_room && !leaves_gpu_room(job, machine, fit->offered, spare_gpus)) continue;
-    places.push_back({.machine = machine.plan_node, .setup_time = preparation_time(job, machine, fit->image_fetch, now)});
+    places.push_back(
+        {.machine = machine.plan_node, .setup_time = preparation_time(job, machine, fit->image_fetch, now)});
   }
   return places;
 }
--- a/src/control/placement_rules.cpp
+++ b/src/control/placement_rules.cpp
@@ -32,7 +32,8 @@
     for (const auto& [unused, allocation] : shard.allocations) {
       const auto other = cluster.machines.find(allocation.machine);
       // The zone of a machine that was never heard of is unknown.
-      const std::string occupied_zone = other == cluster.machines.end() ? std::string() : other->second.confirmed_zone();
+      const std::string occupied_zone =
+          other == cluster.machines.end() ? std::string() : other->second.confirmed_zone();
       if (occupied_zone.empty() && guards::kept(guards::Guard::place_known)) return false;
       if (occupied_zone == machine.zone) {
         ++tasks_in_zone;
