--- a/tests/unit/grants_test.cpp
+++ b/tests/unit/grants_test.cpp
@@ -131,10 +131,10 @@
   DelegationTable table = make_table();
   DelegatedLease one = make_holder();
   DelegatedLease two(NodeName("node-2"), "c", 1, timeouts());
-  const auto exchange = [&](DelegatedLease& holder, Instant when) {
-    const auto delegation = on_delegation_request(table, holder.next_request(Term(3), when), Term(3), when, {}, when);
+  const auto exchange = [&](DelegatedLease& sender, Instant when) {
+    const auto delegation = on_delegation_request(table, sender.next_request(Term(3), when), Term(3), when, {}, when);
     ASSERT_TRUE(delegation);
-    ASSERT_TRUE(holder.on_delegation(*delegation, when));
+    ASSERT_TRUE(sender.on_delegation(*delegation, when));
   };
   exchange(one, kStart);
   exchange(one, kStart + Millis(1));
