--- a/src/accounts/account.cpp
+++ b/src/accounts/account.cpp
@@ -13,33 +13,33 @@
 using wire::Malformed;
 using wire::Value;
 
-constexpr std::array<std::string_view, 4> kUseNames{"idle", "warming", "borrowed", "own"};
-constexpr std::string_view kHex = "0123456789ABCDEF";
+constexpr std::array<std::string_view, 4> kMachineUseNames{"idle", "warming", "borrowed", "own"};
+constexpr std::string_view kHexDigits = "0123456789ABCDEF";
 
-bool plain(char sign) {
-  return (sign >= 'a' && sign <= 'z') || (sign >= 'A' && sign <= 'Z') || (sign >= '0' && sign <= '9') || sign == '_' ||
-         sign == '.' || sign == '-';
+bool is_unescaped_key_character(char character) {
+  return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
+         (character >= '0' && character <= '9') || character == '_' || character == '.' || character == '-';
 }
 
 }  // namespace
 
-std::string_view name_of(Use use) { return kUseNames[static_cast<std::size_t>(use)]; }
+std::string_view name_of(MachineUse use) { return kMachineUseNames[static_cast<std::size_t>(use)]; }
 
-Use use_from(std::string_view name) {
-  const auto* const found = std::ranges::find(kUseNames, name);
-  if (found == kUseNames.end()) throw Malformed("use: unknown value");
-  return static_cast<Use>(found - kUseNames.begin());
+MachineUse parse_machine_use(std::string_view name) {
+  const auto* const found = std::ranges::find(kMachineUseNames, name);
+  if (found == kMachineUseNames.end()) throw Malformed("use: unknown value");
+  return static_cast<MachineUse>(found - kMachineUseNames.begin());
 }
 
-void Line::add(std::uint64_t span_ms, std::uint64_t micros_hour) {
+void UsageTotal::add(std::uint64_t span_ms, std::uint64_t micros_per_hour) {
   machine_ms += span_ms;
   // Whole hours apart, so that no product is beyond 64 bits.
-  const std::uint64_t part = span_ms % kMillisPerHour * micros_hour + rest;
-  micros += span_ms / kMillisPerHour * micros_hour + part / kMillisPerHour;
-  rest = part % kMillisPerHour;
+  const std::uint64_t product = span_ms % kMillisPerHour * micros_per_hour + remainder;
+  micros += span_ms / kMillisPerHour * micros_per_hour + product / kMillisPerHour;
+  remainder = product % kMillisPerHour;
 }
 
-Starts& Starts::operator+=(const Starts& other) {
+StartCounts& StartCounts::operator+=(const StartCounts& other) {
   warm += other.warm;
   cold += other.cold;
   warm_wait_ms += other.warm_wait_ms;
@@ -47,41 +47,41 @@
   return *this;
 }
 
-std::uint64_t Starts::saved_ms() const {
+std::uint64_t StartCounts::saved_ms() const {
   if (warm == 0 || cold == 0) return 0;
-  const std::uint64_t as_cold = cold_wait_ms / cold * warm;
-  return as_cold > warm_wait_ms ? as_cold - warm_wait_ms : 0;
+  const std::uint64_t wait_if_cold_ms = cold_wait_ms / cold * warm;
+  return wait_if_cold_ms > warm_wait_ms ? wait_if_cold_ms - warm_wait_ms : 0;
 }
 
-void Account::add(const std::string& team, Use use, std::uint64_t span_ms, std::uint64_t micros_hour) {
-  std::pair<std::string, Use> key{team, use};
+void Account::add(const std::string& team, MachineUse use, std::uint64_t span_ms, std::uint64_t micros_per_hour) {
+  std::pair<std::string, MachineUse> key{team, use};
   // Bounded: what more teams use is one team's line, without a name.
   if (!lines.contains(key) && lines.size() >= constants::kMaxAccountLines) key.first.clear();
-  lines[key].add(span_ms, micros_hour);
+  lines[key].add(span_ms, micros_per_hour);
 }
 
-Line Account::total() const {
-  Line sum;
-  std::uint64_t rests = 0;
+UsageTotal Account::total() const {
+  UsageTotal sum;
+  std::uint64_t remainders = 0;
   for (const auto& [unused, line] : lines) {
     sum.machine_ms += line.machine_ms;
     sum.micros += line.micros;
-    rests += line.rest;
+    remainders += line.remainder;
   }
-  sum.micros += rests / kMillisPerHour;
-  sum.rest = rests % kMillisPerHour;
+  sum.micros += remainders / kMillisPerHour;
+  sum.remainder = remainders % kMillisPerHour;
   return sum;
 }
 
-Value to_value(const Line& line) { return Value::List{line.machine_ms, line.micros, line.rest}; }
+Value to_value(const UsageTotal& line) { return Value::List{line.machine_ms, line.micros, line.remainder}; }
 
-Line line_from(const Value& value) {
+UsageTotal parse_usage_total(const Value& value) {
   const Value::List* list = value.as_list();
   if (list == nullptr || list->size() != 3 ||
       std::ranges::any_of(*list, [](const Value& one) { return one.as_count() == nullptr; })) {
     throw Malformed("line: not a sum");
   }
-  return {.machine_ms = *(*list)[0].as_count(), .micros = *(*list)[1].as_count(), .rest = *(*list)[2].as_count()};
+  return {.machine_ms = *(*list)[0].as_count(), .micros = *(*list)[1].as_count(), .remainder = *(*list)[2].as_count()};
 }
 
 Value to_value(const Account& account) {
@@ -96,7 +96,7 @@
                                            account.starts.cold_wait_ms}}};
 }
 
-Account account_from(const Value& value) {
+Account parse_account(const Value& value) {
   Account account;
   account.payer = value.text("payer");
   for (const Value& entry : value.list("lines")) {
@@ -104,7 +104,7 @@
     if (line == nullptr || line->size() != 3 || (*line)[0].as_text() == nullptr || (*line)[1].as_text() == nullptr) {
       throw Malformed("lines: entry is not a line");
     }
-    account.lines[{*(*line)[0].as_text(), use_from(*(*line)[1].as_text())}] = line_from((*line)[2]);
+    account.lines[{*(*line)[0].as_text(), parse_machine_use(*(*line)[1].as_text())}] = parse_usage_total((*line)[2]);
   }
   const Value::List& starts = value.list("starts");
   if (starts.size() != 4 || std::ranges::any_of(starts, [](const Value& one) { return one.as_count() == nullptr; })) {
@@ -117,52 +117,52 @@
   return account;
 }
 
-std::string key_text(std::string_view name) {
+std::string escape_key_part(std::string_view name) {
   std::string text;
-  for (const char sign : name) {
-    if (plain(sign)) {
-      text += sign;
+  for (const char character : name) {
+    if (is_unescaped_key_character(character)) {
+      text += character;
       continue;
     }
-    const auto byte = static_cast<unsigned char>(sign);
+    const auto byte = static_cast<unsigned char>(character);
     text += '%';
-    text += kHex[byte >> 4U];
-    text += kHex[byte & 15U];
+    text += kHexDigits[byte >> 4U];
+    text += kHexDigits[byte & 15U];
   }
   return text;
 }
 
-std::string name_of_key(std::string_view text) {
+std::string unescape_key_part(std::string_view text) {
   std::string name;
-  for (std::size_t at = 0; at < text.size(); ++at) {
-    if (text[at] != '%' || at + 2 >= text.size()) {
-      name += text[at];
+  for (std::size_t position = 0; position < text.size(); ++position) {
+    if (text[position] != '%' || position + 2 >= text.size()) {
+      name += text[position];
       continue;
     }
-    const std::size_t high = kHex.find(text[at + 1]);
-    const std::size_t low = kHex.find(text[at + 2]);
+    const std::size_t high = kHexDigits.find(text[position + 1]);
+    const std::size_t low = kHexDigits.find(text[position + 2]);
     if (high == std::string_view::npos || low == std::string_view::npos) throw Malformed("key: not a name");
     name += static_cast<char>(high * 16 + low);
-    at += 2;
+    position += 2;
   }
   return name;
 }
 
 std::string account_key(std::string_view pool, std::uint64_t day) {
-  return kAccountPrefix + key_text(pool) + "/" + std::to_string(day);
+  return kAccountPrefix + escape_key_part(pool) + "/" + std::to_string(day);
 }
 
-void by_hours(std::uint64_t from_ms, std::uint64_t to_ms,
-              const std::function<void(std::uint64_t hour, std::uint64_t span_ms)>& each) {
+void split_by_hour(std::uint64_t from_ms, std::uint64_t to_ms,
+                   const std::function<void(std::uint64_t hour, std::uint64_t span_ms)>& on_part) {
   while (from_ms < to_ms) {
     const std::uint64_t hour = from_ms / kMillisPerHour;
     const std::uint64_t end = std::min(to_ms, (hour + 1) * kMillisPerHour);
-    each(hour, end - from_ms);
+    on_part(hour, end - from_ms);
     from_ms = end;
   }
 }
 
-std::string date_of(std::uint64_t day) {
+std::string format_date(std::uint64_t day) {
   const std::chrono::year_month_day date{
       std::chrono::sys_days(std::chrono::days(static_cast<std::chrono::days::rep>(day)))};
   std::array<char, 40> text{};
@@ -171,9 +171,9 @@
   return text.data();
 }
 
-std::string money_text(std::uint64_t micros) {
-  std::string rest = std::to_string(micros % 1'000'000);
-  return std::to_string(micros / 1'000'000) + "." + std::string(6 - rest.size(), '0') + rest;
+std::string format_money(std::uint64_t micros) {
+  std::string remainder = std::to_string(micros % 1'000'000);
+  return std::to_string(micros / 1'000'000) + "." + std::string(6 - remainder.size(), '0') + remainder;
 }
 
 }  // namespace foxshunt::accounts
--- a/src/accounts/account.h
+++ b/src/accounts/account.h
@@ -17,62 +17,62 @@
 inline constexpr std::uint64_t kMillisPerDay = 24 * kMillisPerHour;
 
 // What a pool's machine is used for: the pool's users go before who warms it, and these before who borrows it.
-enum class Use : std::uint8_t { idle, warming, borrowed, own };
-[[nodiscard]] std::string_view name_of(Use use);
-[[nodiscard]] Use use_from(std::string_view name);  // throws Malformed
+enum class MachineUse : std::uint8_t { idle, warming, borrowed, own };
+[[nodiscard]] std::string_view name_of(MachineUse use);
+[[nodiscard]] MachineUse parse_machine_use(std::string_view name);  // throws Malformed
 
 // A sum that loses nothing to rounding: what is less than a millionth of the money's unit is carried on.
-struct Line {
+struct UsageTotal {
   std::uint64_t machine_ms = 0;
-  std::uint64_t micros = 0;  // millionths of the money's unit
-  std::uint64_t rest = 0;    // of a millionth, in 3,600,000ths
+  std::uint64_t micros = 0;     // millionths of the money's unit
+  std::uint64_t remainder = 0;  // of a millionth, in 3,600,000ths
 
-  // `micros_hour`: the price of an hour. A span is at most some days.
-  void add(std::uint64_t span_ms, std::uint64_t micros_hour);
-  friend bool operator==(const Line&, const Line&) = default;
+  // `micros_per_hour`: the price of an hour. A span is at most some days.
+  void add(std::uint64_t span_ms, std::uint64_t micros_per_hour);
+  friend bool operator==(const UsageTotal&, const UsageTotal&) = default;
 };
 
 // Starts of the pool's users' tasks, on any machine, and how long they took from their placement on.
-struct Starts {
+struct StartCounts {
   std::uint64_t warm = 0;  // found their image
   std::uint64_t cold = 0;
   std::uint64_t warm_wait_ms = 0;
   std::uint64_t cold_wait_ms = 0;
 
-  Starts& operator+=(const Starts& other);
+  StartCounts& operator+=(const StartCounts& other);
   // What the warm ones would have waited longer, had they waited as the cold ones did.
   [[nodiscard]] std::uint64_t saved_ms() const;
-  friend bool operator==(const Starts&, const Starts&) = default;
+  friend bool operator==(const StartCounts&, const StartCounts&) = default;
 };
 
 // Of one pool and one day (UTC, counted from 1970). The payer pays all of it; the lines name the team whose work
 // used the machine, so that teams can settle between them.
 struct Account {
   std::string payer;
-  std::map<std::pair<std::string, Use>, Line> lines;  // idle and warming time is the payer's
-  Starts starts;
+  std::map<std::pair<std::string, MachineUse>, UsageTotal> lines;  // idle and warming time is the payer's
+  StartCounts starts;
 
-  void add(const std::string& team, Use use, std::uint64_t span_ms, std::uint64_t micros_hour);
-  [[nodiscard]] Line total() const;
+  void add(const std::string& team, MachineUse use, std::uint64_t span_ms, std::uint64_t micros_per_hour);
+  [[nodiscard]] UsageTotal total() const;
   friend bool operator==(const Account&, const Account&) = default;
 };
 
-[[nodiscard]] wire::Value to_value(const Line& line);
-[[nodiscard]] Line line_from(const wire::Value& value);
+[[nodiscard]] wire::Value to_value(const UsageTotal& line);
+[[nodiscard]] UsageTotal parse_usage_total(const wire::Value& value);
 [[nodiscard]] wire::Value to_value(const Account& account);
-[[nodiscard]] Account account_from(const wire::Value& value);  // throws Malformed
+[[nodiscard]] Account parse_account(const wire::Value& value);  // throws Malformed
 
 // Keys have no spaces, names may: what is neither a letter, a digit nor one of "_.-" is written as %XX.
-[[nodiscard]] std::string key_text(std::string_view name);
-[[nodiscard]] std::string name_of_key(std::string_view text);
+[[nodiscard]] std::string escape_key_part(std::string_view name);
+[[nodiscard]] std::string unescape_key_part(std::string_view text);
 [[nodiscard]] std::string account_key(std::string_view pool, std::uint64_t day);
 
 // The parts of [from, to) by hours of the time of day, in order.
-void by_hours(std::uint64_t from_ms, std::uint64_t to_ms,
-              const std::function<void(std::uint64_t hour, std::uint64_t span_ms)>& each);
+void split_by_hour(std::uint64_t from_ms, std::uint64_t to_ms,
+                   const std::function<void(std::uint64_t hour, std::uint64_t span_ms)>& on_part);
 // 2027-03-28
-[[nodiscard]] std::string date_of(std::uint64_t day);
+[[nodiscard]] std::string format_date(std::uint64_t day);
 // 12.345678, exact
-[[nodiscard]] std::string money_text(std::uint64_t micros);
+[[nodiscard]] std::string format_money(std::uint64_t micros);
 
 }  // namespace foxshunt::accounts
--- a/src/calendar/judge.cpp
+++ b/src/calendar/judge.cpp
@@ -42,19 +42,20 @@
 }
 
 // What the job lacks; as far as the plan doesn't say, that it is late.
-foresight::Need need_of(const Counted& job, const JobNow& now, bool first) {
-  foresight::Need need = now.need.value_or(foresight::Need{});
+foresight::Shortfall need_of(const Counted& job, const JobNow& now, bool first) {
+  foresight::Shortfall need = now.need.value_or(foresight::Shortfall{});
   const bool best = !now.planned_end_ms || *now.planned_end_ms <= now.best_end_ms;
-  if (first || (!now.need && best)) need.lack = foresight::ShortfallReason::time;
+  if (first || (!now.need && best)) need.shortfall_reason = foresight::ShortfallReason::not_enough_time;
   need.job = job.job.text();
   need.jobs = 1;
   return need;
 }
 
 // Jobs that lack the same are told of together.
-void add_need(std::vector<foresight::Need>& needs, foresight::Need need) {
-  const auto same = std::ranges::find_if(
-      needs, [&need](const foresight::Need& one) { return one.lack == need.lack && one.kind == need.kind; });
+void add_need(std::vector<foresight::Shortfall>& needs, foresight::Shortfall need) {
+  const auto same = std::ranges::find_if(needs, [&need](const foresight::Shortfall& one) {
+    return one.shortfall_reason == need.shortfall_reason && one.kind == need.kind;
+  });
   if (same == needs.end()) return needs.push_back(std::move(need));
   ++same->jobs;
   same->tasks += need.tasks;
@@ -62,12 +63,12 @@
   same->up_by_ms = std::min(same->up_by_ms, need.up_by_ms);
 }
 
-std::vector<std::string> told_of(const std::vector<foresight::Need>& needs, const std::vector<std::string>& told) {
+std::vector<std::string> told_of(const std::vector<foresight::Shortfall>& needs, const std::vector<std::string>& told) {
   std::vector<std::string> reasons;
   std::uint64_t more = 0;
-  for (const foresight::Need& need : needs) {
+  for (const foresight::Shortfall& need : needs) {
     if (reasons.size() + 1 < constants::kMaxCalendarReasons / 2) {
-      reasons.push_back(foresight::in_words(need, told));
+      reasons.push_back(foresight::describe_shortfall(need, told));
     } else {
       more += need.jobs;
     }
@@ -106,7 +107,7 @@
   const std::vector<std::string> told(
       seen.reasons.end() - static_cast<std::ptrdiff_t>(std::min<std::uint64_t>(seen.of_plan, seen.reasons.size())),
       seen.reasons.end());
-  std::vector<foresight::Need> needs;
+  std::vector<foresight::Shortfall> needs;
   bool as_told = false;
   const bool may_step = now - seen.stepped_ms >= constants::kCalendarStepInterval.count();
   for (Counted& job : one.jobs) {
--- a/src/calendar/judge.h
+++ b/src/calendar/judge.h
@@ -19,7 +19,7 @@
   std::int64_t seen_ms = 0;
   std::optional<std::int64_t> planned_end_ms;  // by the leader's plan
   std::int64_t best_end_ms = 0;                // if all of it began now
-  std::optional<foresight::Need> need;         // what lacks, where the plan can't hold its deadline
+  std::optional<foresight::Shortfall> need;    // what lacks, where the plan can't hold its deadline
 };
 
 struct EvaluationContext {
--- a/src/calendar/keeper.h
+++ b/src/calendar/keeper.h
@@ -70,8 +70,8 @@
 
   // On the leader: what its plan says of jobs.
   struct Plan {
-    std::optional<std::int64_t> end_ms;   // by the time of day; nothing: it has no booking
-    std::optional<foresight::Need> need;  // what lacks for its deadline
+    std::optional<std::int64_t> end_ms;        // by the time of day; nothing: it has no booking
+    std::optional<foresight::Shortfall> need;  // what lacks for its deadline
   };
   void planned(std::map<JobId, Plan> plans);
 
--- a/src/calendar/plans.cpp
+++ b/src/calendar/plans.cpp
@@ -9,7 +9,7 @@
     const auto deadline = keeper.deadline_ms(id);
     if (!step || !deadline) continue;
     const foresight::Millis left(*deadline - keeper.limits().skew_ms - now.wall_ms);
-    dues.emplace(id, foresight::Due{.by = now.at + left, .step = *step});
+    dues.emplace(id, foresight::JobDeadline{.deadline = now.at + left, .slack_step = *step});
   }
   return dues;
 }
@@ -23,13 +23,13 @@
   for (const auto& [job, forecast] : deadline_forecasts) {
     DeadlineController::Plan& plan = plans[job];
     if (forecast.end) plan.end_ms = wall(*forecast.end);
-    if (forecast.lack == foresight::ShortfallReason::nothing) continue;
-    plan.need = foresight::Need{.lack = forecast.lack,
-                                .job = job.text(),
-                                .kind = forecast.kind,
-                                .tasks = forecast.tasks,
-                                .machines = forecast.machines,
-                                .up_by_ms = wall(forecast.up_by)};
+    if (forecast.shortfall_reason == foresight::ShortfallReason::none) continue;
+    plan.need = foresight::Shortfall{.shortfall_reason = forecast.shortfall_reason,
+                                     .job = job.text(),
+                                     .kind = forecast.kind,
+                                     .tasks = forecast.tasks,
+                                     .machines = forecast.machines,
+                                     .up_by_ms = wall(forecast.up_by)};
   }
   return plans;
 }
--- a/src/cli/pools.cpp
+++ b/src/cli/pools.cpp
@@ -22,8 +22,8 @@
     for (const char* figure : {"wanted", "held", "asked", "warm", "in_use", "warming", "lent"}) {
       std::cout << std::setw(9) << pool.count(figure);
     }
-    std::cout << std::setw(16) << accounts::money_text(pool.count("hour_micros")) << std::setw(16)
-              << accounts::money_text(pool.count("day_micros"));
+    std::cout << std::setw(16) << accounts::format_money(pool.count("hour_micros")) << std::setw(16)
+              << accounts::format_money(pool.count("day_micros"));
     if (!pool.text("why").empty()) std::cout << "  " << pool.text("why");
     std::cout << "\n";
   }
@@ -48,7 +48,7 @@
     for (const wire::Value& line : account.list("lines")) {
       std::cout << field(account.text("pool")) << ',' << account.text("day") << ',' << field(account.text("payer"))
                 << ',' << field(line.text("team")) << ',' << line.text("use") << ',' << line.count("machine_ms") << ','
-                << accounts::money_text(line.count("micros")) << "\n";
+                << accounts::format_money(line.count("micros")) << "\n";
     }
   }
 }
@@ -56,12 +56,12 @@
 void print_accounts(const wire::Value& body) {
   for (const wire::Value& account : body.list("accounts")) {
     std::cout << account.text("pool") << " on " << account.text("day") << ", paid by " << account.text("payer") << ": "
-              << accounts::money_text(account.count("micros")) << " for " << account.count("machine_ms") / 1000
+              << accounts::format_money(account.count("micros")) << " for " << account.count("machine_ms") / 1000
               << " machine-seconds\n";
     for (const wire::Value& line : account.list("lines")) {
       std::cout << "  " << std::left << std::setw(10) << line.text("use") << std::setw(24) << line.text("team")
                 << std::right << std::setw(14) << line.count("machine_ms") / 1000 << " s" << std::setw(18)
-                << accounts::money_text(line.count("micros")) << "\n";
+                << accounts::format_money(line.count("micros")) << "\n";
     }
     std::cout << "  starts that found their image: " << account.count("warm_starts")
               << ", that did not: " << account.count("cold_starts")
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -65,16 +65,16 @@
 
 // Describes the machine type for a forecast of the job. Nothing if no task fits it or the job may run on none of its
 // machines. `max_price_per_task`: the hourly price above which no machine is rented even for late work.
-std::optional<foresight::Kind> describe_machine_type(const DeadlineContext& context, const Job& job,
-                                                     const wire::MachineType& kind, double max_price_per_task,
-                                                     const CloudCapacityTracker::HeldMachines& held_machines) {
+std::optional<foresight::MachineOption> describe_machine_type(const DeadlineContext& context, const Job& job,
+                                                              const wire::MachineType& kind, double max_price_per_task,
+                                                              const CloudCapacityTracker::HeldMachines& held_machines) {
   const std::int64_t fit =
       job.each.count_fitting_in(TaskPricing(context.cluster, context.demand).usable_capacity(job.spec, kind));
   if (fit <= 0) return std::nullopt;
-  foresight::Kind found{.name = kind.name,
-                        .boot = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
-                        .fetch = context.cluster.image_fetch_duration(job.spec, kind.name),
-                        .fit = static_cast<std::uint64_t>(fit)};
+  foresight::MachineOption found{.name = kind.name,
+                                 .boot_time = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
+                                 .fetch_time = context.cluster.image_fetch_duration(job.spec, kind.name),
+                                 .tasks_per_machine = static_cast<std::uint64_t>(fit)};
   bool is_allowed = false;
   for (const std::string& zone : kind.zones) {
     for (const bool spot : {false, true}) {
@@ -90,25 +90,26 @@
 }
 
 // Describes the job's pending tasks for a forecast.
-foresight::Work describe_work(const DeadlineContext& context, const Job& job, Instant deadline,
-                              const CloudCapacityTracker::HeldMachines& held_machines) {
-  foresight::Work work{.by = deadline, .run = estimated_run_time(job)};
-  work.waiting = job.pending();
-  work.together = is_gang(job);
+foresight::DeadlineWork describe_work(const DeadlineContext& context, const Job& job, Instant deadline,
+                                      const CloudCapacityTracker::HeldMachines& held_machines) {
+  foresight::DeadlineWork work{.deadline = deadline, .run_time = estimated_run_time(job)};
+  work.waiting_tasks = job.pending();
+  work.is_gang = is_gang(job);
   work.can_scale_out = context.cluster.settings.operators.can_scale_out;
   work.end = planned_end(context.cluster, job);
-  work.late = work.waiting - std::min(work.waiting, count_tasks_booked_by(context.cluster.planner, job, deadline));
+  work.late_tasks =
+      work.waiting_tasks - std::min(work.waiting_tasks, count_tasks_booked_by(context.cluster.planner, job, deadline));
   if (const config::Team* team = context.cluster.settings.team(job.spec.team); team != nullptr) {
-    work.limit = TeamQuota(*team).remaining_tasks(job.each, context.cluster.jobs.team_use(job.spec.team));
+    work.remaining_quota = TeamQuota(*team).remaining_tasks(job.each, context.cluster.jobs.team_use(job.spec.team));
   }
   if (const classes::Rank* rank = context.ranking.find(job.spec.id); rank != nullptr && context.ranking.on()) {
-    work.capped = rank->capped;
+    work.held_by_class_cap = rank->capped;
   }
   const double max_price_per_task =
       TaskPricing(context.cluster, context.demand).lowest_task_price(job.spec) * constants::kMaxLatePriceFactor;
   for (const wire::MachineType& kind : context.cluster.machine_types) {
     if (auto rentable = describe_machine_type(context, job, kind, max_price_per_task, held_machines))
-      work.kinds.push_back(std::move(*rentable));
+      work.machine_options.push_back(std::move(*rentable));
   }
   return work;
 }
@@ -131,7 +132,7 @@
 
 bool DeadlinePlanner::on_due_jobs(foresight::DueJobs due_jobs) {
   const bool same = std::ranges::equal(due_jobs, due_jobs_, [](const auto& left, const auto& right) {
-    return left.first == right.first && left.second.step == right.second.step;
+    return left.first == right.first && left.second.slack_step == right.second.slack_step;
   });
   due_jobs_ = std::move(due_jobs);
   return !same;
@@ -139,7 +140,7 @@
 
 std::map<JobId, int> DeadlinePlanner::slack_steps() const {
   std::map<JobId, int> slack;
-  for (const auto& [id, due] : due_jobs_) slack.emplace_hint(slack.end(), id, due.step);
+  for (const auto& [id, due] : due_jobs_) slack.emplace_hint(slack.end(), id, due.slack_step);
   return slack;
 }
 
@@ -161,7 +162,7 @@
   for (const auto& [id, due] : due_jobs_) {
     const auto entry = context.cluster.jobs.find(id);
     if (entry == context.cluster.jobs.end()) continue;
-    if (auto forecast = forecast_job(context, entry->second, due.by, held_machines, last_pass_started_at, now)) {
+    if (auto forecast = forecast_job(context, entry->second, due.deadline, held_machines, last_pass_started_at, now)) {
       forecasts.emplace_hint(forecasts.end(), id, std::move(*forecast));
     }
   }
@@ -174,14 +175,16 @@
                                                    Instant now) const {
   const auto due = due_jobs_.find(job.spec.id);
   if (due == due_jobs_.end()) return 0;
-  const Instant deadline = due->second.by;
+  const Instant deadline = due->second.deadline;
   std::uint32_t late = 0;
   for (const plan::Placement& placement : placements) {
     if (placement.stop + run_time_beyond_booking(job) > deadline) late += placement.count;
   }
   if (late == 0) return 0;
-  const foresight::Work work = describe_work(context, job, deadline, {});
-  if (std::ranges::none_of(work.kinds, [&](const auto& kind) { return foresight::in_time(work, kind, now); })) return 0;
+  const foresight::DeadlineWork work = describe_work(context, job, deadline, {});
+  if (std::ranges::none_of(work.machine_options,
+                           [&](const auto& kind) { return foresight::can_finish_in_time(work, kind, now); }))
+    return 0;
   // If the machines have room for these tasks in time, something else holds them back, such as a quota.
   // Renting would then be repeated in every pass, because the rented machines would stay empty.
   return count_timely_room(job, places, deadline, late, now) >= late ? 0 : late;
@@ -190,14 +193,14 @@
 Millis DeadlinePlanner::max_startup_for_deadline(const Job& job, Instant now) const {
   const auto due = due_jobs_.find(job.spec.id);
   if (due == due_jobs_.end()) return Millis::max();
-  return due->second.by - now - estimated_run_time(job);
+  return due->second.deadline - now - estimated_run_time(job);
 }
 
 Millis DeadlinePlanner::scale_out_delay(const Job& job, Instant now) const {
   if (job.spec.deadline_s) {
     Instant deadline = job.submitted + from_seconds(*job.spec.deadline_s);
     if (const auto due = due_jobs_.find(job.spec.id); due != due_jobs_.end())
-      deadline = std::min(deadline, due->second.by);
+      deadline = std::min(deadline, due->second.deadline);
     const Instant latest = deadline - booking_duration(job) * 3 / 2;
     return std::max(Millis(0), latest - now);
   }
--- a/src/foresight/foresight.cpp
+++ b/src/foresight/foresight.cpp
@@ -8,18 +8,18 @@
 namespace foxshunt::foresight {
 namespace {
 
-std::uint64_t ratio_up(std::uint64_t all, std::uint64_t each) {
-  return (all + each - 1) / std::max<std::uint64_t>(each, 1);
+std::uint64_t divide_rounding_up(std::uint64_t total, std::uint64_t divisor) {
+  return (total + divisor - 1) / std::max<std::uint64_t>(divisor, 1);
 }
 
 // How many of the tasks have to run side by side.
-std::uint64_t at_once(const Work& work, Instant now) {
-  if (work.together || work.run <= Millis(0)) return work.waiting;
-  return ratio_up(work.waiting, static_cast<std::uint64_t>((work.by - now) / work.run));
+std::uint64_t required_parallelism(const DeadlineWork& work, Instant now) {
+  if (work.is_gang || work.run_time <= Millis(0)) return work.waiting_tasks;
+  return divide_rounding_up(work.waiting_tasks, static_cast<std::uint64_t>((work.deadline - now) / work.run_time));
 }
 
 // 1, 2, 3, 4, 6, 8, 12, 16, 24, ...
-std::uint64_t round_up(std::uint64_t number) {
+std::uint64_t round_up_to_step(std::uint64_t number) {
   std::uint64_t power = 1;
   while (power < number) {
     if (power >= 2 && power + power / 2 >= number) return power + power / 2;
@@ -28,108 +28,120 @@
   return power;
 }
 
-std::string clock_of(std::int64_t minute) {
-  const std::int64_t of_day = ((minute % 1440) + 1440) % 1440;
+std::string format_time_of_day(std::int64_t minute) {
+  const std::int64_t minute_of_day = ((minute % 1440) + 1440) % 1440;
   std::array<char, 16> text{};
-  std::snprintf(text.data(), text.size(), "%02d:%02d UTC", static_cast<int>(of_day / 60),
-                static_cast<int>(of_day % 60));
+  std::snprintf(text.data(), text.size(), "%02d:%02d UTC", static_cast<int>(minute_of_day / 60),
+                static_cast<int>(minute_of_day % 60));
   return text.data();
 }
 
-std::string plural(std::uint64_t count, const char* noun) {
+std::string format_count(std::uint64_t count, const char* noun) {
   return std::to_string(count) + " " + noun + (count == 1 ? "" : "s");
 }
 
-std::string worded(const Need& need, std::uint64_t number, std::int64_t minute) {
-  const bool several = need.jobs > 1;
-  const std::string who = need.job + (several ? " and " + std::to_string(need.jobs - 1) + " more" : "");
-  const std::string late = who + (several ? " are" : " is") + " planned to end after the deadline: ";
-  const std::string machines = std::to_string(number) + " more of " + need.kind + " up by " + clock_of(minute);
-  const std::string room = "room in it for " + plural(number, "more task");
-  switch (need.lack) {
-    case ShortfallReason::nothing: break;
-    case ShortfallReason::time:
-      return who + " can't end by the deadline even if all of it runs now: only a shorter or an earlier job would help";
-    case ShortfallReason::type:
-      return late + "no machine type that it may use has room; smaller tasks or other types would help";
-    case ShortfallReason::team_limit: return late + "the team's limit is used up; " + room + " would help";
+std::string format_shortfall(const Shortfall& shortfall, std::uint64_t number, std::int64_t minute) {
+  const bool has_several_jobs = shortfall.jobs > 1;
+  const std::string subject =
+      shortfall.job + (has_several_jobs ? " and " + std::to_string(shortfall.jobs - 1) + " more" : "");
+  const std::string prefix = subject + (has_several_jobs ? " are" : " is") + " planned to end after the deadline: ";
+  const std::string machine_hint =
+      std::to_string(number) + " more of " + shortfall.kind + " up by " + format_time_of_day(minute);
+  const std::string quota_hint = "room in it for " + format_count(number, "more task");
+  switch (shortfall.shortfall_reason) {
+    case ShortfallReason::none: break;
+    case ShortfallReason::not_enough_time:
+      return subject +
+             " can't end by the deadline even if all of it runs now: only a shorter or an earlier job would help";
+    case ShortfallReason::no_fitting_type:
+      return prefix + "no machine type that it may use has room; smaller tasks or other types would help";
+    case ShortfallReason::team_limit: return prefix + "the team's limit is used up; " + quota_hint + " would help";
     case ShortfallReason::class_cap:
-      return late + "its class's cap for the team keeps it back; " + room + " would help";
-    case ShortfallReason::boot: return late + "a machine rented now boots too late; " + machines + " would help";
-    case ShortfallReason::room: return late + "no room, and the settings forbid renting; " + machines + " would help";
-    case ShortfallReason::offer: return late + "no room, and none to rent; " + machines + " would help";
+      return prefix + "its class's cap for the team keeps it back; " + quota_hint + " would help";
+    case ShortfallReason::boot_too_slow:
+      return prefix + "a machine rented now boots too late; " + machine_hint + " would help";
+    case ShortfallReason::renting_disabled:
+      return prefix + "no room, and the settings forbid renting; " + machine_hint + " would help";
+    case ShortfallReason::no_offer: return prefix + "no room, and none to rent; " + machine_hint + " would help";
   }
-  return late + "room would help, nothing is known to lack";
+  return prefix + "room would help, nothing is known to lack";
 }
 
 }  // namespace
 
-bool in_time(const Work& work, const Kind& kind, Instant now) { return now + kind.ready() + work.run <= work.by; }
+bool can_finish_in_time(const DeadlineWork& work, const MachineOption& kind, Instant now) {
+  return now + kind.startup_time() + work.run_time <= work.deadline;
+}
 
-DeadlineForecast forecast_deadline(const Work& work, Instant now) {
+DeadlineForecast forecast_deadline(const DeadlineWork& work, Instant now) {
   DeadlineForecast forecast{.end = work.end};
-  if (work.end && *work.end <= work.by) return forecast;
-  if (work.waiting == 0 || now + work.run > work.by) {
-    forecast.lack = ShortfallReason::time;
+  if (work.end && *work.end <= work.deadline) return forecast;
+  if (work.waiting_tasks == 0 || now + work.run_time > work.deadline) {
+    forecast.shortfall_reason = ShortfallReason::not_enough_time;
     return forecast;
   }
-  if (work.kinds.empty()) {
-    forecast.lack = ShortfallReason::type;
+  if (work.machine_options.empty()) {
+    forecast.shortfall_reason = ShortfallReason::no_fitting_type;
     return forecast;
   }
-  const std::uint64_t needed = at_once(work, now);
-  if (work.limit && *work.limit < needed) {
-    forecast.lack = ShortfallReason::team_limit;
-    forecast.tasks = needed - *work.limit;
+  const std::uint64_t needed = required_parallelism(work, now);
+  if (work.remaining_quota && *work.remaining_quota < needed) {
+    forecast.shortfall_reason = ShortfallReason::team_limit;
+    forecast.tasks = needed - *work.remaining_quota;
     return forecast;
   }
-  const std::uint64_t uncapped = work.waiting - std::min(work.capped, work.waiting);
+  const std::uint64_t uncapped = work.waiting_tasks - std::min(work.held_by_class_cap, work.waiting_tasks);
   if (uncapped < needed) {
-    forecast.lack = ShortfallReason::class_cap;
+    forecast.shortfall_reason = ShortfallReason::class_cap;
     forecast.tasks = needed - uncapped;
     return forecast;
   }
-  const Kind* soonest = nullptr;  // to rent, in time
-  const Kind* fewest = nullptr;   // whether it may be had or not
-  const auto machines = [&work](const Kind& kind) { return ratio_up(std::max<std::uint64_t>(work.late, 1), kind.fit); };
+  const MachineOption* soonest_rentable = nullptr;  // to rent, in time
+  const MachineOption* suggested = nullptr;         // whether it may be had or not
+  const auto machines_needed = [&work](const MachineOption& kind) {
+    return divide_rounding_up(std::max<std::uint64_t>(work.late_tasks, 1), kind.tasks_per_machine);
+  };
   bool any_in_time = false;
-  for (const Kind& kind : work.kinds) {
-    const bool timely = in_time(work, kind, now);
-    if (timely && kind.can_scale_out && work.can_scale_out && (soonest == nullptr || kind.ready() < soonest->ready())) {
-      soonest = &kind;
+  for (const MachineOption& kind : work.machine_options) {
+    const bool is_in_time = can_finish_in_time(work, kind, now);
+    if (is_in_time && kind.can_scale_out && work.can_scale_out &&
+        (soonest_rentable == nullptr || kind.startup_time() < soonest_rentable->startup_time())) {
+      soonest_rentable = &kind;
     }
     // One that could be up in time rather than one that can't.
-    if (fewest == nullptr ||
-        std::tuple(!timely, machines(kind), kind.name) < std::tuple(!any_in_time, machines(*fewest), fewest->name)) {
-      fewest = &kind;
+    if (suggested == nullptr || std::tuple(!is_in_time, machines_needed(kind), kind.name) <
+                                    std::tuple(!any_in_time, machines_needed(*suggested), suggested->name)) {
+      suggested = &kind;
     }
-    any_in_time = any_in_time || timely;
+    any_in_time = any_in_time || is_in_time;
   }
-  if (soonest != nullptr) {
-    forecast.end = now + soonest->ready() + work.run;
+  if (soonest_rentable != nullptr) {
+    forecast.end = now + soonest_rentable->startup_time() + work.run_time;
     return forecast;
   }
-  forecast.lack = !work.can_scale_out ? ShortfallReason::room
-                  : any_in_time       ? ShortfallReason::offer
-                                      : ShortfallReason::boot;
-  forecast.kind = fewest->name;
-  forecast.machines = machines(*fewest);
-  forecast.up_by = work.by - work.run - fewest->fetch;
+  forecast.shortfall_reason = !work.can_scale_out ? ShortfallReason::renting_disabled
+                              : any_in_time       ? ShortfallReason::no_offer
+                                                  : ShortfallReason::boot_too_slow;
+  forecast.kind = suggested->name;
+  forecast.machines = machines_needed(*suggested);
+  forecast.up_by = work.deadline - work.run_time - suggested->fetch_time;
   return forecast;
 }
 
-std::string in_words(const Need& need, const std::vector<std::string>& told) {
-  const bool counts_tasks = need.lack == ShortfallReason::team_limit || need.lack == ShortfallReason::class_cap;
-  const std::uint64_t number = round_up(std::max<std::uint64_t>(counts_tasks ? need.tasks : need.machines, 1));
-  const std::int64_t minute = need.up_by_ms / 60'000;
+std::string describe_shortfall(const Shortfall& shortfall, const std::vector<std::string>& previous_texts) {
+  const bool counts_tasks = shortfall.shortfall_reason == ShortfallReason::team_limit ||
+                            shortfall.shortfall_reason == ShortfallReason::class_cap;
+  const std::uint64_t number =
+      round_up_to_step(std::max<std::uint64_t>(counts_tasks ? shortfall.tasks : shortfall.machines, 1));
+  const std::int64_t minute = shortfall.up_by_ms / 60'000;
   // Clocks are compared anew for each plan, so that a time on the edge of a minute wavers.
-  for (const std::uint64_t more : {number, round_up(number + 1)}) {
-    for (const std::int64_t near : {minute, minute - 1, minute + 1}) {
-      std::string text = worded(need, more, near);
-      if (std::ranges::find(told, text) != told.end()) return text;
+  for (const std::uint64_t candidate : {number, round_up_to_step(number + 1)}) {
+    for (const std::int64_t shown_minute : {minute, minute - 1, minute + 1}) {
+      std::string text = format_shortfall(shortfall, candidate, shown_minute);
+      if (std::ranges::find(previous_texts, text) != previous_texts.end()) return text;
     }
   }
-  return worded(need, number, minute);
+  return format_shortfall(shortfall, number, minute);
 }
 
 }  // namespace foxshunt::foresight
--- a/src/foresight/foresight.h
+++ b/src/foresight/foresight.h
@@ -17,48 +17,48 @@
 using plan::Millis;
 
 // What a calendar's records ask of a job.
-struct Due {
-  Instant by;    // by the clock that is ahead of all others
-  int step = 0;  // of slack, as recorded
+struct JobDeadline {
+  Instant deadline;    // by the clock that is ahead of all others
+  int slack_step = 0;  // of slack, as recorded
 };
-using DueJobs = std::map<JobId, Due>;
+using DueJobs = std::map<JobId, JobDeadline>;
 
 // A kind of machine that one task of the work fits.
-struct Kind {
+struct MachineOption {
   std::string name;
-  Millis boot{};               // from the wish for one until it is up
-  Millis fetch{};              // of the work's image
-  std::uint64_t fit = 1;       // tasks at once
-  bool can_scale_out = false;  // one more may be had at a price that is paid for late work
-  [[nodiscard]] Millis ready() const { return boot + fetch; }
+  Millis boot_time{};                   // from the wish for one until it is up
+  Millis fetch_time{};                  // of the work's image
+  std::uint64_t tasks_per_machine = 1;  // tasks at once
+  bool can_scale_out = false;           // one more may be had at a price that is paid for late work
+  [[nodiscard]] Millis startup_time() const { return boot_time + fetch_time; }
 };
 
-struct Work {
-  Instant by;
-  Millis run{};                        // of a task, by its estimate
-  std::uint64_t waiting = 0;           // tasks without a place
-  std::uint64_t late = 0;              // of these: booked to end after `by`, or not booked
-  bool together = false;               // all at once or none
-  std::optional<Instant> end;          // by the plan; nothing: some task has neither a place nor a booking
-  std::optional<std::uint64_t> limit;  // more tasks that the team's limit lets run now; nothing: it has none
-  std::uint64_t capped = 0;            // of those that wait, kept back by the class's cap for the team
-  bool can_scale_out = true;           // by the settings
-  std::vector<Kind> kinds;
+struct DeadlineWork {
+  Instant deadline;
+  Millis run_time{};                             // of a task, by its estimate
+  std::uint64_t waiting_tasks = 0;               // tasks without a place
+  std::uint64_t late_tasks = 0;                  // of these: booked to end after `by`, or not booked
+  bool is_gang = false;                          // all at once or none
+  std::optional<Instant> end;                    // by the plan; nothing: some task has neither a place nor a booking
+  std::optional<std::uint64_t> remaining_quota;  // more tasks that the team's limit lets run now; nothing: it has none
+  std::uint64_t held_by_class_cap = 0;           // of those that wait, kept back by the class's cap for the team
+  bool can_scale_out = true;                     // by the settings
+  std::vector<MachineOption> machine_options;
 };
 
 enum class ShortfallReason : std::uint8_t {
-  nothing,
-  time,        // it would end too late if all of it began now
-  type,        // no kind of machine has room for a task
-  team_limit,  // too few may run at once
-  class_cap,   // the same
-  boot,        // what is rented now is up too late
-  room,        // none may be rented, by the settings
-  offer,       // the cloud has none, or none at that price
+  none,
+  not_enough_time,   // it would end too late if all of it began now
+  no_fitting_type,   // no kind of machine has room for a task
+  team_limit,        // too few may run at once
+  class_cap,         // the same
+  boot_too_slow,     // what is rented now is up too late
+  renting_disabled,  // none may be rented, by the settings
+  no_offer,          // the cloud has none, or none at that price
 };
 
 struct DeadlineForecast {
-  ShortfallReason lack = ShortfallReason::nothing;
+  ShortfallReason shortfall_reason = ShortfallReason::none;
   std::optional<Instant> end;  // when it is expected to end: by the plan, or on machines that are rented now
   std::uint64_t tasks = 0;     // more of them at once would help, for want of a limit or a cap
   std::string kind;            // or this kind of machine,
@@ -66,14 +66,14 @@
   Instant up_by;               // up by then
 };
 
-[[nodiscard]] DeadlineForecast forecast_deadline(const Work& work, Instant now);
+[[nodiscard]] DeadlineForecast forecast_deadline(const DeadlineWork& work, Instant now);
 
 // Whether machines of the kind that are asked for now would run a task of the work in time.
-[[nodiscard]] bool in_time(const Work& work, const Kind& kind, Instant now);
+[[nodiscard]] bool can_finish_in_time(const DeadlineWork& work, const MachineOption& kind, Instant now);
 
 // The same for several jobs that lack the same.
-struct Need {
-  ShortfallReason lack = ShortfallReason::nothing;
+struct Shortfall {
+  ShortfallReason shortfall_reason = ShortfallReason::none;
   std::string job;  // one of them
   std::uint64_t jobs = 1;
   std::string kind;
@@ -84,6 +84,7 @@
 
 // Numbers are rounded up, and a wording among `told` stands as long as it says little more than what is needed, so that
 // records are not rewritten for every change of the plan.
-[[nodiscard]] std::string in_words(const Need& need, const std::vector<std::string>& told);
+[[nodiscard]] std::string describe_shortfall(const Shortfall& shortfall,
+                                             const std::vector<std::string>& previous_texts);
 
 }  // namespace foxshunt::foresight
--- a/src/node/warm_pool_loop.cpp
+++ b/src/node/warm_pool_loop.cpp
@@ -114,9 +114,9 @@
                                  {"machine_ms", line.machine_ms},
                                  {"micros", line.micros}});
     }
-    const accounts::Starts& starts = view.account.starts;
+    const accounts::StartCounts& starts = view.account.starts;
     list.push_back(Value::Map{{"pool", view.pool},
-                              {"day", accounts::date_of(view.day)},
+                              {"day", accounts::format_date(view.day)},
                               {"payer", view.account.payer},
                               {"machine_ms", view.account.total().machine_ms},
                               {"micros", view.account.total().micros},
--- a/src/pools/desk.cpp
+++ b/src/pools/desk.cpp
@@ -7,7 +7,7 @@
 
 namespace foxshunt::pools {
 
-using accounts::Use;
+using accounts::MachineUse;
 
 void PoolAdmission::take(PoolDirectives directives) {
   directives_ = std::move(directives);
@@ -26,7 +26,7 @@
   starts_.clear();
 }
 
-std::map<std::string, accounts::Starts> PoolAdmission::take_starts() { return std::exchange(starts_, {}); }
+std::map<std::string, accounts::StartCounts> PoolAdmission::take_starts() { return std::exchange(starts_, {}); }
 
 const std::vector<std::size_t>* PoolAdmission::pools_of(const std::string& image) const {
   const auto found = by_image_.find(image);
@@ -53,8 +53,8 @@
   if (member == directives_.members.end()) return;
   const std::optional<catalog::JobMatch>& warming = directives_.pools[member->second].pool.warming;
   const bool of_pool = pools_of(spec.image) != nullptr && uses(member->second, spec);
-  Use use = of_pool ? Use::own : Use::borrowed;
-  if (warming && pools_of(spec.image) != nullptr && warming->matches(spec)) use = Use::warming;
+  MachineUse use = of_pool ? MachineUse::own : MachineUse::borrowed;
+  if (warming && pools_of(spec.image) != nullptr && warming->matches(spec)) use = MachineUse::warming;
   // Each moment counts once: the pool's users first, then by the team's name.
   if (use > observation.use || (use == observation.use && (observation.team.empty() || spec.team < observation.team))) {
     observation.use = use;
@@ -187,7 +187,7 @@
   for (const std::size_t pool : *pools) {
     const catalog::PoolDef& def = directives_.pools[pool].pool;
     if (!uses(pool, spec) || (def.warming && def.warming->matches(spec))) continue;
-    accounts::Starts& starts = starts_[def.name];
+    accounts::StartCounts& starts = starts_[def.name];
     const auto wait_ms = static_cast<std::uint64_t>(std::max<Millis::rep>(0, wait.count()));
     ++(found ? starts.warm : starts.cold);
     (found ? starts.warm_wait_ms : starts.cold_wait_ms) += wait_ms;
--- a/src/pools/desk.h
+++ b/src/pools/desk.h
@@ -45,7 +45,7 @@
   bool spot = false;
   bool leaving = false;  // it is drained, returned or has failed
   bool spare = false;    // it is up and nothing is placed or booked on it
-  accounts::Use use = accounts::Use::idle;
+  accounts::MachineUse use = accounts::MachineUse::idle;
   std::string team;                   // of the work that the use is about
   std::vector<std::size_t> users_of;  // pools whose users' work is on it
   std::vector<CachedImage> images;    // if any of them is a pool's; newest first
@@ -62,7 +62,7 @@
   bool settled = false;       // what is not among `machines` is not there
   bool can_scale_out = true;  // by the operators' settings
   std::vector<RentAnswer> answers;
-  std::map<std::string, accounts::Starts> starts;  // by pool, since the last sighting
+  std::map<std::string, accounts::StartCounts> starts;  // by pool, since the last sighting
   std::vector<wire::MachineType> types;
   std::set<std::string> left_zones;  // where nothing is rented
 };
@@ -74,7 +74,7 @@
   [[nodiscard]] bool on() const { return !directives_.pools.empty(); }
   // The answers stay until the keeper no longer asks; starts are handed over once.
   [[nodiscard]] const std::vector<RentAnswer>& answers() const { return answers_; }
-  [[nodiscard]] std::map<std::string, accounts::Starts> take_starts();
+  [[nodiscard]] std::map<std::string, accounts::StartCounts> take_starts();
   // Fills in what the machine is used for; `spec` is of a task on it.
   void look(MachineObservation& observation, const wire::JobSpec& spec) const;
   [[nodiscard]] bool of_interest(const Cache& cache) const;
@@ -124,7 +124,7 @@
   std::map<MachineId, Cache> caches_;
   std::vector<RentAnswer> answers_;
   std::map<TaskKey, bool> placed_;  // of pools' users, whether the image was believed to be there
-  std::map<std::string, accounts::Starts> starts_;
+  std::map<std::string, accounts::StartCounts> starts_;
 };
 
 }  // namespace foxshunt::pools
--- a/src/pools/keeper.cpp
+++ b/src/pools/keeper.cpp
@@ -17,7 +17,7 @@
 using accounts::Account;
 using accounts::kMillisPerDay;
 using accounts::kMillisPerHour;
-using accounts::Use;
+using accounts::MachineUse;
 using kv::Txn;
 using wire::Value;
 
@@ -44,7 +44,7 @@
 std::pair<std::string, std::uint64_t> name_and_number(std::string_view rest) {
   const std::size_t slash = rest.find('/');
   if (slash == std::string_view::npos) throw wire::Malformed("key: no number");
-  return {accounts::name_of_key(rest.substr(0, slash)), number_of(rest.substr(slash + 1))};
+  return {accounts::unescape_key_part(rest.substr(0, slash)), number_of(rest.substr(slash + 1))};
 }
 
 // What `pool/next` holds after a rental or a taking.
@@ -61,7 +61,7 @@
   defs_.clear();
   for (const catalog::PoolDef& def : set.pools) {
     // Its keys would be too long for the state service.
-    if (accounts::key_text(def.name).size() <= constants::kMaxPoolKey) defs_.push_back(def);
+    if (accounts::escape_key_part(def.name).size() <= constants::kMaxPoolKey) defs_.push_back(def);
   }
   std::ranges::sort(defs_, {}, &catalog::PoolDef::name);
 }
@@ -110,7 +110,7 @@
     held_[pool].erase(number);
     if (held_[pool].empty()) held_.erase(pool);
   } else if (key.starts_with(kStatePrefix)) {
-    const std::string pool = accounts::name_of_key(whole.substr(std::string_view(kStatePrefix).size()));
+    const std::string pool = accounts::unescape_key_part(whole.substr(std::string_view(kStatePrefix).size()));
     const std::string before = state_of(pool).why;
     if (data == nullptr) {
       states_.erase(pool);
@@ -130,7 +130,7 @@
   } else if (key.starts_with(accounts::kAccountPrefix)) {
     const auto [pool, day] = name_and_number(whole.substr(std::string_view(accounts::kAccountPrefix).size()));
     if (data != nullptr) {
-      accounts_[pool][day] = {accounts::account_from(*data), revision};
+      accounts_[pool][day] = {accounts::parse_account(*data), revision};
       return;
     }
     accounts_[pool].erase(day);
@@ -144,7 +144,7 @@
 }
 
 bool WarmPoolController::may_write(const std::string& pool) const {
-  const std::string name = accounts::key_text(pool) + "/";
+  const std::string name = accounts::escape_key_part(pool) + "/";
   return std::ranges::none_of(foreign_, [&](const std::string& key) {
     return key == state_key(pool) || key.starts_with(kHeldPrefix + name) ||
            key.starts_with(accounts::kAccountPrefix + name);
@@ -217,7 +217,7 @@
         std::vector<Span>& spans = spans_[member.id];
         std::erase_if(spans, [&member](const Span& span) { return span.to_ms <= member.until_ms; });
         const MachineObservation* const observation = sight_of(member.id);
-        const Use use = observation == nullptr ? member.use : observation->use;
+        const MachineUse use = observation == nullptr ? member.use : observation->use;
         const std::string& team = observation == nullptr ? member.team : observation->team;
         const std::uint64_t from = spans.empty() ? member.until_ms : spans.back().to_ms;
         if (wall <= from) continue;
@@ -388,10 +388,10 @@
   if (to_ms <= member.until_ms) return;
   if (const std::uint64_t price = price_of(member.type, member.spot); price > 0) member.micros_hour = price;
   std::uint64_t at = member.until_ms;
-  const auto bill = [&](std::uint64_t to, Use use, const std::string& team) {
-    accounts::by_hours(at, to, [&](std::uint64_t hour, std::uint64_t span_ms) {
+  const auto bill = [&](std::uint64_t to, MachineUse use, const std::string& team) {
+    accounts::split_by_hour(at, to, [&](std::uint64_t hour, std::uint64_t span_ms) {
       Account& account = account_in(draft, hour / 24);
-      account.add(use == Use::idle ? account.payer : team, use, span_ms, member.micros_hour);
+      account.add(use == MachineUse::idle ? account.payer : team, use, span_ms, member.micros_hour);
       PoolState& state = state_in(draft);
       if (hour > state.hour) {
         state.hour = hour;
@@ -531,8 +531,8 @@
         }
         continue;
       }
-      const Use use = observation == nullptr ? member.use : observation->use;
-      const bool idle = use == Use::idle;
+      const MachineUse use = observation == nullptr ? member.use : observation->use;
+      const bool idle = use == MachineUse::idle;
       if (!idle && wished.in_use_only) continue;
       const bool is_warm = observation == nullptr || def == nullptr ? member.warm : warm(*def, *observation);
       more.push_back({.rank = {!idle, is_warm, UINT64_MAX - member.micros_hour, member.id}, .chunk = number});
@@ -665,7 +665,7 @@
       charge(draft, member, to);
       if (def != nullptr) refresh(*def, member);
     }
-    if (const auto starts = starts_.find(name); starts != starts_.end() && starts->second != accounts::Starts{}) {
+    if (const auto starts = starts_.find(name); starts != starts_.end() && starts->second != accounts::StartCounts{}) {
       account_in(draft, wall / kMillisPerDay).starts += starts->second;
     }
     return finish(std::move(draft));
@@ -868,9 +868,9 @@
       for (const auto& [unused, chunk] : chunks->second) {
         for (const Member& member : chunk.data.members) {
           if (member.warm) ++view.warm;
-          if (member.use == Use::own) ++view.in_use;
-          if (member.use == Use::warming) ++view.warming;
-          if (member.use == Use::borrowed) ++view.lent;
+          if (member.use == MachineUse::own) ++view.in_use;
+          if (member.use == MachineUse::warming) ++view.warming;
+          if (member.use == MachineUse::borrowed) ++view.lent;
         }
       }
     }
--- a/src/pools/keeper.h
+++ b/src/pools/keeper.h
@@ -34,7 +34,7 @@
   std::string why;                // it is less than the rule says
   std::uint64_t hour_micros = 0;  // charged in the latest hour
   std::uint64_t day_micros = 0;   // and on the latest day
-  accounts::Starts starts;        // of that day
+  accounts::StartCounts starts;   // of that day
 };
 
 struct AccountView {
@@ -82,7 +82,7 @@
   struct Span {
     std::uint64_t from_ms = 0;
     std::uint64_t to_ms = 0;
-    accounts::Use use = accounts::Use::idle;
+    accounts::MachineUse use = accounts::MachineUse::idle;
     std::string team;
   };
   // What a transaction is about to change; conditions are the marks of what was read.
@@ -160,13 +160,13 @@
   std::optional<record_cache::Moment> seen_;
   std::map<MachineId, std::vector<Span>> spans_;
   std::map<MachineId, std::chrono::steady_clock::time_point> unseen_;
-  std::map<std::string, accounts::Starts> starts_;
+  std::map<std::string, accounts::StartCounts> starts_;
   std::map<std::string, std::map<std::uint64_t, std::uint32_t>> peaks_;
   std::map<std::string, std::chrono::steady_clock::time_point> written_;  // by key
   std::chrono::steady_clock::time_point last_write_;
   std::chrono::steady_clock::time_point began_;  // of the write under way
   Revision awaited_;                             // what was written comes back by on_change first
-  std::map<std::string, accounts::Starts> starts_sent_;
+  std::map<std::string, accounts::StartCounts> starts_sent_;
 };
 
 }  // namespace foxshunt::pools
--- a/src/pools/records.cpp
+++ b/src/pools/records.cpp
@@ -30,10 +30,10 @@
 }  // namespace
 
 std::string held_key(const std::string& pool, std::uint64_t number) {
-  return kHeldPrefix + accounts::key_text(pool) + "/" + std::to_string(number);
+  return kHeldPrefix + accounts::escape_key_part(pool) + "/" + std::to_string(number);
 }
 
-std::string state_key(const std::string& pool) { return kStatePrefix + accounts::key_text(pool); }
+std::string state_key(const std::string& pool) { return kStatePrefix + accounts::escape_key_part(pool); }
 
 std::string holds_key(const MachineId& machine) {
   // FNV-1a: the same on every node and in every program.
@@ -61,14 +61,14 @@
   for (const Value& entry : value.list("members")) {
     const Value::List& list = list_of(entry);
     const std::uint64_t use = count_at(list, 6);
-    if (use > static_cast<std::uint64_t>(accounts::Use::own)) throw Malformed("members: unknown use");
+    if (use > static_cast<std::uint64_t>(accounts::MachineUse::own)) throw Malformed("members: unknown use");
     held.members.push_back({.id = MachineId(text_at(list, 0)),
                             .type = text_at(list, 1),
                             .zone = text_at(list, 2),
                             .spot = count_at(list, 3) != 0,
                             .from_ms = count_at(list, 4),
                             .until_ms = count_at(list, 5),
-                            .use = static_cast<accounts::Use>(use),
+                            .use = static_cast<accounts::MachineUse>(use),
                             .team = text_at(list, 7),
                             .warm = count_at(list, 8) != 0,
                             .micros_hour = count_at(list, 9)});
@@ -117,7 +117,7 @@
   PoolState state{.wanted = static_cast<std::uint32_t>(value.count("wanted")),
                   .why = value.text("why"),
                   .hour = value.count("hour"),
-                  .spent = accounts::line_from(value["spent"])};
+                  .spent = accounts::parse_usage_total(value["spent"])};
   for (const Value& entry : value.list("refused")) {
     const Value::List& list = list_of(entry);
     state.refusals[text_at(list, 0)] = {.until_ms = count_at(list, 1), .pause_ms = count_at(list, 2)};
--- a/src/pools/records.h
+++ b/src/pools/records.h
@@ -37,7 +37,7 @@
   bool spot = false;
   std::uint64_t from_ms = 0;   // time of day since when the pool pays for it
   std::uint64_t until_ms = 0;  // up to then it is charged; its next interval begins there
-  accounts::Use use = accounts::Use::idle;
+  accounts::MachineUse use = accounts::MachineUse::idle;
   std::string team;               // whose work uses it
   bool warm = false;              // it is believed to hold all of the pool's images
   std::uint64_t micros_hour = 0;  // its price, when last known
@@ -64,7 +64,7 @@
   std::uint32_t wanted = 0;
   std::string why;  // less is wanted or held than the rule says; empty: it is not less
   std::uint64_t hour = 0;
-  accounts::Line spent;                          // in that hour
+  accounts::UsageTotal spent;                    // in that hour
   std::map<std::string, Refusal> refusals;       // by kind, "type/zone/spot"
   std::map<std::uint64_t, std::uint32_t> peaks;  // most machines with the users' work at once, by hour since 1970
   friend bool operator==(const PoolState&, const PoolState&) = default;
--- a/tests/golden/records_test.cpp
+++ b/tests/golden/records_test.cpp
@@ -48,7 +48,7 @@
                     {"rental", [](const Value& value) { return to_value(pools::rent_from(value)); }},
                     {"state", [](const Value& value) { return to_value(pools::state_from(value)); }},
                     {"images", [](const Value& value) { return to_value(pools::holds_from(value)); }},
-                    {"account", [](const Value& value) { return to_value(accounts::account_from(value)); }}});
+                    {"account", [](const Value& value) { return to_value(accounts::parse_account(value)); }}});
 }
 
 TEST(GoldenRecords, Calendar) {
--- a/tests/scenarios/pools_test.cpp
+++ b/tests/scenarios/pools_test.cpp
@@ -117,7 +117,7 @@
   for (const pools::AccountView& day : world.pools(*leader)->accounts()) {
     seen.micros += day.account.total().micros;
     for (const auto& [of, line] : day.account.lines) {
-      (of.second == accounts::Use::own ? seen.in_use_s : seen.idle_s) += line.machine_ms / 1000;
+      (of.second == accounts::MachineUse::own ? seen.in_use_s : seen.idle_s) += line.machine_ms / 1000;
     }
   }
   return seen;
--- a/tests/unit/calendar_test.cpp
+++ b/tests/unit/calendar_test.cpp
@@ -914,7 +914,8 @@
   const auto plan = [&](std::int64_t) {
     DeadlineController::Plan one{.end_ms = end_ms, .need = {}};
     if (!end_ms || *end_ms > kDue) {
-      one.need = foresight::Need{.lack = foresight::ShortfallReason::offer, .kind = "big", .machines = machines};
+      one.need = foresight::Shortfall{
+          .shortfall_reason = foresight::ShortfallReason::no_offer, .kind = "big", .machines = machines};
       one.need->up_by_ms = kDue - 20 * kMinute;
     }
     return std::map<JobId, DeadlineController::Plan>{{JobId("j-000001"), one}};
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -24,33 +24,33 @@
 
 TEST_F(DeadlinePlannerTest, OnlyChangesOfJobsOrSlackStepsAffectTheOrder) {
   const JobId job("j-000001");
-  EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.by = now_, .step = 1}}}));
-  EXPECT_FALSE(deadlines_.on_due_jobs({{job, {.by = now_ + Millis(5), .step = 1}}}));
-  EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.by = now_, .step = 2}}}));
+  EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.deadline = now_, .slack_step = 1}}}));
+  EXPECT_FALSE(deadlines_.on_due_jobs({{job, {.deadline = now_ + Millis(5), .slack_step = 1}}}));
+  EXPECT_TRUE(deadlines_.on_due_jobs({{job, {.deadline = now_, .slack_step = 2}}}));
   EXPECT_EQ(deadlines_.slack_steps().at(job), 2);
 }
 
 TEST_F(DeadlinePlannerTest, ForecastsNoShortfallForAJobBookedInTime) {
   Job& job = add_job(spec_of("j-000001", 2));
   book(job, add_machine("m-000001"), 2, now_ + Millis(60'000));
-  deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(100'000), .step = 1}}});
+  deadlines_.on_due_jobs({{job.spec.id, {.deadline = now_ + Millis(100'000), .slack_step = 1}}});
   const auto forecasts = deadlines_.deadline_forecasts(context(), now_ + Millis(1), now_);
   ASSERT_TRUE(forecasts.contains(job.spec.id));
-  EXPECT_EQ(forecasts.at(job.spec.id).lack, foresight::ShortfallReason::nothing);
+  EXPECT_EQ(forecasts.at(job.spec.id).shortfall_reason, foresight::ShortfallReason::none);
   EXPECT_EQ(forecasts.at(job.spec.id).end, now_ + Millis(60'000));
 }
 
 TEST_F(DeadlinePlannerTest, ForecastsATimeShortfallForAJobLongerThanItsDeadline) {
   Job& job = add_job(spec_of("j-000001", 2));
-  deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(30'000), .step = 1}}});
+  deadlines_.on_due_jobs({{job.spec.id, {.deadline = now_ + Millis(30'000), .slack_step = 1}}});
   const auto forecasts = deadlines_.deadline_forecasts(context(), now_ + Millis(1), now_);
   ASSERT_TRUE(forecasts.contains(job.spec.id));
-  EXPECT_EQ(forecasts.at(job.spec.id).lack, foresight::ShortfallReason::time);
+  EXPECT_EQ(forecasts.at(job.spec.id).shortfall_reason, foresight::ShortfallReason::not_enough_time);
 }
 
 TEST_F(DeadlinePlannerTest, MakesNoForecastForAJobSubmittedAfterThePassBegan) {
   const Job& job = add_job(spec_of("j-000001", 2));
-  deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(30'000), .step = 1}}});
+  deadlines_.on_due_jobs({{job.spec.id, {.deadline = now_ + Millis(30'000), .slack_step = 1}}});
   EXPECT_TRUE(deadlines_.deadline_forecasts(context(), now_ - Millis(1), now_).empty());
 }
 
@@ -61,7 +61,7 @@
       {.machine = machine.id, .start = now_ + Millis(200'000), .stop = now_ + Millis(260'000), .count = 2}};
   EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {}, now_),
             0U);  // the job has no calendar deadline
-  deadlines_.on_due_jobs({{job.spec.id, {.by = now_ + Millis(200'000), .step = 1}}});
+  deadlines_.on_due_jobs({{job.spec.id, {.deadline = now_ + Millis(200'000), .slack_step = 1}}});
   EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {}, now_), 2U);
   // An existing machine has room for the tasks in time, so something other than machines is missing.
   EXPECT_EQ(deadlines_.count_overdue_tasks(context(), job, placements, {{.machine = machine.planned}}, now_), 0U);
--- a/tests/unit/pools_test.cpp
+++ b/tests/unit/pools_test.cpp
@@ -23,8 +23,8 @@
 namespace {
 
 using accounts::Account;
-using accounts::Line;
-using accounts::Use;
+using accounts::MachineUse;
+using accounts::UsageTotal;
 using kv::Answer;
 using standins::StateStore;
 __extension__ typedef unsigned __int128 Wide;  // sums of products of 64 bits
@@ -88,7 +88,7 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    Use use = Use::idle;
+    MachineUse use = MachineUse::idle;
     std::string team;
     bool warm = false;
     bool gone = false;
@@ -172,8 +172,8 @@
       one.use = machine.use;
       one.team = machine.team;
       one.leaving = machine.leaving;
-      one.spare = spare_machines && machine.use == Use::idle;
-      if (machine.use == Use::own) one.users_of.push_back(0);
+      one.spare = spare_machines && machine.use == MachineUse::idle;
+      if (machine.use == MachineUse::own) one.users_of.push_back(0);
       if (machine.warm) one.images.push_back({.image = "weights", .mb = 20'000});
       seen.machines.push_back(std::move(one));
     }
@@ -270,10 +270,10 @@
     std::uint64_t ms = 0;
     Wide money = 0;
     for (const kv::Entry& entry : store.list(accounts::kAccountPrefix).entries) {
-      const Account account = accounts::account_from(entry.data);
+      const Account account = accounts::parse_account(entry.data);
       for (const auto& [unused, line] : account.lines) {
         ms += line.machine_ms;
-        money += Wide(line.micros) * accounts::kMillisPerHour + line.rest;
+        money += Wide(line.micros) * accounts::kMillisPerHour + line.remainder;
       }
     }
     EXPECT_EQ(ms, expected_ms);
@@ -329,7 +329,7 @@
 };
 
 TEST(Accounts, ALineLosesNothingToRounding) {
-  Line line;
+  UsageTotal line;
   Wide exact = 0;
   std::mt19937_64 random(7);
   for (int at = 0; at < 2000; ++at) {
@@ -338,19 +338,19 @@
     line.add(span, price);
     exact += Wide(span) * price;
   }
-  EXPECT_TRUE(Wide(line.micros) * accounts::kMillisPerHour + line.rest == exact);
-  EXPECT_LT(line.rest, accounts::kMillisPerHour);
+  EXPECT_TRUE(Wide(line.micros) * accounts::kMillisPerHour + line.remainder == exact);
+  EXPECT_LT(line.remainder, accounts::kMillisPerHour);
 }
 
 TEST(Accounts, AreBoundedAndReadAsWritten) {
   Account account{.payer = "red"};
-  for (int team = 0; team < 200; ++team) account.add("team " + std::to_string(team), Use::own, 1000, 5);
+  for (int team = 0; team < 200; ++team) account.add("team " + std::to_string(team), MachineUse::own, 1000, 5);
   EXPECT_LE(account.lines.size(), constants::kMaxAccountLines + 1);
   EXPECT_EQ(account.total().machine_ms, 200'000U);
-  EXPECT_EQ(accounts::account_from(accounts::to_value(account)), account);
+  EXPECT_EQ(accounts::parse_account(accounts::to_value(account)), account);
   EXPECT_LT(wire::json_length(accounts::to_value(account)), 7U * 1024);
   EXPECT_EQ(accounts::account_key("dawn forecast/1", 3), "account/dawn%20forecast%2F1/3");
-  EXPECT_EQ(accounts::name_of_key("dawn%20forecast%2F1"), "dawn forecast/1");
+  EXPECT_EQ(accounts::unescape_key_part("dawn%20forecast%2F1"), "dawn forecast/1");
 }
 
 TEST_F(Pools, AnEmptyCatalogWritesNothingAndSteersNothing) {
@@ -449,10 +449,10 @@
     for (int at = 0; at < 240; ++at, days.pass(std::chrono::seconds(2))) {
       days.open = at < 100 || at >= 140;
       if (at == 80) {
-        for (auto& [unused, machine] : days.machines) machine.use = Use::own;
+        for (auto& [unused, machine] : days.machines) machine.use = MachineUse::own;
       }
       if (at == 95) {
-        for (auto& [unused, machine] : days.machines) machine.use = Use::idle;
+        for (auto& [unused, machine] : days.machines) machine.use = MachineUse::idle;
       }
       if (deaf > 0) --deaf;
       if (deaf == 0) {
@@ -557,7 +557,7 @@
     pool.peak_days = 1;
     Days days({pool});
     days.calm(std::chrono::seconds(100));
-    days.machines.begin()->second.use = Use::own;
+    days.machines.begin()->second.use = MachineUse::own;
     bool late = false;
     days.fate = [&](const kv::Txn& txn) {
       if (days.kind_of(txn) != kind) return Luck::fine;
@@ -587,7 +587,7 @@
     const std::uint64_t charged = days.members().begin()->second.until_ms;
     days.calm(std::chrono::seconds(90));
     ASSERT_EQ(days.members().begin()->second.until_ms, charged);
-    days.machines.begin()->second.use = Use::own;
+    days.machines.begin()->second.use = MachineUse::own;
     days.machines.begin()->second.team = "red";
     if (freezes) {
       days.pass(std::chrono::seconds(10));
@@ -598,11 +598,11 @@
     days.calm(std::chrono::minutes(1));
     days.fate = {};
     days.calm(std::chrono::minutes(4));
-    days.machines.begin()->second.use = Use::idle;
+    days.machines.begin()->second.use = MachineUse::idle;
     days.calm(std::chrono::seconds(20));
     std::uint64_t own = 0;
     for (const AccountView& view : days.self[days.leader]->keeper.accounts()) {
-      for (const auto& [of, line] : view.account.lines) own += of.second == Use::own ? line.machine_ms : 0;
+      for (const auto& [of, line] : view.account.lines) own += of.second == MachineUse::own ? line.machine_ms : 0;
     }
     EXPECT_NEAR(static_cast<double>(own),
                 static_cast<double>(std::chrono::milliseconds(std::chrono::minutes(5)).count()), 1000);
@@ -658,7 +658,7 @@
   days.declare(days.set.pools);
   days.calm(std::chrono::minutes(2));
   ASSERT_EQ(days.view().held, 4U);
-  days.machines.begin()->second.use = Use::own;
+  days.machines.begin()->second.use = MachineUse::own;
   days.machines.begin()->second.team = "red";
   // Prices rise: what the hour's money was to pay for is used up early.
   for (wire::MachineType& type : days.types) type.price *= 10;
@@ -682,17 +682,18 @@
   days.calm(std::chrono::minutes(2));
   EXPECT_EQ(days.view().held, 1U);
   for (int at = 0; at < 9; ++at) {
-    days.machines[MachineId("m-9" + std::to_string(at))] = {.type = "big", .zone = "a", .use = Use::own, .team = "red"};
+    days.machines[MachineId("m-9" + std::to_string(at))] = {
+        .type = "big", .zone = "a", .use = MachineUse::own, .team = "red"};
   }
   days.calm(std::chrono::minutes(1));
   EXPECT_EQ(days.view().wanted, 6U) << "no more than the most";
   // Another leader sees less of the same hour.
-  for (auto& [unused, machine] : days.machines) machine.use = Use::idle;
-  days.machines.begin()->second.use = Use::own;
+  for (auto& [unused, machine] : days.machines) machine.use = MachineUse::idle;
+  days.machines.begin()->second.use = MachineUse::own;
   days.acquire_leadership(2);
   days.calm(std::chrono::minutes(1));
   EXPECT_EQ(days.view().wanted, 6U);
-  for (auto& [unused, machine] : days.machines) machine.use = Use::idle;
+  for (auto& [unused, machine] : days.machines) machine.use = MachineUse::idle;
   days.pass(std::chrono::hours(2));
   days.calm(std::chrono::minutes(2));
   EXPECT_EQ(days.view().wanted, 1U) << "another hour";
@@ -769,8 +770,8 @@
     };
     for (int at = 0; at < 600; ++at, days.pass(std::chrono::milliseconds(100))) {
       for (auto& [unused, machine] : days.machines) {
-        machine.use = at / 7 % 2 == 0 ? Use::own : Use::idle;
-        machine.team = machine.use == Use::own ? "red" : "";
+        machine.use = at / 7 % 2 == 0 ? MachineUse::own : MachineUse::idle;
+        machine.team = machine.use == MachineUse::own ? "red" : "";
         machine.warm = at / 7 % 2 == 0;
       }
       days.watch(0);
@@ -817,7 +818,7 @@
   Days days({pool_of("dawn", 2)});
   days.calm(std::chrono::minutes(2));
   const MachineId unseen = days.machines.begin()->first;
-  days.machines.at(unseen).use = Use::own;
+  days.machines.at(unseen).use = MachineUse::own;
   days.calm(std::chrono::seconds(20));
   days.unseen = {unseen};
   days.acquire_leadership(1);
@@ -828,7 +829,7 @@
   EXPECT_EQ(days.members().size(), 2U);
   std::uint64_t own = 0;
   for (const AccountView& view : days.self[1]->keeper.accounts()) {
-    for (const auto& [of, line] : view.account.lines) own += of.second == Use::own ? line.machine_ms : 0;
+    for (const auto& [of, line] : view.account.lines) own += of.second == MachineUse::own ? line.machine_ms : 0;
   }
   EXPECT_GE(own, 70'000U) << "unseen, it is used as it was";
   days.expect_exact();
@@ -886,7 +887,7 @@
   Days days({pool_of("dawn", 3)});
   days.calm(std::chrono::minutes(2));
   auto machine = days.machines.begin();
-  machine->second.use = Use::own;
+  machine->second.use = MachineUse::own;
   const MachineId used = (machine++)->first;
   machine->second.warm = true;
   const MachineId warm = machine->first;
@@ -950,7 +951,7 @@
   Days days({pool_of("dawn", 1)});
   for (int at = 0; at < 1260; ++at) {
     days.machines[MachineId("m-" + std::to_string(200'000 + at))] = {
-        .type = "big", .zone = "a", .use = Use::borrowed, .team = "blue", .warm = true};
+        .type = "big", .zone = "a", .use = MachineUse::borrowed, .team = "blue", .warm = true};
   }
   days.calm(std::chrono::minutes(2));
   std::size_t told = 0;
@@ -1012,8 +1013,8 @@
       if (one_in(25)) days.open = !days.open;
       if (!days.machines.empty() && one_in(3)) {
         auto machine = std::next(days.machines.begin(), random() % days.machines.size());
-        machine->second.use = static_cast<Use>(random() % 4);
-        machine->second.team = machine->second.use == Use::idle ? "" : one_in(2) ? "red" : "blue";
+        machine->second.use = static_cast<MachineUse>(random() % 4);
+        machine->second.team = machine->second.use == MachineUse::idle ? "" : one_in(2) ? "red" : "blue";
         machine->second.warm = machine->second.warm || one_in(3);
         machine->second.gone = machine->second.gone || one_in(20);
       }
@@ -1117,13 +1118,13 @@
 TEST_F(PoolsDesk, EachMomentOfAMachineCountsOnce) {
   MachineObservation observation{.id = held};
   desk.look(observation, spec_of("small", 1, "blue"));
-  EXPECT_EQ(observation.use, Use::borrowed);
+  EXPECT_EQ(observation.use, MachineUse::borrowed);
   wire::JobSpec warming = spec_of("weights");
   warming.job_class = "warm";
   desk.look(observation, spec_of("weights", 60, "green"));
   desk.look(observation, warming);
   desk.look(observation, spec_of("small", 1, "amber"));
-  EXPECT_EQ(observation.use, Use::own) << "the pool's users go first";
+  EXPECT_EQ(observation.use, MachineUse::own) << "the pool's users go first";
   EXPECT_EQ(observation.team, "green");
   EXPECT_EQ(observation.users_of, std::vector<std::size_t>{0});
 }
