--- a/src/accounts/account.cpp
+++ b/src/accounts/account.cpp
@@ -33,7 +33,7 @@
 
 void UsageTotal::add(std::uint64_t span_ms, std::uint64_t micros_per_hour) {
   machine_ms += span_ms;
-  // Whole hours apart, so that no product is beyond 64 bits.
+  // Whole hours are multiplied separately so that no product overflows 64 bits.
   const std::uint64_t product = span_ms % kMillisPerHour * micros_per_hour + remainder;
   micros += span_ms / kMillisPerHour * micros_per_hour + product / kMillisPerHour;
   remainder = product % kMillisPerHour;
@@ -55,7 +55,7 @@
 
 void Account::add(const std::string& team, MachineUse use, std::uint64_t span_ms, std::uint64_t micros_per_hour) {
   std::pair<std::string, MachineUse> key{team, use};
-  // Bounded: what more teams use is one team's line, without a name.
+  // The number of lines is bounded. Usage of further teams is summed in lines with an empty team name.
   if (!lines.contains(key) && lines.size() >= constants::kMaxAccountLines) key.first.clear();
   lines[key].add(span_ms, micros_per_hour);
 }
@@ -79,7 +79,7 @@
   const Value::List* list = value.as_list();
   if (list == nullptr || list->size() != 3 ||
       std::ranges::any_of(*list, [](const Value& one) { return one.as_count() == nullptr; })) {
-    throw Malformed("line: not a sum");
+    throw Malformed("line: expected a list of three counts");
   }
   return {.machine_ms = *(*list)[0].as_count(), .micros = *(*list)[1].as_count(), .remainder = *(*list)[2].as_count()};
 }
@@ -102,13 +102,13 @@
   for (const Value& entry : value.list("lines")) {
     const Value::List* line = entry.as_list();
     if (line == nullptr || line->size() != 3 || (*line)[0].as_text() == nullptr || (*line)[1].as_text() == nullptr) {
-      throw Malformed("lines: entry is not a line");
+      throw Malformed("lines: expected entries of team, use and sum");
     }
     account.lines[{*(*line)[0].as_text(), parse_machine_use(*(*line)[1].as_text())}] = parse_usage_total((*line)[2]);
   }
   const Value::List& starts = value.list("starts");
   if (starts.size() != 4 || std::ranges::any_of(starts, [](const Value& one) { return one.as_count() == nullptr; })) {
-    throw Malformed("starts: not four counts");
+    throw Malformed("starts: expected a list of four counts");
   }
   account.starts = {.warm = *starts[0].as_count(),
                     .cold = *starts[1].as_count(),
@@ -141,7 +141,8 @@
     }
     const std::size_t high = kHexDigits.find(text[position + 1]);
     const std::size_t low = kHexDigits.find(text[position + 2]);
-    if (high == std::string_view::npos || low == std::string_view::npos) throw Malformed("key: not a name");
+    if (high == std::string_view::npos || low == std::string_view::npos)
+      throw Malformed("key: invalid percent escape in a name");
     name += static_cast<char>(high * 16 + low);
     position += 2;
   }
--- a/src/accounts/account.h
+++ b/src/accounts/account.h
@@ -1,4 +1,5 @@
-// Who pays for a pool's machines: exact sums of machine time and money by day, team and use. Pure.
+// Accounts of what a pool's machines cost: exact sums of machine time and money by day, team and use. Pure functions
+// and values without I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,40 +17,42 @@
 inline constexpr std::uint64_t kMillisPerHour = 3'600'000;
 inline constexpr std::uint64_t kMillisPerDay = 24 * kMillisPerHour;
 
-// What a pool's machine is used for: the pool's users go before who warms it, and these before who borrows it.
+// What a pool's machine is used for. If several uses apply, tasks of the pool's users (own) take precedence over
+// warming, and warming over borrowing.
 enum class MachineUse : std::uint8_t { idle, warming, borrowed, own };
 [[nodiscard]] std::string_view name_of(MachineUse use);
 [[nodiscard]] MachineUse parse_machine_use(std::string_view name);  // throws Malformed
 
-// A sum that loses nothing to rounding: what is less than a millionth of the money's unit is carried on.
+// A sum without rounding loss: fractions of a millionth of the currency unit are carried in `remainder`.
 struct UsageTotal {
   std::uint64_t machine_ms = 0;
-  std::uint64_t micros = 0;     // millionths of the money's unit
-  std::uint64_t remainder = 0;  // of a millionth, in 3,600,000ths
+  std::uint64_t micros = 0;     // millionths of the currency unit
+  std::uint64_t remainder = 0;  // fraction of a millionth, in units of 1/3,600,000
 
-  // `micros_per_hour`: the price of an hour. A span is at most some days.
+  // Adds a span at an hourly price in millionths of the currency unit. `span_ms` is at most some days.
   void add(std::uint64_t span_ms, std::uint64_t micros_per_hour);
   friend bool operator==(const UsageTotal&, const UsageTotal&) = default;
 };
 
-// Starts of the pool's users' tasks, on any machine, and how long they took from their placement on.
+// Counts task starts of the pool's users on any machine, with their total time from placement to start.
 struct StartCounts {
-  std::uint64_t warm = 0;  // found their image
+  std::uint64_t warm = 0;  // the image was already on the machine
   std::uint64_t cold = 0;
   std::uint64_t warm_wait_ms = 0;
   std::uint64_t cold_wait_ms = 0;
 
   StartCounts& operator+=(const StartCounts& other);
-  // What the warm ones would have waited longer, had they waited as the cold ones did.
+  // Estimates the wait that warm starts saved: their number times the mean cold wait, less their own wait. Returns 0 if
+  // there were no warm or no cold starts.
   [[nodiscard]] std::uint64_t saved_ms() const;
   friend bool operator==(const StartCounts&, const StartCounts&) = default;
 };
 
-// Of one pool and one day (UTC, counted from 1970). The payer pays all of it; the lines name the team whose work
-// used the machine, so that teams can settle between them.
+// The account of one pool for one UTC day. The payer pays all of it. Each line names the team whose work used the
+// machine, so that teams can settle among themselves.
 struct Account {
   std::string payer;
-  std::map<std::pair<std::string, MachineUse>, UsageTotal> lines;  // idle and warming time is the payer's
+  std::map<std::pair<std::string, MachineUse>, UsageTotal> lines;  // idle and warming time counts for the payer
   StartCounts starts;
 
   void add(const std::string& team, MachineUse use, std::uint64_t span_ms, std::uint64_t micros_per_hour);
@@ -62,17 +65,21 @@
 [[nodiscard]] wire::Value to_value(const Account& account);
 [[nodiscard]] Account parse_account(const wire::Value& value);  // throws Malformed
 
-// Keys have no spaces, names may: what is neither a letter, a digit nor one of "_.-" is written as %XX.
+// Escapes a name for use in a record key. Names may contain spaces and keys may not: every byte other than an ASCII
+// letter, a digit or one of "_.-" is written as %XX.
 [[nodiscard]] std::string escape_key_part(std::string_view name);
+// Reverses escape_key_part. Throws Malformed if the two characters after a % are not both uppercase hex digits. A % with
+// fewer than two characters after it is kept.
 [[nodiscard]] std::string unescape_key_part(std::string_view text);
+// Returns the record key of a pool's account. `day`: UTC days since 1970.
 [[nodiscard]] std::string account_key(std::string_view pool, std::uint64_t day);
 
-// The parts of [from, to) by hours of the time of day, in order.
+// Splits [from_ms, to_ms) at full hours and calls `on_part` for each part in order. `hour`: hours since 1970.
 void split_by_hour(std::uint64_t from_ms, std::uint64_t to_ms,
                    const std::function<void(std::uint64_t hour, std::uint64_t span_ms)>& on_part);
-// 2027-03-28
+// Formats a day, counted in UTC days since 1970, as 2027-03-28.
 [[nodiscard]] std::string format_date(std::uint64_t day);
-// 12.345678, exact
+// Formats millionths of the currency unit exactly, such as 12.345678.
 [[nodiscard]] std::string format_money(std::uint64_t micros);
 
 }  // namespace foxshunt::accounts
--- a/src/foresight/foresight.cpp
+++ b/src/foresight/foresight.cpp
@@ -12,13 +12,13 @@
   return (total + divisor - 1) / std::max<std::uint64_t>(divisor, 1);
 }
 
-// How many of the tasks have to run side by side.
+// Returns how many tasks have to run at the same time for all to end by the deadline. A gang needs all of them.
 std::uint64_t required_parallelism(const DeadlineWork& work, Instant now) {
   if (work.is_gang || work.run_time <= Millis(0)) return work.waiting_tasks;
   return divide_rounding_up(work.waiting_tasks, static_cast<std::uint64_t>((work.deadline - now) / work.run_time));
 }
 
-// 1, 2, 3, 4, 6, 8, 12, 16, 24, ...
+// Rounds up to the next of 1, 2, 3, 4, 6, 8, 12, 16, 24, ...
 std::uint64_t round_up_to_step(std::uint64_t number) {
   std::uint64_t power = 1;
   while (power < number) {
@@ -28,6 +28,7 @@
   return power;
 }
 
+// Formats minutes since 1970 as a time of day, such as "02:59 UTC".
 std::string format_time_of_day(std::int64_t minute) {
   const std::int64_t minute_of_day = ((minute % 1440) + 1440) % 1440;
   std::array<char, 16> text{};
@@ -40,6 +41,7 @@
   return std::to_string(count) + " " + noun + (count == 1 ? "" : "s");
 }
 
+// `number`: tasks or machines that would help. `minute`: when the machines have to be up, in minutes since 1970.
 std::string format_shortfall(const Shortfall& shortfall, std::uint64_t number, std::int64_t minute) {
   const bool has_several_jobs = shortfall.jobs > 1;
   const std::string subject =
@@ -64,7 +66,7 @@
       return prefix + "no room, and the settings forbid renting; " + machine_hint + " would help";
     case ShortfallReason::no_offer: return prefix + "no room, and none to rent; " + machine_hint + " would help";
   }
-  return prefix + "room would help, nothing is known to lack";
+  return prefix + "the cause is not known; more room would help";
 }
 
 }  // namespace
@@ -96,8 +98,8 @@
     forecast.tasks = needed - uncapped;
     return forecast;
   }
-  const MachineOption* soonest_rentable = nullptr;  // to rent, in time
-  const MachineOption* suggested = nullptr;         // whether it may be had or not
+  const MachineOption* soonest_rentable = nullptr;  // can be rented and is up in time
+  const MachineOption* suggested = nullptr;         // named in the forecast, even if it can't be rented now
   const auto machines_needed = [&work](const MachineOption& kind) {
     return divide_rounding_up(std::max<std::uint64_t>(work.late_tasks, 1), kind.tasks_per_machine);
   };
@@ -108,7 +110,7 @@
         (soonest_rentable == nullptr || kind.startup_time() < soonest_rentable->startup_time())) {
       soonest_rentable = &kind;
     }
-    // One that could be up in time rather than one that can't.
+    // Prefers types that would be up in time, then the type of which fewest machines are needed, then the first name.
     if (suggested == nullptr || std::tuple(!is_in_time, machines_needed(kind), kind.name) <
                                     std::tuple(!any_in_time, machines_needed(*suggested), suggested->name)) {
       suggested = &kind;
@@ -134,7 +136,7 @@
   const std::uint64_t number =
       round_up_to_step(std::max<std::uint64_t>(counts_tasks ? shortfall.tasks : shortfall.machines, 1));
   const std::int64_t minute = shortfall.up_by_ms / 60'000;
-  // Clocks are compared anew for each plan, so that a time on the edge of a minute wavers.
+  // Clocks are compared anew for each plan, so a time close to a full minute can fall on either side of it.
   for (const std::uint64_t candidate : {number, round_up_to_step(number + 1)}) {
     for (const std::int64_t shown_minute : {minute, minute - 1, minute + 1}) {
       std::string text = format_shortfall(shortfall, candidate, shown_minute);
