--- a/src/accounts/account.h
+++ b/src/accounts/account.h
@@ -68,8 +68,8 @@
 // Escapes a name for use in a record key. Names may contain spaces and keys may not: every byte other than an ASCII
 // letter, a digit or one of "_.-" is written as %XX.
 [[nodiscard]] std::string escape_key_part(std::string_view name);
-// Reverses escape_key_part. Throws Malformed if the two characters after a % are not both uppercase hex digits. A % with
-// fewer than two characters after it is kept.
+// Reverses escape_key_part. Throws Malformed if the two characters after a % are not both uppercase hex digits. Keeps a
+// % that has fewer than two characters after it.
 [[nodiscard]] std::string unescape_key_part(std::string_view text);
 // Returns the record key of a pool's account. `day`: UTC days since 1970.
 [[nodiscard]] std::string account_key(std::string_view pool, std::uint64_t day);
