--- a/src/accounts/account.h
+++ b/src/accounts/account.h
@@ -17,8 +17,8 @@
 inline constexpr std::uint64_t kMillisPerHour = 3'600'000;
 inline constexpr std::uint64_t kMillisPerDay = 24 * kMillisPerHour;
 
-// What a pool's machine is used for. If several uses apply, tasks of the pool's users (own) take precedence over
-// warming, and warming over borrowing.
+// What a pool's machine is used for. If several uses apply at the same time, the one with the highest value counts: own
+// (tasks of the pool's users) before borrowed, borrowed before warming.
 enum class MachineUse : std::uint8_t { idle, warming, borrowed, own };
 [[nodiscard]] std::string_view name_of(MachineUse use);
 [[nodiscard]] MachineUse parse_machine_use(std::string_view name);  // throws Malformed
@@ -52,7 +52,7 @@
 // machine, so that teams can settle among themselves.
 struct Account {
   std::string payer;
-  std::map<std::pair<std::string, MachineUse>, UsageTotal> lines;  // idle and warming time counts for the payer
+  std::map<std::pair<std::string, MachineUse>, UsageTotal> lines;  // by team and use; idle time is booked on the payer
   StartCounts starts;
 
   void add(const std::string& team, MachineUse use, std::uint64_t span_ms, std::uint64_t micros_per_hour);
--- a/src/foresight/foresight.cpp
+++ b/src/foresight/foresight.cpp
@@ -110,7 +110,7 @@
         (soonest_rentable == nullptr || kind.startup_time() < soonest_rentable->startup_time())) {
       soonest_rentable = &kind;
     }
-    // Prefers types that would be up in time, then the type of which fewest machines are needed, then the first name.
+    // Prefers types that would be up in time, then the type of which fewest machines are needed, then the first by name.
     if (suggested == nullptr || std::tuple(!is_in_time, machines_needed(kind), kind.name) <
                                     std::tuple(!any_in_time, machines_needed(*suggested), suggested->name)) {
       suggested = &kind;
