--- a/src/foresight/foresight.cpp
+++ b/src/foresight/foresight.cpp
@@ -71,8 +71,8 @@
 
 }  // namespace
 
-bool can_finish_in_time(const DeadlineWork& work, const MachineOption& kind, Instant now) {
-  return now + kind.startup_time() + work.run_time <= work.deadline;
+bool can_finish_in_time(const DeadlineWork& work, const MachineOption& option, Instant now) {
+  return now + option.startup_time() + work.run_time <= work.deadline;
 }
 
 DeadlineForecast forecast_deadline(const DeadlineWork& work, Instant now) {
@@ -100,20 +100,20 @@
   }
   const MachineOption* soonest_rentable = nullptr;  // can be rented and is up in time
   const MachineOption* suggested = nullptr;         // named in the forecast, even if it can't be rented now
-  const auto machines_needed = [&work](const MachineOption& kind) {
-    return divide_rounding_up(std::max<std::uint64_t>(work.late_tasks, 1), kind.tasks_per_machine);
+  const auto machines_needed = [&work](const MachineOption& option) {
+    return divide_rounding_up(std::max<std::uint64_t>(work.late_tasks, 1), option.tasks_per_machine);
   };
   bool any_in_time = false;
-  for (const MachineOption& kind : work.machine_options) {
-    const bool is_in_time = can_finish_in_time(work, kind, now);
-    if (is_in_time && kind.can_scale_out && work.can_scale_out &&
-        (soonest_rentable == nullptr || kind.startup_time() < soonest_rentable->startup_time())) {
-      soonest_rentable = &kind;
+  for (const MachineOption& option : work.machine_options) {
+    const bool is_in_time = can_finish_in_time(work, option, now);
+    if (is_in_time && option.can_scale_out && work.can_scale_out &&
+        (soonest_rentable == nullptr || option.startup_time() < soonest_rentable->startup_time())) {
+      soonest_rentable = &option;
     }
-    // Prefers types that would be up in time, then the type of which fewest machines are needed, then the first by name.
-    if (suggested == nullptr || std::tuple(!is_in_time, machines_needed(kind), kind.name) <
+    // Prefers types that would be up in time, then those that need the fewest machines, then the first by name.
+    if (suggested == nullptr || std::tuple(!is_in_time, machines_needed(option), option.name) <
                                     std::tuple(!any_in_time, machines_needed(*suggested), suggested->name)) {
-      suggested = &kind;
+      suggested = &option;
     }
     any_in_time = any_in_time || is_in_time;
   }
--- a/src/foresight/foresight.h
+++ b/src/foresight/foresight.h
@@ -77,7 +77,7 @@
 [[nodiscard]] DeadlineForecast forecast_deadline(const DeadlineWork& work, Instant now);
 
 // Returns whether a machine of this type, requested now, would finish a task of the work by the deadline.
-[[nodiscard]] bool can_finish_in_time(const DeadlineWork& work, const MachineOption& kind, Instant now);
+[[nodiscard]] bool can_finish_in_time(const DeadlineWork& work, const MachineOption& option, Instant now);
 
 // One shortfall that is shared by one or more jobs.
 struct Shortfall {
--- a/tests/unit/foresight_test.cpp
+++ b/tests/unit/foresight_test.cpp
@@ -106,11 +106,11 @@
     EXPECT_EQ(forecast.shortfall_reason == ShortfallReason::none, forecast.end && *forecast.end <= work.deadline);
     if (forecast.machines == 0) continue;
     ++suggestions;
-    const auto kind = std::ranges::find(work.machine_options, forecast.kind, &MachineOption::name);
-    ASSERT_NE(kind, work.machine_options.end());
-    EXPECT_GE(forecast.machines * kind->tasks_per_machine, work.late_tasks);
-    EXPECT_LT((forecast.machines - 1) * kind->tasks_per_machine, std::max<std::uint64_t>(work.late_tasks, 1));
-    EXPECT_EQ(forecast.up_by + kind->fetch_time + work.run_time, work.deadline);
+    const auto option = std::ranges::find(work.machine_options, forecast.kind, &MachineOption::name);
+    ASSERT_NE(option, work.machine_options.end());
+    EXPECT_GE(forecast.machines * option->tasks_per_machine, work.late_tasks);
+    EXPECT_LT((forecast.machines - 1) * option->tasks_per_machine, std::max<std::uint64_t>(work.late_tasks, 1));
+    EXPECT_EQ(forecast.up_by + option->fetch_time + work.run_time, work.deadline);
   }
   EXPECT_GT(suggestions, 500);
 }
