--- a/src/kv/client.h
+++ b/src/kv/client.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "net/http.h"
-#include "kv/budget.h"
+#include "kv/rate_limiter.h"
 #include "kv/txn.h"
 #include "wire/ids.h"
 #include "wire/value.h"
--- a/src/kv/budget.cpp
+++ b/src/kv/rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "kv/budget.h"
+#include "kv/rate_limiter.h"
 
 #include <algorithm>
 #include <thread>
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -21,7 +21,7 @@
 #include "node/priority_mutex.h"
 #include "node/shared_records.h"
 #include "node/standby_state.h"
-#include "kv/budget.h"
+#include "kv/rate_limiter.h"
 
 namespace foxshunt::node {
 
