--- a/src/calendar/keeper.cpp
+++ b/src/calendar/keeper.cpp
@@ -91,7 +91,7 @@
   if (data == nullptr) return;
   const bool listed = listed_.contains(*job);
   if (!listed && !heard_.contains(*job)) return;
-  on_read(key, {.answer = kv::Answer::ok, .entry = {.key = key, .data = *data, .revision = revision}});
+  on_read(key, {.status = kv::Status::ok, .entry = {.key = key, .data = *data, .revision = revision}});
 }
 
 void DeadlineController::unlist(const std::string& key) {
@@ -319,13 +319,13 @@
   const auto job = state::job_of_key(key);
   if (!job) return;
   End end = End::unknown;
-  if (result.answer == kv::Answer::ok) {
+  if (result.status == kv::Status::ok) {
     try {
       const wire::JobStatus status = state::finished_job_from(*job, result.entry.data);
       end = status.state == wire::JobState::done ? End::done : End::cancelled;
     } catch (const wire::Malformed&) {  // it is over, and nobody can tell how
     }
-  } else if (result.answer != kv::Answer::not_found) {
+  } else if (result.status != kv::Status::not_found) {
     return;
   }
   to_read_.erase(*job);
@@ -658,7 +658,7 @@
 void DeadlineController::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
   for (const kv::Change& change : txn.changes) {
     pending_.erase(change.key);
-    if (result.answer != kv::Answer::ok) continue;
+    if (result.status != kv::Status::ok) continue;
     // Until the watch tells of it, what is known is older than what was written.
     const auto known = known_.find(change.key);
     const bool heard = known != known_.end() ? known->second.revision >= result.revision && change.data.has_value()
--- a/src/catalog/apply.cpp
+++ b/src/catalog/apply.cpp
@@ -135,16 +135,16 @@
 }
 
 void Writer::on_result(const kv::TxnResult& result) {
-  switch (result.answer) {
-    case kv::Answer::ok: break;
-    case kv::Answer::refused: state_ = State::refused; return;
-    case kv::Answer::conflict: {
+  switch (result.status) {
+    case kv::Status::ok: break;
+    case kv::Status::unavailable: state_ = State::refused; return;
+    case kv::Status::conflict: {
       const bool stage_alone =
-          step_ == Step::stage && std::ranges::find(result.failed, kHeadKey) == result.failed.end();
+          step_ == Step::stage && std::ranges::find(result.failed_keys, kHeadKey) == result.failed_keys.end();
       state_ = stage_alone ? State::wants_stage : State::conflict;
       return;
     }
-    case kv::Answer::none: state_ = State::unknown; return;
+    case kv::Status::unknown: state_ = State::unknown; return;
     default: state_ = State::rejected; return;
   }
   state_ = State::writing;
--- a/src/catalog/founder.cpp
+++ b/src/catalog/founder.cpp
@@ -115,9 +115,9 @@
 }
 
 void CatalogBootstrapper::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
-  if (result.answer != kv::Answer::ok) {
+  if (result.status != kv::Status::ok) {
     failed_ = true;
-    if (result.answer != kv::Answer::rejected) return;
+    if (result.status != kv::Status::invalid_request) return;
     spdlog::error("founding set is no good, goes on without: {}: the state service does not take it", file_);
     give_up();
     return;
--- a/src/catalog/session.cpp
+++ b/src/catalog/session.cpp
@@ -24,15 +24,15 @@
     if (writer.state() == Writer::State::wants_stage) {
       const kv::GetResult stage = store.get(stage_key(writer.edition().stage()));
       kv::ListResult items;
-      if (stage.answer == kv::Answer::ok) {
+      if (stage.status == kv::Status::ok) {
         items = store.list(kItemPrefix + writer.edition().stage() + "/");
-        if (items.answer != kv::Answer::ok) return;
-      } else if (stage.answer != kv::Answer::not_found) {
+        if (items.status != kv::Status::ok) return;
+      } else if (stage.status != kv::Status::not_found) {
         return;
       }
       std::set<std::string> there;
       for (const kv::Entry& entry : items.entries) there.insert(entry.key);
-      writer.on_stage(stage.answer == kv::Answer::ok ? stage.entry.revision : Revision(0), there);
+      writer.on_stage(stage.status == kv::Status::ok ? stage.entry.revision : Revision(0), there);
       continue;
     }
     if (writer.state() == Writer::State::refused && !store.pause()) return;
@@ -47,9 +47,9 @@
 HeadLook look_at_head(Store& store) {
   HeadLook look;
   const kv::GetResult got = store.get(kHeadKey);
-  if (got.answer == kv::Answer::not_found) {
+  if (got.status == kv::Status::not_found) {
     look.found = HeadLook::Found::read;
-  } else if (got.answer == kv::Answer::ok) {
+  } else if (got.status == kv::Status::ok) {
     look.revision = got.entry.revision;
     try {
       look.head = head_from(got.entry.data, got.entry.revision);
@@ -66,7 +66,7 @@
 SetLook look_at_set(Store& store, const Edition& edition) {
   SetLook look;
   const kv::ListResult list = store.list(kItemPrefix + edition.stage() + "/");
-  if (list.answer != kv::Answer::ok) return look;
+  if (list.status != kv::Status::ok) return look;
   look.found = SetLook::Found::unreadable;
   Items items;
   for (const kv::Entry& entry : list.entries) {
--- a/src/catalog/sweeper.cpp
+++ b/src/catalog/sweeper.cpp
@@ -84,7 +84,7 @@
 }
 
 void CatalogGarbageCollector::on_written(const kv::Txn& txn, const kv::TxnResult& result) {
-  if (result.answer != kv::Answer::ok) {
+  if (result.status != kv::Status::ok) {
     failed_ = true;
     return;
   }
--- a/src/control/controller_records.cpp
+++ b/src/control/controller_records.cpp
@@ -48,9 +48,9 @@
       (kept(Guard::write_earlier_lead) && batch.term_revision != leadership_.term_revision()))
     return;
   ++cluster_.counters.writes;
-  if (result.answer != kv::Answer::ok) ++cluster_.counters.writes_failed;
-  if (result.answer == kv::Answer::conflict &&
-      std::ranges::find(result.failed, state::kTermKey) != result.failed.end()) {
+  if (result.status != kv::Status::ok) ++cluster_.counters.writes_failed;
+  if (result.status == kv::Status::conflict &&
+      std::ranges::find(result.failed_keys, state::kTermKey) != result.failed_keys.end()) {
     on_term_conflict(batch.term_revision);
     return;
   }
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -87,7 +87,7 @@
 Job& JobIntake::add_job(const state::JobRecord& record, Revision revision, std::int64_t wall_ms, Instant now) {
   Job& job = cluster_.jobs.add(record, revision, wall_ms, cluster_.machines, now);
   demand_.record_job(job.spec, job.each, job.submitted);
-  if (record.whole) book_restored_allocations(job, 0, now);
+  if (record.only_shard) book_restored_allocations(job, 0, now);
   cluster_.needs_planning = true;
   return job;
 }
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -60,14 +60,14 @@
   for (std::uint32_t shard = 0; shard < job.shards.size(); ++shard) {
     job.shards[shard].done.resize(state::shard_size(record.spec.tasks, shard));
   }
-  if (record.whole) adopt_shard(job, 0, *record.whole, machines, now);
+  if (record.only_shard) adopt_shard(job, 0, *record.only_shard, machines, now);
   return job;
 }
 
 void JobTable::adopt_shard(Job& job, std::uint32_t number, const state::JobShardRecord& record,
                            inventory::MachineInventory& machines, Instant now) {
   JobShard& shard = job.shards[number];
-  shard.next = record.next;
+  shard.next = record.next_attempt;
   shard.done = record.done;
   shard.done_count = static_cast<std::uint32_t>(std::ranges::count(shard.done, true));
   job.done_count += shard.done_count;
--- a/src/jobs/job_table_writes.cpp
+++ b/src/jobs/job_table_writes.cpp
@@ -102,7 +102,7 @@
     Job& job = entry->second;
     JobShard& shard = job.shards[item.shard];
     shard.in_flight = false;
-    if (result.answer != kv::Answer::ok) {
+    if (result.status != kv::Status::ok) {
       on_write_failed(job, item, result);
       continue;
     }
@@ -123,9 +123,9 @@
   job.shards[item.shard].dirty = true;
   dirty_.insert({item.job, item.shard});
   if (item.kind == WriteItem::Kind::remove) return;
-  if (result.answer != kv::Answer::conflict || !kept(Guard::write_reload)) return;
+  if (result.status != kv::Status::conflict || !kept(Guard::write_reload)) return;
   const auto has_failed = [&](const std::string& key) {
-    return std::ranges::find(result.failed, key) != result.failed.end();
+    return std::ranges::find(result.failed_keys, key) != result.failed_keys.end();
   };
   if (has_failed(state::active_job_key(item.job)) || has_failed(state::finished_job_key(item.job))) job.reload = true;
   if (has_failed(state::job_shard_key(item.job, item.shard))) job.shards[item.shard].reload = true;
--- a/src/jobs/write_batch.cpp
+++ b/src/jobs/write_batch.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 state::JobShardRecord shard_record(const JobShard& shard) {
-  state::JobShardRecord record{.next = shard.next, .done = shard.done, .allocations = {}};
+  state::JobShardRecord record{.next_attempt = shard.next, .done = shard.done, .allocations = {}};
   for (const auto& [index, allocation] : shard.allocations) {
     record.allocations.push_back({.index = index,
                                   .attempt = allocation.attempt,
@@ -36,7 +36,7 @@
 
 // The job record without the state that is stored in the shard records.
 state::JobRecord job_header(const Job& job) {
-  return {.spec = job.spec, .submitted_wall_ms = job.submitted_wall_ms, .whole = {}};
+  return {.spec = job.spec, .submitted_wall_ms = job.submitted_wall_ms, .only_shard = {}};
 }
 
 // The number of keys that an item of this kind changes at least. A removal needs one: it can be spread over several
@@ -74,7 +74,7 @@
                  .removed_parts = {}};
   if (job.shards.size() == 1) {
     state::JobRecord whole = job_header(job);
-    whole.whole = shard_record(shard);
+    whole.only_shard = shard_record(shard);
     set(state::active_job_key(job.spec.id), state::to_value(whole));
   } else {
     const std::string key = state::job_shard_key(job.spec.id, number);
@@ -86,8 +86,8 @@
       job.shown = now;
       item.header = true;
       state::JobRecord header = job_header(job);
-      header.done_shown = job.done_count;
-      header.running_shown = job.allocation_count;
+      header.displayed_done = job.done_count;
+      header.displayed_running = job.allocation_count;
       set(state::active_job_key(job.spec.id), state::to_value(header));
     }
   }
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -24,17 +24,17 @@
 constexpr const char* kTtlMsField = "ttlMs";
 constexpr const char* kEventsField = "news";
 
-// Maps an HTTP status to the outcome of the request. Any status that the protocol does not define counts as `none`.
-Answer answer_of(int status) {
+// Maps an HTTP status to the outcome of the request. Any status that the protocol does not define counts as `unknown`.
+Status status_of(int status) {
   switch (status) {
-    case 200: return Answer::ok;
-    case 400: return Answer::rejected;
-    case 404: return Answer::not_found;
-    case 409: return Answer::conflict;
-    case 410: return Answer::too_old;
+    case 200: return Status::ok;
+    case 400: return Status::invalid_request;
+    case 404: return Status::not_found;
+    case 409: return Status::conflict;
+    case 410: return Status::compacted;
     case 429:
-    case 503: return Answer::refused;
-    default: return Answer::none;
+    case 503: return Status::unavailable;
+    default: return Status::unknown;
   }
 }
 
@@ -65,28 +65,30 @@
 
 }  // namespace
 
-Client::Client(net::Address to, RateLimiter& rate_limiter, Urgency urgency)
-    : http_(std::move(to), constants::kStoreConnectTimeout), budget_(&rate_limiter), urgency_(urgency) {}
+Client::Client(net::Address address, RateLimiter& rate_limiter, Priority priority)
+    : http_(std::move(address), constants::kStoreConnectTimeout), rate_limiter_(&rate_limiter), priority_(priority) {}
 
-Client::Raw Client::call(const std::string& method, const std::string& path, const wire::Value* body, double changes,
-                         net::Deadline until) {
+Client::RawResponse Client::call(const std::string& method, const std::string& path, const wire::Value* body,
+                                 double changes, net::Deadline deadline) {
   // A user's request waits at most `kRateLimiterWaitTimeout` for the rate limiter and is then refused.
-  const auto rate_limit_deadline =
-      urgency_ == Urgency::user ? std::min(until, net::Clock::now() + constants::kRateLimiterWaitTimeout) : until;
-  if (!budget_->take(changes, urgency_, rate_limit_deadline)) return {.answer = Answer::refused, .body = {}};
+  const auto rate_limit_deadline = priority_ == Priority::user
+                                       ? std::min(deadline, net::Clock::now() + constants::kRateLimiterWaitTimeout)
+                                       : deadline;
+  if (!rate_limiter_->acquire(changes, priority_, rate_limit_deadline))
+    return {.status = Status::unavailable, .body = {}};
   const auto answer = http_.call(
-      {.method = method, .path = path, .body = body == nullptr ? std::string() : wire::encode(*body)}, until);
+      {.method = method, .path = path, .body = body == nullptr ? std::string() : wire::encode(*body)}, deadline);
   if (!answer) return {};
-  if (answer->status == 429) budget_->overdrawn();
-  Raw raw{.answer = answer_of(answer->status), .body = {}};
-  if (raw.answer == Answer::refused) return raw;
+  if (answer->status == 429) rate_limiter_->drain();
+  RawResponse raw{.status = status_of(answer->status), .body = {}};
+  if (raw.status == Status::unavailable) return raw;
   try {
     if (!answer->body.empty()) raw.body = wire::decode(answer->body);
   } catch (const wire::Malformed& error) {
     spdlog::warn("store_response_malformed method={} path={} error=\"{}\"", method, path, error.what());
     return {};
   }
-  if (raw.answer == Answer::rejected || raw.answer == Answer::none) {
+  if (raw.status == Status::invalid_request || raw.status == Status::unknown) {
     const std::string* error = raw.body[kErrorField].as_text();
     spdlog::warn("store_request_failed method={} path={} status={} error=\"{}\"", method, path, answer->status,
                  error == nullptr ? "" : *error);
@@ -94,29 +96,29 @@
   return raw;
 }
 
-GetResult Client::get(const std::string& key, net::Deadline until) {
-  const Raw raw = call("GET", "/kv/" + key, nullptr, 0, until);
-  GetResult result{.answer = raw.answer, .entry = {.key = key, .data = {}, .revision = {}}};
-  if (raw.answer != Answer::ok) return result;
+GetResult Client::get(const std::string& key, net::Deadline deadline) {
+  const RawResponse raw = call("GET", "/kv/" + key, nullptr, 0, deadline);
+  GetResult result{.status = raw.status, .entry = {.key = key, .data = {}, .revision = {}}};
+  if (raw.status != Status::ok) return result;
   try {
     result.entry.revision = Revision(raw.body.count(kRevisionField));
     result.entry.data = raw.body[kDataField];
   } catch (const wire::Malformed& error) {
     spdlog::warn("store_response_malformed call=get key={} error=\"{}\"", key, error.what());
-    result.answer = Answer::none;
+    result.status = Status::unknown;
   }
   return result;
 }
 
-ListResult Client::list(const std::string& prefix, std::chrono::milliseconds page_limit,
-                        const std::function<void()>& between) {
+ListResult Client::list(const std::string& prefix, std::chrono::milliseconds page_timeout,
+                        const std::function<void()>& before_next_page) {
   ListResult result;
   std::string from;
   while (true) {
-    if (!from.empty() && between) between();
-    const Raw raw = call("GET", list_path(prefix, from), nullptr, 0, net::Clock::now() + page_limit);
-    result.answer = raw.answer;
-    if (raw.answer != Answer::ok) return result;
+    if (!from.empty() && before_next_page) before_next_page();
+    const RawResponse raw = call("GET", list_path(prefix, from), nullptr, 0, net::Clock::now() + page_timeout);
+    result.status = raw.status;
+    if (raw.status != Status::ok) return result;
     try {
       if (from.empty()) result.revision = Revision(raw.body.count(kStoreRevisionField));
       for (const wire::Value& item : raw.body.list(kItemsField)) {
@@ -128,34 +130,34 @@
       from = result.entries.back().key;
     } catch (const wire::Malformed& error) {
       spdlog::warn("store_response_malformed call=list prefix={} error=\"{}\"", prefix, error.what());
-      result.answer = Answer::none;
+      result.status = Status::unknown;
       return result;
     }
   }
 }
 
-TxnResult Client::txn(const Txn& txn, net::Deadline until) {
+TxnResult Client::txn(const Txn& txn, net::Deadline deadline) {
   const wire::Value body = to_value(txn);
-  const Raw raw = call("POST", "/txn", &body, static_cast<double>(txn.changes.size()), until);
-  TxnResult result{.answer = raw.answer, .revision = {}, .failed = {}};
+  const RawResponse raw = call("POST", "/txn", &body, static_cast<double>(txn.changes.size()), deadline);
+  TxnResult result{.status = raw.status, .revision = {}, .failed_keys = {}};
   try {
-    if (raw.answer == Answer::ok) result.revision = Revision(raw.body.count(kStoreRevisionField));
-    if (raw.answer == Answer::conflict) {
+    if (raw.status == Status::ok) result.revision = Revision(raw.body.count(kStoreRevisionField));
+    if (raw.status == Status::conflict) {
       for (const wire::Value& key : raw.body.list(kFailedField)) {
-        if (const std::string* text = key.as_text()) result.failed.push_back(*text);
+        if (const std::string* text = key.as_text()) result.failed_keys.push_back(*text);
       }
     }
   } catch (const wire::Malformed& error) {
     spdlog::warn("store_response_malformed call=txn error=\"{}\"", error.what());
-    result.answer = Answer::none;
+    result.status = Status::unknown;
   }
   return result;
 }
 
-std::optional<LeaseId> Client::grant_lease(std::chrono::milliseconds ttl, net::Deadline until) {
+std::optional<LeaseId> Client::grant_lease(std::chrono::milliseconds ttl, net::Deadline deadline) {
   const wire::Value body = wire::Value::Map{{kTtlMsField, static_cast<std::uint64_t>(ttl.count())}};
-  const Raw raw = call("POST", "/leases", &body, 0, until);
-  if (raw.answer != Answer::ok) return std::nullopt;
+  const RawResponse raw = call("POST", "/leases", &body, 0, deadline);
+  if (raw.status != Status::ok) return std::nullopt;
   try {
     return LeaseId{raw.body.count(kLeaseField)};
   } catch (const wire::Malformed& error) {
@@ -164,22 +166,22 @@
   }
 }
 
-Answer Client::touch(LeaseId lease, net::Deadline until) {
-  return call("POST", "/leases/" + std::to_string(lease.number) + "/touch", nullptr, 0, until).answer;
+Status Client::renew_lease(LeaseId lease, net::Deadline deadline) {
+  return call("POST", "/leases/" + std::to_string(lease.number) + "/touch", nullptr, 0, deadline).status;
 }
 
-Answer Client::revoke(LeaseId lease, net::Deadline until) {
-  return call("DELETE", "/leases/" + std::to_string(lease.number), nullptr, 0, until).answer;
+Status Client::revoke_lease(LeaseId lease, net::Deadline deadline) {
+  return call("DELETE", "/leases/" + std::to_string(lease.number), nullptr, 0, deadline).status;
 }
 
-WatchResult Client::watch(const std::string& prefix, Revision from, std::chrono::milliseconds hold,
-                          net::Deadline until) {
-  const Raw raw = call(
-      "GET",
-      "/follow?starts=" + prefix + "&from=" + std::to_string(from.number()) + "&holdMs=" + std::to_string(hold.count()),
-      nullptr, 0, until);
-  WatchResult result{.answer = raw.answer, .revision = from, .events = {}};
-  if (raw.answer != Answer::ok) return result;
+WatchResult Client::watch(const std::string& prefix, Revision from, std::chrono::milliseconds hold_time,
+                          net::Deadline deadline) {
+  const RawResponse raw = call("GET",
+                               "/follow?starts=" + prefix + "&from=" + std::to_string(from.number()) +
+                                   "&holdMs=" + std::to_string(hold_time.count()),
+                               nullptr, 0, deadline);
+  WatchResult result{.status = raw.status, .revision = from, .events = {}};
+  if (raw.status != Status::ok) return result;
   try {
     result.revision = Revision(raw.body.count(kStoreRevisionField));
     for (const wire::Value& item : raw.body.list(kEventsField)) {
@@ -194,7 +196,7 @@
     }
   } catch (const wire::Malformed& error) {
     spdlog::warn("store_response_malformed call=watch prefix={} error=\"{}\"", prefix, error.what());
-    result.answer = Answer::none;
+    result.status = Status::unknown;
   }
   return result;
 }
--- a/src/kv/rate_limiter.h
+++ b/src/kv/rate_limiter.h
@@ -10,8 +10,8 @@
 namespace foxshunt::kv {
 
 // The priority of a client's requests. Requests on behalf of users (`user`) leave a reserve of tokens for the requests
-// that maintain leadership, records and leases (`duty`).
-enum class Urgency { duty, user };
+// that maintain leadership, records and leases (`system`).
+enum class Priority { system, user };
 
 // Two token buckets, one for requests and one for changes. Each holds at most the tokens of one second. Thread-safe.
 class RateLimiter {
@@ -25,11 +25,11 @@
   // Sets the fraction of the limits, between 0 and 1, that this node may use. The leader gets a larger share.
   void set_share(double share);
   // Waits until one request with this number of changes is allowed, and takes its tokens. Returns false, without taking
-  // tokens, if that would be later than `until`.
-  [[nodiscard]] bool take(double changes, Urgency urgency, Clock::time_point until);
+  // tokens, if that would be later than `deadline`.
+  [[nodiscard]] bool acquire(double changes, Priority priority, Clock::time_point deadline);
   // Empties both buckets; a negative balance stays. To be called when the store answers 429, which means that other
   // nodes used more than their share.
-  void overdrawn();
+  void drain();
 
  private:
   // Adds the tokens for the time since the last refill. Requires that `mutex_` is held.
@@ -39,9 +39,9 @@
   double requests_per_s_;
   double changes_per_s_;
   double share_;
-  double requests_;  // tokens left
-  double changes_;   // tokens left; negative after a transaction with more changes than the bucket holds
-  Clock::time_point last_;
+  double request_tokens_;  // tokens left
+  double change_tokens_;   // tokens left; negative after a transaction with more changes than the bucket holds
+  Clock::time_point last_refill_;
 };
 
 }  // namespace foxshunt::kv
--- a/src/kv/txn.h
+++ b/src/kv/txn.h
@@ -16,14 +16,14 @@
 namespace foxshunt::kv {
 
 // The outcome of a request, with the HTTP status that it stands for.
-enum class Answer {
-  ok,         // 200: the request was executed
-  not_found,  // 404: the key or lease does not exist
-  conflict,   // 409: a precondition failed and nothing was changed
-  refused,    // 429 or 503, or the node's own rate limit: the request was not executed
-  too_old,    // 410: the watch asked for changes that the store no longer has; it must start again
-  rejected,   // 400: the store does not accept the request as it is
-  none,       // no usable response: the request may have been executed, or may still be executed later
+enum class Status {
+  ok,               // 200: the request was executed
+  not_found,        // 404: the key or lease does not exist
+  conflict,         // 409: a precondition failed and nothing was changed
+  unavailable,      // 429 or 503, or the node's own rate limit: the request was not executed
+  compacted,        // 410: the watch asked for changes that the store no longer has; it must start again
+  invalid_request,  // 400: the store does not accept the request as it is
+  unknown,          // no usable response: the request may have been executed, or may still be executed later
 };
 
 // A key, its value and the revision of its last change.
@@ -33,15 +33,15 @@
   Revision revision;
 };
 
-// The result of reading one key. The entry is valid only if the answer is `ok`.
+// The result of reading one key. The entry is valid only if the status is `ok`.
 struct GetResult {
-  Answer answer = Answer::none;
+  Status status = Status::unknown;
   Entry entry;
 };
 
-// The result of listing the keys with a prefix. The entries are complete only if the answer is `ok`.
+// The result of listing the keys with a prefix. The entries are complete only if the status is `ok`.
 struct ListResult {
-  Answer answer = Answer::none;
+  Status status = Status::unknown;
   std::vector<Entry> entries;
   Revision revision;  // the store's revision at the first page: a watch that starts from it misses no change
 };
@@ -72,9 +72,9 @@
 
 // The result of a transaction.
 struct TxnResult {
-  Answer answer = Answer::none;
-  Revision revision;                // for `ok`: the new revision of all keys that were set
-  std::vector<std::string> failed;  // for `conflict`: the keys that had another revision
+  Status status = Status::unknown;
+  Revision revision;                     // for `ok`: the new revision of all keys that were set
+  std::vector<std::string> failed_keys;  // for `conflict`: the keys that had another revision
 };
 
 // A change of one key, as a watch reports it.
@@ -84,9 +84,9 @@
   Revision revision;
 };
 
-// The result of one poll of a watch. Revision and events are valid only if the answer is `ok`.
+// The result of one poll of a watch. Revision and events are valid only if the status is `ok`.
 struct WatchResult {
-  Answer answer = Answer::none;
+  Status status = Status::unknown;
   Revision revision;  // the watch has reported every change up to this revision
   std::vector<Event> events;
 };
--- a/src/ledger/jobs.cpp
+++ b/src/ledger/jobs.cpp
@@ -60,9 +60,9 @@
   try {
     const state::JobRecord record = state::job_from(*data);
     CachedJob job{.spec = record.spec, .submitted_wall_ms = record.submitted_wall_ms, .cancelled = linger};
-    if (record.whole) {
-      job.done = static_cast<std::uint64_t>(std::ranges::count(record.whole->done, true));
-      job.placed = record.whole->allocations.size();
+    if (record.only_shard) {
+      job.done = static_cast<std::uint64_t>(std::ranges::count(record.only_shard->done, true));
+      job.placed = record.only_shard->allocations.size();
     }
     recount(job);
     jobs_.insert_or_assign(*id, std::move(job));
--- a/src/node/cache_watcher.cpp
+++ b/src/node/cache_watcher.cpp
@@ -13,7 +13,7 @@
 
 namespace foxshunt::node {
 
-using kv::Answer;
+using kv::Status;
 
 namespace {
 
@@ -43,7 +43,7 @@
 
 CacheWatcher::CacheWatcher(Context& context)
     : context_(context),
-      client_(context.state_address, context.rate_limiter, kv::Urgency::duty),
+      client_(context.state_address, context.rate_limiter, kv::Priority::system),
       compared_(net::Clock::now()) {}
 
 std::optional<CacheWatcher::Found> CacheWatcher::read_all(bool to_compare) {
@@ -53,7 +53,7 @@
   if (!to_compare) prefixes.emplace_back(kToldAlone);
   for (const std::string& prefix : prefixes) {
     kv::ListResult page = client_.list(prefix, constants::kStoreCallTimeout);
-    if (page.answer != Answer::ok) return std::nullopt;
+    if (page.status != Status::ok) return std::nullopt;
     if (first) found.from = page.revision;
     first = false;
     std::ranges::move(page.entries, std::back_inserter(found.entries));
@@ -96,8 +96,8 @@
     }
     const kv::WatchResult news = client_.watch(kEverything, from, constants::kRecordCacheWatchHoldTimeout,
                                                store_call_deadline() + constants::kRecordCacheWatchHoldTimeout);
-    if (news.answer == Answer::too_old) return;  // it fell behind: a cold read
-    if (news.answer != Answer::ok) {
+    if (news.status == Status::compacted) return;  // it fell behind: a cold read
+    if (news.status != Status::ok) {
       sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
       continue;
     }
@@ -133,7 +133,7 @@
     from = shared.record_cache.revision();
   }
   const kv::WatchResult news = client_.watch(kEverything, from, std::chrono::milliseconds(0), store_call_deadline());
-  if (news.answer != Answer::ok || stop.stop_requested()) return news.answer != Answer::too_old;
+  if (news.status != Status::ok || stop.stop_requested()) return news.status != Status::compacted;
   const std::lock_guard lock(shared.mutex);
   shared.record_cache.heard(news.events, news.revision);
   shared.calendar.look(moment());
--- a/src/node/calendar_requests.cpp
+++ b/src/node/calendar_requests.cpp
@@ -59,13 +59,13 @@
   };
   if (!decision.txn && decision.status == 200) return done(decision.done);
   if (!decision.txn) return error_response(decision.status, decision.error);
-  kv::Client client(context.state_address, context.rate_limiter, kv::Urgency::user);
+  kv::Client client(context.state_address, context.rate_limiter, kv::Priority::user);
   const kv::TxnResult result = client.txn(*decision.txn, net::Clock::now() + constants::kStoreCallTimeout);
-  if (result.answer == kv::Answer::conflict) {
+  if (result.status == kv::Status::conflict) {
     return error_response(409, "it was changed meanwhile: look again before you repeat it");
   }
   // Without an answer it may have been done; asked again, that is seen.
-  if (result.answer != kv::Answer::ok) return retry_later("the state service can't take it now");
+  if (result.status != kv::Status::ok) return retry_later("the state service can't take it now");
   return done(result.revision);
 }
 
--- a/src/node/catalog_requests.cpp
+++ b/src/node/catalog_requests.cpp
@@ -27,7 +27,7 @@
  public:
   explicit StateStore(Context& context)
       : context_(context),
-        client_(context.state_address, context.rate_limiter, kv::Urgency::user),
+        client_(context.state_address, context.rate_limiter, kv::Priority::user),
         until_(net::Clock::now() + constants::kCatalogCallTimeout) {}
 
   kv::GetResult get(const std::string& key) override { return heard(client_.get(key, until_)); }
@@ -44,7 +44,7 @@
  private:
   template <typename Result>
   Result heard(Result result) {
-    if (result.answer != kv::Answer::none) context_.on_store_answered();
+    if (result.status != kv::Status::unknown) context_.on_store_answered();
     return result;
   }
 
--- a/src/node/cloud_loop.cpp
+++ b/src/node/cloud_loop.cpp
@@ -13,7 +13,7 @@
 CloudLoop::CloudLoop(Context& context)
     : context_(context),
       http_(context.cloud_address, constants::kCloudCallTimeout),
-      state_(context.state_address, context.rate_limiter, kv::Urgency::duty) {}
+      state_(context.state_address, context.rate_limiter, kv::Priority::system) {}
 
 CloudLoop::Answer CloudLoop::call(const std::string& method, const std::string& path, const wire::Value* body) {
   // Calls are spaced, as several nodes may ask for types at once.
@@ -47,7 +47,7 @@
 
 void CloudLoop::read_types() {
   const kv::GetResult kept = state_.get(state::kMachineTypesKey, net::Clock::now() + constants::kStoreCallTimeout);
-  if (kept.answer != kv::Answer::ok) return;
+  if (kept.status != kv::Status::ok) return;
   context_.on_store_answered();
   try {
     publish_types(wire::machine_types_from(kept.entry.data));
@@ -77,7 +77,7 @@
     if (!published_) {
       kv::Txn txn;
       txn.changes = {{.key = state::kMachineTypesKey, .data = wire::to_value(types), .lease = {}}};
-      published_ = state_.txn(txn, net::Clock::now() + constants::kStoreCallTimeout).answer == kv::Answer::ok;
+      published_ = state_.txn(txn, net::Clock::now() + constants::kStoreCallTimeout).status == kv::Status::ok;
     }
     return true;
   } catch (const wire::Malformed& error) {
--- a/src/node/leader_elector.cpp
+++ b/src/node/leader_elector.cpp
@@ -12,16 +12,16 @@
 
 namespace foxshunt::node {
 
-using kv::Answer;
+using kv::Status;
 
 LeaderElector::LeaderElector(Context& context)
-    : context_(context), client_(context.state_address, context.rate_limiter, kv::Urgency::duty) {}
+    : context_(context), client_(context.state_address, context.rate_limiter, kv::Priority::system) {}
 
 std::optional<state::LeadershipView> LeaderElector::read_leadership() {
   const kv::GetResult holder = client_.get(state::kLeaderKey, store_call_deadline());
-  if (!is_answered(holder.answer)) return std::nullopt;
+  if (!is_answered(holder.status)) return std::nullopt;
   const kv::GetResult term = client_.get(state::kTermKey, store_call_deadline());
-  if (!is_answered(term.answer)) return std::nullopt;
+  if (!is_answered(term.status)) return std::nullopt;
   context_.on_store_answered();
   return state::leadership_view(holder, term);
 }
@@ -59,7 +59,7 @@
     }
   }
   // An orderly end lets another node lead at once.
-  if (lease_.number != 0) (void)client_.revoke(lease_, store_call_deadline());
+  if (lease_.number != 0) (void)client_.revoke_lease(lease_, store_call_deadline());
 }
 
 bool LeaderElector::has_all_records() {
@@ -83,7 +83,7 @@
   while (!stop.stop_requested()) {
     const kv::WatchResult news = client_.watch(state::kLeadershipPrefix, from, constants::kLeaderWatchHoldTimeout,
                                                store_call_deadline() + constants::kLeaderWatchHoldTimeout);
-    if (news.answer != Answer::ok) {
+    if (news.status != Status::ok) {
       sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
       return;
     }
@@ -102,21 +102,21 @@
   // What this lead is confirmed by is asked for now: a node that stands still after the answer leads no longer for it.
   const plan::Instant asked = now();
   const std::int64_t until =
-      state::older_leaders_until(view, wall_ms(), control::fencing_timeout(context_.settings).count(),
-                                 static_cast<std::int64_t>(context_.settings.skew_ms));
+      state::older_leaders_deadline(view, wall_ms(), control::fencing_timeout(context_.settings).count(),
+                                    static_cast<std::int64_t>(context_.settings.skew_ms));
   kv::TxnResult result = client_.txn(state::acquire_leadership_txn(view, self, lease_, until), store_call_deadline());
-  if (result.answer == Answer::none) {
+  if (result.status == Status::unknown) {
     const auto there = read_leadership();
     // An earlier life may have taken the same term just before it ended, by a lease that nobody renews.
     if (there && there->record.term == term && there->record.leader == self && there->leader_lease == lease_.number) {
-      result.answer = Answer::ok;
+      result.status = Status::ok;
       result.revision = there->term_revision;
     }
   }
   const AcquiredTerm acquired{
       .term = term, .term_revision = result.revision, .older_leaders_until_wall_ms = until, .asked = asked};
-  if (result.answer == Answer::ok && try_lead(acquired)) return true;
-  (void)client_.revoke(lease_, store_call_deadline());
+  if (result.status == Status::ok && try_lead(acquired)) return true;
+  (void)client_.revoke_lease(lease_, store_call_deadline());
   lease_ = {};
   return false;
 }
@@ -125,16 +125,16 @@
   // The lease goes on while a day's records are read: with a slow state service that takes longer than it lasts.
   const auto renew = [&] {
     const plan::Instant sent = now();
-    if (client_.touch(lease_, store_call_deadline()) == Answer::ok) renewed = sent;
+    if (client_.renew_lease(lease_, store_call_deadline()) == Status::ok) renewed = sent;
   };
   kv::ListResult live = client_.list(state::kActiveJobPrefix, constants::kStoreCallTimeout, renew);
-  if (live.answer != Answer::ok) return false;
+  if (live.status != Status::ok) return false;
   renew();
   kv::ListResult linger = client_.list(state::kTerminatingJobPrefix, constants::kStoreCallTimeout, renew);
-  if (linger.answer != Answer::ok) return false;
+  if (linger.status != Status::ok) return false;
   renew();
   kv::ListResult parts = client_.list(state::kJobShardPrefix, constants::kStoreCallTimeout, renew);
-  if (parts.answer != Answer::ok) return false;
+  if (parts.status != Status::ok) return false;
   snapshot = {.active_jobs = std::move(live.entries),
               .terminating_jobs = std::move(linger.entries),
               .shards = std::move(parts.entries),
@@ -157,7 +157,7 @@
   }
   if (!snapshot.term) {
     const kv::GetResult record = client_.get(state::kTermKey, store_call_deadline());
-    if (record.answer != Answer::ok) return std::nullopt;
+    if (record.status != Status::ok) return std::nullopt;
     snapshot.term = record.entry;
   }
   return snapshot;
@@ -212,7 +212,7 @@
       .self = context_.settings.name,
       .term = acquired.term,
       .term_revision = acquired.term_revision,
-      .record = state::term_from(snapshot.term->data),
+      .record = state::term_record_from(snapshot.term->data),
       .record_revision = snapshot.term->revision,
       .records_revision = snapshot.revision,
       .lease_renewal_requested = renewed,
@@ -233,25 +233,25 @@
       if (!context_.control_state.controller.is_leader()) break;
     }
     const plan::Instant sent = now();
-    const Answer answer = client_.touch(lease_, store_call_deadline());
-    if (answer == Answer::ok) {
+    const Status status = client_.renew_lease(lease_, store_call_deadline());
+    if (status == Status::ok) {
       context_.on_store_answered();
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
       context_.control_state.controller.on_leader_lease_renewed(sent);
-    } else if (answer == Answer::not_found) {
+    } else if (status == Status::not_found) {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
       context_.control_state.controller.step_down("its lease has ended");
       break;
     }
     // No confirmation may be an outage, in which leases don't end: the controller's fence bounds how long.
     context_.wakeups.leader_elector.wait(
-        stop, answer == Answer::ok ? constants::kLeaderLeaseRenewInterval : constants::kStoreRetryBackoff);
+        stop, status == Status::ok ? constants::kLeaderLeaseRenewInterval : constants::kStoreRetryBackoff);
   }
   {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
     context_.control_state.controller.step_down("this node stops leading");
   }
-  (void)client_.revoke(lease_, store_call_deadline());
+  (void)client_.revoke_lease(lease_, store_call_deadline());
   lease_ = {};
   const auto nodes = static_cast<double>(std::max<std::size_t>(2, context_.settings.nodes));
   context_.rate_limiter.set_share((1 - constants::kLeaderShare) / (nodes - 1));
--- a/src/node/peer_prober.cpp
+++ b/src/node/peer_prober.cpp
@@ -40,7 +40,7 @@
   std::optional<health::StateContact> contact;
   try {
     const wire::Value body = wire::decode(answer->body);
-    word = state::term_from(body);
+    word = state::term_record_from(body);
     contact = health::contact_from(body);
   } catch (const wire::Malformed& error) {
     spdlog::warn("malformed_peer_answer from={} error=\"{}\"", sibling.client.to().text(), error.what());
--- a/src/node/record_controller_loop.cpp
+++ b/src/node/record_controller_loop.cpp
@@ -10,10 +10,10 @@
 
 namespace foxshunt::node {
 
-using kv::Answer;
+using kv::Status;
 
 RecordControllerLoop::RecordControllerLoop(Context& context)
-    : context_(context), client_(context.state_address, context.rate_limiter, kv::Urgency::user) {}
+    : context_(context), client_(context.state_address, context.rate_limiter, kv::Priority::user) {}
 
 void RecordControllerLoop::run(const std::stop_token& stop) {
   while (context_.wait_until_leader(stop)) {
@@ -101,14 +101,14 @@
   kv::Txn guarded = *txn;
   guarded.preconditions.push_back({.key = state::kTermKey, .revision = term_revision});
   const kv::TxnResult result = client_.txn(guarded, store_call_deadline());
-  if (result.answer == Answer::conflict &&
-      std::ranges::find(result.failed, std::string(state::kTermKey)) != result.failed.end()) {
+  if (result.status == Status::conflict &&
+      std::ranges::find(result.failed_keys, std::string(state::kTermKey)) != result.failed_keys.end()) {
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::lease));
     context_.control_state.controller.on_term_conflict(term_revision);
   }
   const std::lock_guard lock(shared.mutex);
   keeper->on_written(*txn, result);
-  return result.answer == Answer::ok;
+  return result.status == Status::ok;
 }
 
 }  // namespace foxshunt::node
--- a/src/node/record_watcher.cpp
+++ b/src/node/record_watcher.cpp
@@ -6,10 +6,10 @@
 
 namespace foxshunt::node {
 
-using kv::Answer;
+using kv::Status;
 
 RecordWatcher::RecordWatcher(Context& context)
-    : context_(context), client_(context.state_address, context.rate_limiter, kv::Urgency::duty) {}
+    : context_(context), client_(context.state_address, context.rate_limiter, kv::Priority::system) {}
 
 void RecordWatcher::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
@@ -29,11 +29,11 @@
     const plan::Instant sent = now();
     const kv::WatchResult news = client_.watch(state::kActiveJobPrefix, from, constants::kWatchHoldTimeout,
                                                store_call_deadline() + constants::kWatchHoldTimeout);
-    if (news.answer == Answer::too_old) {
+    if (news.status == Status::compacted) {
       reload(stop, term);
       continue;
     }
-    if (news.answer != Answer::ok) {
+    if (news.status != Status::ok) {
       sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
       continue;
     }
@@ -66,7 +66,7 @@
 void RecordWatcher::reload(const std::stop_token& stop, Term term) {
   const plan::Instant sent = now();
   const kv::ListResult live = client_.list(state::kActiveJobPrefix, constants::kStoreCallTimeout);
-  if (live.answer != Answer::ok) {
+  if (live.status != Status::ok) {
     sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
     return;
   }
--- a/src/node/record_writer.cpp
+++ b/src/node/record_writer.cpp
@@ -6,10 +6,10 @@
 
 namespace foxshunt::node {
 
-using kv::Answer;
+using kv::Status;
 
 RecordWriter::RecordWriter(Context& context)
-    : context_(context), client_(context.state_address, context.rate_limiter, kv::Urgency::duty) {}
+    : context_(context), client_(context.state_address, context.rate_limiter, kv::Priority::system) {}
 
 void RecordWriter::reload_jobs() {
   while (true) {
@@ -20,10 +20,10 @@
     }
     if (!reload) return;
     const kv::GetResult found = client_.get(reload->key(), store_call_deadline());
-    if (!is_answered(found.answer)) return;
+    if (!is_answered(found.status)) return;
     const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::writes));
     context_.control_state.controller.on_reloaded(
-        *reload, found.answer == Answer::ok ? std::optional(found.entry.revision) : std::nullopt, now());
+        *reload, found.status == Status::ok ? std::optional(found.entry.revision) : std::nullopt, now());
   }
 }
 
@@ -41,13 +41,13 @@
       continue;
     }
     const kv::TxnResult result = client_.txn(batch->txn, store_call_deadline());
-    if (is_answered(result.answer)) context_.on_store_answered();
+    if (is_answered(result.status)) context_.on_store_answered();
     {
       const std::lock_guard lock(context_.control_state.mutex.handle(LockPriority::writes));
       context_.control_state.controller.end_write(*batch, result, now());
     }
     context_.control_state.progress_made.notify_all();
-    if (!is_answered(result.answer)) sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
+    if (!is_answered(result.status)) sleep_unless_stopped(stop, constants::kStoreRetryBackoff);
   }
 }
 
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -12,7 +12,7 @@
 
 RequestHandler::RequestHandler(Context& context)
     : context_(context), clients_(constants::kMaxUserRequestStoreClients, [&context] {
-        return std::make_unique<kv::Client>(context.state_address, context.rate_limiter, kv::Urgency::user);
+        return std::make_unique<kv::Client>(context.state_address, context.rate_limiter, kv::Priority::user);
       }) {}
 
 user_api::Known RequestHandler::known() {
@@ -28,11 +28,11 @@
   while (request.reply() == nullptr) {
     if (const auto* read = std::get_if<user_api::Request::Read>(&request.step())) {
       const kv::GetResult found = lease.get()->get(read->key, until);
-      if (found.answer == kv::Answer::ok || found.answer == kv::Answer::not_found) context_.on_store_answered();
+      if (found.status == kv::Status::ok || found.status == kv::Status::not_found) context_.on_store_answered();
       request.on_read(found);
     } else {
       const kv::TxnResult result = lease.get()->txn(std::get<kv::Txn>(request.step()), until);
-      if (result.answer == kv::Answer::ok) context_.on_store_answered();
+      if (result.status == kv::Status::ok) context_.on_store_answered();
       request.on_written(result);
     }
   }
--- a/src/node/store_calls.h
+++ b/src/node/store_calls.h
@@ -11,8 +11,8 @@
 inline net::Deadline store_call_deadline() { return net::Clock::now() + constants::kStoreCallTimeout; }
 
 /// Whether the store has carried the call out or judged its preconditions: a refusal or no answer proves no contact.
-inline bool is_answered(kv::Answer answer) {
-  return answer == kv::Answer::ok || answer == kv::Answer::not_found || answer == kv::Answer::conflict;
+inline bool is_answered(kv::Status status) {
+  return status == kv::Status::ok || status == kv::Status::not_found || status == kv::Status::conflict;
 }
 
 }  // namespace foxshunt::node
--- a/src/pools/keeper.cpp
+++ b/src/pools/keeper.cpp
@@ -837,10 +837,10 @@
 void WarmPoolController::on_written(const Txn& txn, const kv::TxnResult& result) {
   last_write_ = began_;
   const auto sent = std::exchange(starts_sent_, {});
-  if (result.answer == kv::Answer::ok) {
+  if (result.status == kv::Status::ok) {
     awaited_ = result.revision;
     for (const kv::Change& change : txn.changes) written_[change.key] = began_;
-  } else if (result.answer != kv::Answer::none) {
+  } else if (result.status != kv::Status::unknown) {
     // Without an answer it may be written: rather not counted than twice.
     for (const auto& [pool, starts] : sent) starts_[pool] += starts;
   }
--- a/src/state/job_records.cpp
+++ b/src/state/job_records.cpp
@@ -72,14 +72,14 @@
     encoded_allocations.emplace_back(Value::List{std::uint64_t{allocation.index}, allocation.attempt.number(),
                                                  allocation.machine.text(), allocation.incarnation.number()});
   }
-  return Value::Map{{kNextAttemptField, shard.next.number()},
+  return Value::Map{{kNextAttemptField, shard.next_attempt.number()},
                     {kDoneField, bits_to_text(shard.done)},
                     {kAllocationsField, std::move(encoded_allocations)}};
 }
 
 JobShardRecord job_shard_from(const Value& value, std::uint32_t size) {
   JobShardRecord shard;
-  shard.next = AttemptNumber(value.count(kNextAttemptField));
+  shard.next_attempt = AttemptNumber(value.count(kNextAttemptField));
   shard.done = bits_from_text(value.text(kDoneField), size);
   for (const Value& entry : value.list(kAllocationsField)) {
     const Value::List* allocation = entry.as_list();
@@ -99,11 +99,11 @@
 Value to_value(const JobRecord& job) {
   Value::Map map{{kSpecField, wire::to_value(job.spec)},
                  {kSubmittedMsField, static_cast<std::uint64_t>(job.submitted_wall_ms)}};
-  if (job.whole) {
-    map.emplace_back(kOnlyShardField, to_value(*job.whole));
+  if (job.only_shard) {
+    map.emplace_back(kOnlyShardField, to_value(*job.only_shard));
   } else {
-    map.emplace_back(kDoneField, job.done_shown);
-    map.emplace_back(kRunningField, job.running_shown);
+    map.emplace_back(kDoneField, job.displayed_done);
+    map.emplace_back(kRunningField, job.displayed_running);
   }
   return map;
 }
@@ -113,10 +113,10 @@
   job.spec = wire::job_spec_from(value[kSpecField]);
   job.submitted_wall_ms = static_cast<std::int64_t>(value.count(kSubmittedMsField));
   if (!value[kOnlyShardField].is_null()) {
-    job.whole = job_shard_from(value[kOnlyShardField], shard_size(job.spec.tasks, 0));
+    job.only_shard = job_shard_from(value[kOnlyShardField], shard_size(job.spec.tasks, 0));
   } else {
-    job.done_shown = value.count(kDoneField);
-    job.running_shown = value.count(kRunningField);
+    job.displayed_done = value.count(kDoneField);
+    job.displayed_running = value.count(kRunningField);
   }
   return job;
 }
@@ -138,21 +138,22 @@
 
 wire::JobStatus status_of(const JobRecord& job) {
   wire::JobStatus status{.id = job.spec.id};
-  if (job.whole) {
-    status.done = static_cast<std::uint64_t>(std::ranges::count(job.whole->done, true));
-    status.running = job.whole->allocations.size();
+  if (job.only_shard) {
+    status.done = static_cast<std::uint64_t>(std::ranges::count(job.only_shard->done, true));
+    status.running = job.only_shard->allocations.size();
   } else {
-    status.done = job.done_shown;
-    status.running = job.running_shown;
+    status.done = job.displayed_done;
+    status.running = job.displayed_running;
   }
   status.state = status.running > 0 ? wire::JobState::running : wire::JobState::pending;
   return status;
 }
 
 JobRecord new_job(const wire::JobSpec& spec, std::int64_t wall_ms) {
-  JobRecord job{.spec = spec, .submitted_wall_ms = wall_ms, .whole = {}};
+  JobRecord job{.spec = spec, .submitted_wall_ms = wall_ms, .only_shard = {}};
   if (shard_count(spec.tasks) == 1) {
-    job.whole = JobShardRecord{.next = AttemptNumber{1}, .done = std::vector<bool>(spec.tasks), .allocations = {}};
+    job.only_shard =
+        JobShardRecord{.next_attempt = AttemptNumber{1}, .done = std::vector<bool>(spec.tasks), .allocations = {}};
   }
   return job;
 }
@@ -180,7 +181,7 @@
   // The terminating record keeps the allocations until a leader has confirmed that they have terminated. A job with
   // several shards always gets one: its allocations are in its shard records, and the counts in its own record are for
   // display only.
-  if (!job.whole || !job.whole->allocations.empty()) {
+  if (!job.only_shard || !job.only_shard->allocations.empty()) {
     txn.changes.push_back({.key = terminating_job_key(id), .data = to_value(job), .lease = {}});
   }
   return txn;
--- a/src/state/job_records.h
+++ b/src/state/job_records.h
@@ -25,8 +25,8 @@
 
 // The progress of one shard of a job's tasks.
 struct JobShardRecord {
-  AttemptNumber next{1};   // the next attempt number to use; lower numbers count as used
-  std::vector<bool> done;  // whether each task is done, by its index within the shard
+  AttemptNumber next_attempt{1};  // the next attempt number to use; lower numbers count as used
+  std::vector<bool> done;         // whether each task is done, by its index within the shard
   std::vector<AllocationRecord> allocations;
 };
 
@@ -34,10 +34,10 @@
 // in separate shard records otherwise.
 struct JobRecord {
   wire::JobSpec spec;
-  std::int64_t submitted_wall_ms = 0;   // wall clock time in milliseconds
-  std::optional<JobShardRecord> whole;  // the only shard of a job that fits one shard
-  std::uint64_t done_shown = 0;         // done tasks of a job with several shards; for display only
-  std::uint64_t running_shown = 0;      // running tasks of a job with several shards; for display only
+  std::int64_t submitted_wall_ms = 0;        // wall clock time in milliseconds
+  std::optional<JobShardRecord> only_shard;  // the only shard of a job that fits one shard
+  std::uint64_t displayed_done = 0;          // done tasks of a job with several shards; for display only
+  std::uint64_t displayed_running = 0;       // running tasks of a job with several shards; for display only
 };
 
 // Returns the transaction that creates the record of an accepted job. It fails if the job exists already, whether it is
--- a/src/state/leadership_records.cpp
+++ b/src/state/leadership_records.cpp
@@ -17,25 +17,25 @@
 
 }  // namespace
 
-LeadershipView leadership_view(const kv::GetResult& holder, const kv::GetResult& term) {
-  LeadershipView view{.leader_revision = holder.entry.revision, .term_revision = term.entry.revision};
-  if (holder.answer == kv::Answer::ok && !holder.entry.data[kLeaseField].is_null()) {
-    view.leader_lease = holder.entry.data.count(kLeaseField);
+LeadershipView leadership_view(const kv::GetResult& leader, const kv::GetResult& term) {
+  LeadershipView view{.leader_revision = leader.entry.revision, .term_revision = term.entry.revision};
+  if (leader.status == kv::Status::ok && !leader.entry.data[kLeaseField].is_null()) {
+    view.leader_lease = leader.entry.data.count(kLeaseField);
   }
-  if (term.answer == kv::Answer::ok) {
-    view.record = term_from(term.entry.data);
+  if (term.status == kv::Status::ok) {
+    view.record = term_record_from(term.entry.data);
     view.older_leaders_until_wall_ms = static_cast<std::int64_t>(term.entry.data.count(kOlderLeadersUntilField));
   }
   return view;
 }
 
-std::int64_t older_leaders_until(const LeadershipView& view, std::int64_t wall_ms, std::int64_t fence_ms,
-                                 std::int64_t skew_ms) {
+std::int64_t older_leaders_deadline(const LeadershipView& view, std::int64_t wall_ms, std::int64_t fencing_timeout_ms,
+                                    std::int64_t skew_ms) {
   if (view.term_revision == Revision{}) return 0;
   // The previous leader computes its fencing deadline, and the end of what it delegated to other nodes, from the last
   // confirmation of its lease, which was before now. This also applies if the previous leader was this node before a
   // restart, because the nodes that hold its delegations keep running.
-  return wall_ms + fence_ms + 2 * skew_ms;
+  return wall_ms + fencing_timeout_ms + 2 * skew_ms;
 }
 
 kv::Txn acquire_leadership_txn(const LeadershipView& view, const NodeName& node, kv::LeaseId lease,
@@ -54,7 +54,7 @@
   return Value::Map{{kTermField, term.term.number()}, {kLeaderField, term.leader.text()}};
 }
 
-TermRecord term_from(const Value& value) {
+TermRecord term_record_from(const Value& value) {
   return {.term = Term(value.count(kTermField)), .leader = NodeName(value.text(kLeaderField))};
 }
 
--- a/src/user_api/request.cpp
+++ b/src/user_api/request.cpp
@@ -14,7 +14,7 @@
 
 using guards::Guard;
 using guards::kept;
-using kv::Answer;
+using kv::Status;
 
 Reply error_reply(int status, const std::string& why) {
   return {.status = status, .body = wire::Value::Map{{"error", why}}, .retry_after_s = {}};
@@ -152,7 +152,7 @@
 
 void Request::on_types(const kv::GetResult& found) {
   try {
-    if (found.answer == Answer::ok) known_.types = wire::machine_types_from(found.entry.data);
+    if (found.status == Status::ok) known_.types = wire::machine_types_from(found.entry.data);
   } catch (const wire::Malformed& error) {
     spdlog::error("record of machine types cannot be read: {}", error.what());
   }
@@ -160,33 +160,33 @@
 }
 
 void Request::on_live(const kv::GetResult& live) {
-  if (live.answer == Answer::ok) {
+  if (live.status == Status::ok) {
     record_ = state::job_from(live.entry.data);
     mark_ = live.entry.revision;
     return looked(Found::live, state::status_of(record_));
   }
-  if (live.answer != Answer::not_found) return looked(Found::unknown, {});
+  if (live.status != Status::not_found) return looked(Found::unknown, {});
   if (!kept(Guard::live_before_over)) return looked(Found::nowhere, {});
   read(Reading::over);
 }
 
 void Request::on_over(const kv::GetResult& over) {
-  if (over.answer == Answer::not_found) {
+  if (over.status == Status::not_found) {
     if (!kept(Guard::live_before_over)) return read(Reading::live);
     return looked(Found::nowhere, {});
   }
-  if (over.answer != Answer::ok) return looked(Found::unknown, {});
+  if (over.status != Status::ok) return looked(Found::unknown, {});
   const wire::JobStatus status = state::finished_job_from(job_, over.entry.data);
   known_.finals.keep(status);
   looked(Found::over, status);
 }
 
 void Request::on_written(const kv::TxnResult& result) {
-  const bool unsettled = result.answer == Answer::conflict || result.answer == Answer::none;
-  if (result.answer != Answer::ok && !unsettled) return answer(come_back("the state service can't take it now"));
+  const bool unsettled = result.status == Status::conflict || result.status == Status::unknown;
+  if (result.status != Status::ok && !unsettled) return answer(come_back("the state service can't take it now"));
   if (purpose_ == Purpose::submission) {
     // Without an answer it may have been executed, so the record is read before answering.
-    if (result.answer == Answer::conflict || (unsettled && kept(Guard::unclear_accept)))
+    if (result.status == Status::conflict || (unsettled && kept(Guard::unclear_accept)))
       return look(come_back("the state service did not answer"));
     spdlog::info("job {} accepted", job_.text());
     return answer(201, {.id = job_});
--- a/tests/bench/benchmarks.cpp
+++ b/tests/bench/benchmarks.cpp
@@ -156,10 +156,10 @@
   spec.image = "img";
   state::JobRecord record = state::new_job(spec, 1'800'000'000'000);
   for (std::uint32_t index = 0; index < tasks; index += 2) {
-    record.whole->allocations.push_back({.index = index,
-                                         .attempt = AttemptNumber(2),
-                                         .machine = MachineId("m-000123"),
-                                         .incarnation = AgentIncarnation(1)});
+    record.only_shard->allocations.push_back({.index = index,
+                                              .attempt = AttemptNumber(2),
+                                              .machine = MachineId("m-000123"),
+                                              .incarnation = AgentIncarnation(1)});
   }
   return record;
 }
--- a/tests/bench/busy_fleet.cpp
+++ b/tests/bench/busy_fleet.cpp
@@ -127,7 +127,8 @@
 
 void BusyFleet::write_all() {
   while (auto batch = controller_.begin_write(now_)) {
-    controller_.end_write(*batch, {.answer = kv::Answer::ok, .revision = Revision(++revision_), .failed = {}}, now_);
+    controller_.end_write(*batch, {.status = kv::Status::ok, .revision = Revision(++revision_), .failed_keys = {}},
+                          now_);
   }
 }
 
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -51,10 +51,10 @@
     out << key;
     if (key.starts_with(state::kActiveJobPrefix) || key.starts_with(state::kTerminatingJobPrefix)) {
       const state::JobRecord record = state::job_from(value);
-      if (!record.whole) return;
-      out << record.whole->next;
-      for (const bool done : record.whole->done) out << (done ? 1 : 0);
-      for (const state::AllocationRecord& run : record.whole->allocations)
+      if (!record.only_shard) return;
+      out << record.only_shard->next_attempt;
+      for (const bool done : record.only_shard->done) out << (done ? 1 : 0);
+      for (const state::AllocationRecord& run : record.only_shard->allocations)
         out << run.index << run.attempt << run.machine.text() << run.incarnation;
     } else if (key.starts_with(state::kFinishedJobPrefix)) {
       out << value.text("end");
@@ -143,7 +143,7 @@
     for (const kv::Change& change : message.txn.changes)
       change.data ? data(change.key, *change.data) : void(out << change.key << "gone");
     if (message.batch) out << (message.batch->term_revision == nodes_[message.node].controller.term_revision());
-    if (message.result) out << message.result->answer;
+    if (message.result) out << message.result->status;
     if (message.taking) out << term(message.taking->term);
     if (message.sort == Sort::heartbeat || message.sort == Sort::answer) {
       const wire::Heartbeat& heartbeat = message.heartbeat;
--- a/tests/explorer/model.cpp
+++ b/tests/explorer/model.cpp
@@ -15,7 +15,7 @@
 
 namespace foxshunt::explorer {
 
-using kv::Answer;
+using kv::Status;
 using Request = standins::History::Request;
 
 namespace {
@@ -317,7 +317,7 @@
       continue;
     }
     node.writing = false;
-    node.controller.end_write(*message->batch, {.answer = Answer::none}, now_);
+    node.controller.end_write(*message->batch, {.status = Status::unknown}, now_);
     if (message->fate == Fate::held) {
       message->fate = Fate::late;
       ++message;
@@ -379,7 +379,7 @@
 
 kv::TxnResult Model::carry_out(const kv::Txn& txn, const std::optional<JobId>& creates) {
   kv::TxnResult result = store_.txn(txn);
-  if (creates && result.answer == Answer::ok) rules_.on_created(*creates);
+  if (creates && result.status == Status::ok) rules_.on_created(*creates);
   return result;
 }
 
@@ -393,8 +393,8 @@
   if (self.taking) return read_records(node);
   if (!served(node)) return;
   if (self.controller.is_leader()) {
-    const Answer answer = store_.touch(self.lease, now_);
-    if (answer == Answer::not_found) return self.controller.step_down("its lease has ended");
+    const Status status = store_.touch(self.lease, now_);
+    if (status == Status::not_found) return self.controller.step_down("its lease has ended");
     leases_[self.lease.number] = now_ + constants::kLeaderLeaseTtl;
     self.controller.on_leader_lease_renewed(now_);
     self.lease_at = now_;
@@ -414,7 +414,7 @@
   Node& self = nodes_[node];
   const kv::LeaseId lease = store_.grant_lease(constants::kLeaderLeaseTtl, now_);
   leases_[lease.number] = now_ + constants::kLeaderLeaseTtl;
-  const std::int64_t until = state::older_leaders_until(
+  const std::int64_t until = state::older_leaders_deadline(
       view, wall_ms(), control::fencing_timeout(settings_of(node)).count(), static_cast<std::int64_t>(0));
   const kv::Txn txn = state::acquire_leadership_txn(view, name_of(node), lease, until);
   const auto found = fate(Sort::lead, node);
@@ -422,7 +422,7 @@
     return capture({.sort = Sort::lead, .fate = Fate::late, .node = node, .sent = now_, .left = 2, .txn = txn});
   }
   const kv::TxnResult result = store_.txn(txn);
-  if (result.answer != Answer::ok) return store_.revoke(lease);
+  if (result.status != Status::ok) return store_.revoke(lease);
   self.lease = lease;
   const Node::Taking taking{
       .term = view.record.term.next(), .revision = result.revision, .until_wall_ms = until, .asked = now_};
@@ -451,7 +451,7 @@
       .self = name_of(node),
       .term = taking.term,
       .term_revision = taking.revision,
-      .record = state::term_from(term.entry.data),
+      .record = state::term_record_from(term.entry.data),
       .record_revision = term.entry.revision,
       .records_revision = live.revision,
       .lease_renewal_requested = taking.asked,
@@ -531,17 +531,18 @@
     if (!reload || !self.controller.is_leader()) break;
     const kv::GetResult found = store_.get(reload->key());
     self.controller.on_reloaded(*reload,
-                                found.answer == Answer::ok ? std::optional(found.entry.revision) : std::nullopt, now_);
+                                found.status == Status::ok ? std::optional(found.entry.revision) : std::nullopt, now_);
   }
   const auto batch = self.controller.begin_write(now_);
   if (!batch) return;
-  if (!served(node)) return self.controller.end_write(*batch, {.answer = Answer::refused}, now_);
+  if (!served(node)) return self.controller.end_write(*batch, {.status = Status::unavailable}, now_);
   const auto found = fate(Sort::write, node);
   if (!found) return self.controller.end_write(*batch, store_.txn(batch->txn), now_);
   Message message{.sort = Sort::write, .fate = *found, .node = node, .sent = now_, .txn = batch->txn, .batch = *batch};
   if (*found == Fate::late) message.left = 2;
   if (*found == Fate::lost || *found == Fate::slow) message.result = store_.txn(batch->txn);
-  if (*found == Fate::late || *found == Fate::lost) self.controller.end_write(*batch, {.answer = Answer::none}, now_);
+  if (*found == Fate::late || *found == Fate::lost)
+    self.controller.end_write(*batch, {.status = Status::unknown}, now_);
   if (*found == Fate::slow || *found == Fate::held) self.writing = true;
   if (*found != Fate::lost) capture(std::move(message));
 }
@@ -720,12 +721,12 @@
   Node& self = nodes_[node];
   if (const auto known = self.ended.find(job); known != self.ended.end()) return {.status = known->second, .live = {}};
   const kv::GetResult live = store_.get(state::active_job_key(job));
-  if (live.answer == Answer::ok) {
+  if (live.status == Status::ok) {
     const state::JobRecord record = state::job_from(live.entry.data);
     return {.status = state::status_of(record), .live = record, .revision = live.entry.revision};
   }
   const kv::GetResult over = store_.get(state::finished_job_key(job));
-  if (over.answer != Answer::ok) return {};
+  if (over.status != Status::ok) return {};
   return {.status = self.ended[job] = state::finished_job_from(job, over.entry.data), .live = {}};
 }
 
@@ -744,7 +745,7 @@
   const auto found = fate(Sort::user, node);
   if (found == Fate::late)
     capture({.sort = Sort::user, .node = node, .sent = now_, .left = 2, .txn = txn, .creates = spec.id});
-  const bool created = found != Fate::late && carry_out(txn, spec.id).answer == Answer::ok;
+  const bool created = found != Fate::late && carry_out(txn, spec.id).status == Status::ok;
   if (created && !found) return answer(201, wire::JobState::pending);
   const Seen seen = look(node, spec.id);
   if (!seen.status) return answer(503, {});
@@ -771,7 +772,7 @@
       capture({.sort = Sort::user, .node = node, .sent = now_, .left = 2, .txn = txn});
       continue;
     }
-    if (store_.txn(txn).answer == Answer::ok && !found) {
+    if (store_.txn(txn).status == Status::ok && !found) {
       nodes_[node].ended[job] = {
           .id = job, .state = wire::JobState::cancelled, .done = seen.status->done, .running = 0};
       return answer(200, wire::JobState::cancelled);
--- a/tests/golden/messages_test.cpp
+++ b/tests/golden/messages_test.cpp
@@ -17,7 +17,7 @@
 
 // Who leads, and how the controller fares with the state service.
 Value leadership_again(const Value& value) {
-  Value again = state::to_value(state::term_from(value));
+  Value again = state::to_value(state::term_record_from(value));
   if (const auto contact = health::contact_from(value)) health::write_contact(*again.as_map(), *contact);
   return again;
 }
--- a/tests/golden/records_test.cpp
+++ b/tests/golden/records_test.cpp
@@ -29,7 +29,7 @@
        {"part", [](const Value& value) { return to_value(state::job_shard_from(value, kPartSize)); }},
        {"final state",
         [](const Value& value) { return state::finished_job_value(state::finished_job_from(kJob, value)); }},
-       {"term", [](const Value& value) { return to_value(state::term_from(value)); }},
+       {"term", [](const Value& value) { return to_value(state::term_record_from(value)); }},
        {"machine types", [](const Value& value) { return to_value(wire::machine_types_from(value)); }}});
 }
 
--- a/tests/golden/state_service_test.cpp
+++ b/tests/golden/state_service_test.cpp
@@ -54,7 +54,7 @@
   const auto until = net::Clock::now() + std::chrono::seconds(60);
   RecordingServer server;
   kv::RateLimiter rate_limiter(kEnough, kEnough, 1);
-  kv::Client client(server.address(), rate_limiter, kv::Urgency::duty);
+  kv::Client client(server.address(), rate_limiter, kv::Priority::system);
   std::string answers;
 
   server.answers(R"({"mark":17,"data":{"next":3}})");
@@ -75,12 +75,12 @@
   server.answers(R"({"tally":21})");
   answers += "\ntransaction: revision " + std::to_string(client.txn(txn, until).revision.number());
   server.answers(R"({"failed":["b"]})", 409);
-  for (const std::string& key : client.txn(txn, until).failed) answers += "\nconflict: " + key;
+  for (const std::string& key : client.txn(txn, until).failed_keys) answers += "\nconflict: " + key;
 
   server.answers(R"({"tether":33})");
   answers += "\nlease: " + std::to_string(client.grant_lease(milliseconds(9'000), until).value().number) + "\n";
-  (void)client.touch(kv::LeaseId{33}, until);
-  (void)client.revoke(kv::LeaseId{33}, until);
+  (void)client.renew_lease(kv::LeaseId{33}, until);
+  (void)client.revoke_lease(kv::LeaseId{33}, until);
 
   server.answers(R"({"tally":22,"news":[{"set":"a","data":7,"mark":21},{"remove":"b","mark":22}]})");
   const kv::WatchResult followed = client.watch("live/", Revision(20), milliseconds(1'500), until);
@@ -106,11 +106,11 @@
 }
 
 kv::GetResult got(const std::string& json, std::uint64_t revision) {
-  return {.answer = kv::Answer::ok, .entry = {.key = {}, .data = from_json(json), .revision = Revision(revision)}};
+  return {.status = kv::Status::ok, .entry = {.key = {}, .data = from_json(json), .revision = Revision(revision)}};
 }
 
 TEST(GoldenStateService, TakingTheLead) {
-  const kv::GetResult nothing{.answer = kv::Answer::not_found, .entry = {}};
+  const kv::GetResult nothing{.status = kv::Status::not_found, .entry = {}};
   std::string told;
   const state::LeadershipView first = state::leadership_view(nothing, nothing);
   told += text_of(state::acquire_leadership_txn(first, NodeName("node-0"), kv::LeaseId{5}, 0));
--- a/tests/golden/user_api_test.cpp
+++ b/tests/golden/user_api_test.cpp
@@ -58,8 +58,8 @@
   std::vector<wire::MachineType> types_ = wire::machine_types_from(
       from_json(R"({"burrows":[{"name":"plain","cpus":8.0,"cards":1.0,"ramGb":32.0,"cacheGb":100.0,"fetchGbPerS":0.5,)"
                 R"("hourly":0.5,"marketPrice":0.25,"bootS":45.0,"coverts":["zone-a"]}]})"));
-  kv::Answer failing_reads_ = kv::Answer::ok;  // given in place of the store's
-  kv::Answer failing_writes_ = kv::Answer::ok;
+  kv::Status failing_reads_ = kv::Status::ok;  // given in place of the store's
+  kv::Status failing_writes_ = kv::Status::ok;
 
  private:
   user_api::Known known() {
@@ -71,15 +71,15 @@
     while (request.reply() == nullptr) {
       if (const auto* read = std::get_if<user_api::Request::Read>(&request.step())) {
         told_ += "  read " + read->key + "\n";
-        request.on_read(failing_reads_ == kv::Answer::ok ? store_.get(read->key)
-                                                         : kv::GetResult{.answer = failing_reads_, .entry = {}});
+        request.on_read(failing_reads_ == kv::Status::ok ? store_.get(read->key)
+                                                         : kv::GetResult{.status = failing_reads_, .entry = {}});
         continue;
       }
       const kv::Txn txn = std::get<kv::Txn>(request.step());
       told_ += text_of(txn);
-      request.on_written(failing_writes_ == kv::Answer::ok
+      request.on_written(failing_writes_ == kv::Status::ok
                              ? store_.txn(txn)
-                             : kv::TxnResult{.answer = failing_writes_, .revision = {}, .failed = {}});
+                             : kv::TxnResult{.status = failing_writes_, .revision = {}, .failed_keys = {}});
     }
     const user_api::Reply& reply = *request.reply();
     told_ += "  " + std::to_string(reply.status);
@@ -144,15 +144,15 @@
 
 TEST_F(GoldenUserApi, WithoutTheStateService) {
   submit("a job while it can be reached", job("j-000411"));
-  failing_writes_ = kv::Answer::refused;
+  failing_writes_ = kv::Status::unavailable;
   submit("while it refuses writes", job(kJob));
-  failing_writes_ = kv::Answer::none;
+  failing_writes_ = kv::Status::unknown;
   submit("while writes are not answered", job(kJob));
   cancel("j-000411");
-  failing_writes_ = kv::Answer::conflict;
+  failing_writes_ = kv::Status::conflict;
   submit("while writes conflict", job(kJob));
   cancel("j-000411");
-  failing_reads_ = kv::Answer::none;
+  failing_reads_ = kv::Status::unknown;
   submit("while reads are not answered", job(kJob));
   ask(kJob);
   cancel(kJob);
--- a/tests/smoke/refused_test.cpp
+++ b/tests/smoke/refused_test.cpp
@@ -109,7 +109,8 @@
     const auto answer =
         client.call({.method = "GET", .path = std::string("/kv/") + state::kTermKey, .body = {}, .query = {}},
                     net::Clock::now() + Millis(5'000));
-    return answer && answer->status == 200 ? state::term_from(wire::decode(answer->body)["data"]) : state::TermRecord{};
+    return answer && answer->status == 200 ? state::term_record_from(wire::decode(answer->body)["data"])
+                                           : state::TermRecord{};
   }
 
   [[nodiscard]] std::size_t there(const JobId& job) const {
--- a/tests/smoke/restart_test.cpp
+++ b/tests/smoke/restart_test.cpp
@@ -154,7 +154,7 @@
                     net::Clock::now() + seconds(5));
     std::size_t leader = 0;
     if (answer && answer->status == 200) {
-      const NodeName name = state::term_from(wire::decode(answer->body)["data"]).leader;
+      const NodeName name = state::term_record_from(wire::decode(answer->body)["data"]).leader;
       while (leader < 2 && name != NodeName("node-" + std::to_string(leader))) ++leader;
     }
     if (!all) return {leader};
--- a/tests/standins/http_world.cpp
+++ b/tests/standins/http_world.cpp
@@ -190,7 +190,7 @@
   }
   if (request.method == "GET" && path.starts_with("/kv/")) {
     const kv::GetResult found = store_.get(path.substr(4));
-    if (found.answer != kv::Answer::ok) return reply(404, Value::Map{{"tally", store_.revision().number()}});
+    if (found.status != kv::Status::ok) return reply(404, Value::Map{{"tally", store_.revision().number()}});
     return reply(
         200, Value::Map{{"k", found.entry.key}, {"data", found.entry.data}, {"mark", found.entry.revision.number()}});
   }
@@ -204,7 +204,7 @@
       store_.revoke(lease);
       return reply(200, Value::Map{});
     }
-    return reply(store_.touch(lease, now()) == kv::Answer::ok ? 200 : 404, Value::Map{});
+    return reply(store_.touch(lease, now()) == kv::Status::ok ? 200 : 404, Value::Map{});
   }
   if (path == "/txn") {
     const Value body = wire::decode(request.body);
@@ -224,10 +224,10 @@
       txn.changes.push_back(std::move(made));
     }
     const kv::TxnResult result = store_.txn(txn);
-    if (result.answer == kv::Answer::ok) return reply(200, Value::Map{{"tally", result.revision.number()}});
-    if (result.answer == kv::Answer::rejected) return reply(400, Value::Map{{"error", "no such lease"}});
+    if (result.status == kv::Status::ok) return reply(200, Value::Map{{"tally", result.revision.number()}});
+    if (result.status == kv::Status::invalid_request) return reply(400, Value::Map{{"error", "no such lease"}});
     Value::List failed;
-    for (const std::string& key : result.failed) failed.emplace_back(key);
+    for (const std::string& key : result.failed_keys) failed.emplace_back(key);
     return reply(409, Value::Map{{"failed", std::move(failed)}, {"tally", store_.revision().number()}});
   }
   return reply(400, Value::Map{{"error", "unknown"}});
--- a/tests/standins/state_store.cpp
+++ b/tests/standins/state_store.cpp
@@ -4,11 +4,11 @@
 
 namespace foxshunt::standins {
 
-using kv::Answer;
+using kv::Status;
 
 namespace {
 
-std::uint64_t number_of(Answer answer) { return static_cast<std::uint64_t>(answer); }
+std::uint64_t number_of(Status answer) { return static_cast<std::uint64_t>(answer); }
 
 TrafficMessage message_of(const kv::Txn& txn, const kv::TxnResult& result) {
   TrafficMessage message("state-txn");
@@ -20,8 +20,8 @@
     if (change.data) message.add("data", *change.data);
     if (change.lease) message.add("lease", change.lease->number);
   }
-  message.add("answer", number_of(result.answer)).add("revision", result.revision);
-  for (const std::string& key : result.failed) message.add("failed", std::string_view(key));
+  message.add("answer", number_of(result.status)).add("revision", result.revision);
+  for (const std::string& key : result.failed_keys) message.add("failed", std::string_view(key));
   return message;
 }
 
@@ -33,12 +33,12 @@
     const Revision revision = found == items_.end() ? Revision{} : found->second.revision;
     traffic_->record(TrafficMessage("state-get").add("key", std::string_view(key)).add("mark", revision));
   }
-  if (found == items_.end()) return {.answer = Answer::not_found, .entry = {.key = key}};
-  return {.answer = Answer::ok, .entry = {.key = key, .data = found->second.data, .revision = found->second.revision}};
+  if (found == items_.end()) return {.status = Status::not_found, .entry = {.key = key}};
+  return {.status = Status::ok, .entry = {.key = key, .data = found->second.data, .revision = found->second.revision}};
 }
 
 kv::ListResult StateStore::list(const std::string& prefix) const {
-  kv::ListResult result{.answer = Answer::ok, .entries = {}, .revision = revision_};
+  kv::ListResult result{.status = Status::ok, .entries = {}, .revision = revision_};
   for (auto at = items_.lower_bound(prefix); at != items_.end() && at->first.starts_with(prefix); ++at) {
     result.entries.push_back({.key = at->first, .data = at->second.data, .revision = at->second.revision});
   }
@@ -67,20 +67,20 @@
 }
 
 kv::TxnResult StateStore::execute(const kv::Txn& txn) {
-  kv::TxnResult result{.answer = Answer::ok, .revision = revision_, .failed = {}};
+  kv::TxnResult result{.status = Status::ok, .revision = revision_, .failed_keys = {}};
   for (const kv::Precondition& condition : txn.preconditions) {
     const auto found = items_.find(condition.key);
     const Revision revision = found == items_.end() ? Revision{} : found->second.revision;
-    if (revision != condition.revision) result.failed.push_back(condition.key);
+    if (revision != condition.revision) result.failed_keys.push_back(condition.key);
   }
   for (const kv::Change& change : txn.changes) {
     if (change.lease && !leases_.contains(change.lease->number)) {
-      result.answer = Answer::rejected;
+      result.status = Status::invalid_request;
       return result;
     }
   }
-  if (!result.failed.empty()) {
-    result.answer = Answer::conflict;
+  if (!result.failed_keys.empty()) {
+    result.status = Status::conflict;
     return result;
   }
   if (txn.changes.empty()) return result;
@@ -97,7 +97,7 @@
 }
 
 kv::WatchResult StateStore::watch(const std::string& prefix, Revision from) const {
-  kv::WatchResult result{.answer = Answer::ok, .revision = revision_, .events = {}};
+  kv::WatchResult result{.status = Status::ok, .revision = revision_, .events = {}};
   for (auto event = std::ranges::upper_bound(events_, from, {}, &kv::Event::revision); event != events_.end();
        ++event) {
     if (event->key.starts_with(prefix)) result.events.push_back(*event);
@@ -123,16 +123,16 @@
   return lease;
 }
 
-kv::Answer StateStore::touch(kv::LeaseId lease, Instant now) {
+kv::Status StateStore::touch(kv::LeaseId lease, Instant now) {
   const auto found = leases_.find(lease.number);
   if (traffic_ != nullptr) {
     traffic_->record(TrafficMessage("state-lease-renew")
                          .add("lease", lease.number)
                          .add("found", static_cast<std::uint64_t>(found != leases_.end())));
   }
-  if (found == leases_.end()) return Answer::not_found;
+  if (found == leases_.end()) return Status::not_found;
   found->second.until = now + found->second.ttl;
-  return Answer::ok;
+  return Status::ok;
 }
 
 void StateStore::revoke(kv::LeaseId lease) {
--- a/tests/standins/state_store.h
+++ b/tests/standins/state_store.h
@@ -22,7 +22,7 @@
   [[nodiscard]] kv::TxnResult txn(const kv::Txn& txn);
   [[nodiscard]] kv::WatchResult watch(const std::string& prefix, Revision from) const;
   [[nodiscard]] kv::LeaseId grant_lease(Millis ttl, Instant now);
-  [[nodiscard]] kv::Answer touch(kv::LeaseId lease, Instant now);
+  [[nodiscard]] kv::Status touch(kv::LeaseId lease, Instant now);
   void revoke(kv::LeaseId lease);
   void expire(Instant now);
   // After an outage all leases have their full time again.
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -438,7 +438,7 @@
   [[nodiscard]] bool in_users_reach(std::size_t node) const;
   // ---- what the recorder is told (world_traffic.cpp) ----
   void record_state_call(std::size_t node, Duty duty);
-  void record_state_answer(std::size_t node, Duty duty, kv::Answer answer);
+  void record_state_answer(std::size_t node, Duty duty, kv::Status answer);
   void record_report(const wire::Heartbeat& heartbeat, std::size_t node);
   // Without commands the worker is sent to another node.
   void record_report_answer(const MachineId& machine, std::size_t node, Term term,
--- a/tests/standins/world_leadership.cpp
+++ b/tests/standins/world_leadership.cpp
@@ -16,7 +16,7 @@
 namespace foxshunt::standins {
 
 using control::from_seconds;
-using kv::Answer;
+using kv::Status;
 
 namespace {
 
@@ -201,43 +201,43 @@
   if (self.controller->is_leader()) {
     const Instant sent = time_of(node);
     struct Touched {
-      Answer answer = Answer::none;
+      Status status = Status::unknown;
     };
     call_state<Touched>(
         node, Duty::lease, [this, lease = self.lease](StateStore& store) { return Touched{store.touch(lease, now_)}; },
         [this, node, sent, again](const Touched& touched) {
-          if (touched.answer == Answer::ok) nodes_[node].controller->on_leader_lease_renewed(sent);
-          if (touched.answer == Answer::not_found) nodes_[node].controller->step_down("its lease has ended");
-          again(touched.answer == Answer::ok ? constants::kLeaderLeaseRenewInterval : constants::kStoreRetryBackoff);
+          if (touched.status == Status::ok) nodes_[node].controller->on_leader_lease_renewed(sent);
+          if (touched.status == Status::not_found) nodes_[node].controller->step_down("its lease has ended");
+          again(touched.status == Status::ok ? constants::kLeaderLeaseRenewInterval : constants::kStoreRetryBackoff);
         });
     return;
   }
   if (self.lease.number != 0) {  // it leads no longer: another node may at once
     struct Revoked {
-      Answer answer = Answer::none;
+      Status status = Status::unknown;
     };
     call_state<Revoked>(
         node, Duty::lease,
         [lease = std::exchange(self.lease, {})](StateStore& store) {
           store.revoke(lease);
-          return Revoked{Answer::ok};
+          return Revoked{Status::ok};
         },
         [again](const Revoked&) { again(Millis(0)); });
     return;
   }
   struct Seen {
-    Answer answer = Answer::none;
+    Status status = Status::unknown;
     state::LeadershipView view;
   };
   call_state<Seen>(
       node, Duty::lease,
       [](StateStore& store) {
-        return Seen{Answer::ok, state::leadership_view(store.get(state::kLeaderKey), store.get(state::kTermKey))};
+        return Seen{Status::ok, state::leadership_view(store.get(state::kLeaderKey), store.get(state::kTermKey))};
       },
       [this, node, again](const Seen& seen) {
         Node& me = nodes_[node];
         const NodeName name("node-" + std::to_string(node));
-        if (seen.answer != Answer::ok) return again(constants::kStoreRetryBackoff);
+        if (seen.status != Status::ok) return again(constants::kStoreRetryBackoff);
         const bool held = seen.view.leader_revision != Revision{};
         me.leader_seen = held ? seen.view.record.leader : NodeName{};
         me.term_seen = seen.view.record.term;
@@ -250,14 +250,14 @@
 
 void World::acquire_leadership(std::size_t node, const state::LeadershipView& view) {
   struct Taken {
-    Answer answer = Answer::none;
+    Status status = Status::unknown;
     kv::LeaseId lease;
     Revision revision;
   };
   const NodeName name("node-" + std::to_string(node));
   reached(Moment::lead, node);
-  const std::int64_t until = state::older_leaders_until(view, wall_ms(), control::fencing_timeout(settings_).count(),
-                                                        static_cast<std::int64_t>(settings_.skew_ms));
+  const std::int64_t until = state::older_leaders_deadline(view, wall_ms(), control::fencing_timeout(settings_).count(),
+                                                           static_cast<std::int64_t>(settings_.skew_ms));
   nodes_[node].taking_lead = true;
   call_state<Taken>(
       node, Duty::lease,
@@ -275,13 +275,13 @@
         copy_late([this, txn] {
           if (!state_out_) (void)store_.txn(txn);
         });
-        taken.answer = result.answer;
+        taken.status = result.status;
         taken.revision = result.revision;
-        if (result.answer != Answer::ok) store.revoke(taken.lease);
+        if (result.status != Status::ok) store.revoke(taken.lease);
         return taken;
       },
       [this, node, view, until, sent = time_of(node)](const Taken& taken) {
-        if (taken.answer != Answer::ok) {
+        if (taken.status != Status::ok) {
           nodes_[node].taking_lead = false;
           return;
         }
@@ -301,7 +301,7 @@
                          const std::string& from) {
   struct Page {
     kv::ListResult found;
-    Answer answer = Answer::none;
+    Status status = Status::unknown;
     bool more = false;
   };
   const auto give_up = [this, node] { nodes_[node].taking_lead = false; };
@@ -313,11 +313,11 @@
         std::erase_if(entries, [&](const kv::Entry& entry) { return entry.key <= from; });
         page.more = entries.size() > kTakeoverPage;
         if (page.more) entries.resize(kTakeoverPage);
-        page.answer = store.touch(lease, now_);
+        page.status = store.touch(lease, now_);
         return page;
       },
       [this, node, read, prefix, give_up, sent = time_of(node)](const Page& page) {
-        if (page.answer != Answer::ok) return give_up();
+        if (page.status != Status::ok) return give_up();
         read->renewed = sent;
         control::FailoverSnapshot& failover = read->failover;
         if (read->from == Revision{}) read->from = page.found.revision;
--- a/tests/standins/world_records.cpp
+++ b/tests/standins/world_records.cpp
@@ -13,7 +13,7 @@
 
 namespace foxshunt::standins {
 
-using kv::Answer;
+using kv::Status;
 
 void World::follow_duty(std::size_t node) {
   Node& self = nodes_[node];
@@ -27,7 +27,7 @@
       [this, node, sent, term](const kv::WatchResult& news) {
         Node& me = nodes_[node];
         me.calling_follow = false;
-        if (news.answer != Answer::ok || !me.controller->is_leader() || me.controller->term() != term) return;
+        if (news.status != Status::ok || !me.controller->is_leader() || me.controller->term() != term) return;
         for (const kv::Event& event : news.events) {
           const auto id = state::job_of_key(event.key);
           if (!id) continue;
@@ -65,7 +65,7 @@
         node, Duty::records, [](StateStore& store) { return store.list(""); },
         [this, node](const kv::ListResult& found) {
           nodes_[node].calling_ledger = false;
-          if (found.answer != Answer::ok) {
+          if (found.status != Status::ok) {
             nodes_[node].calendar.reset();
             return nodes_[node].record_cache.reset();
           }
@@ -84,7 +84,7 @@
       [this, node](const kv::WatchResult& news) {
         Node& me = nodes_[node];
         me.calling_ledger = false;
-        if (news.answer != Answer::ok) return;
+        if (news.status != Status::ok) return;
         me.record_cache->heard(news.events, news.revision);
         if (me.calendar) me.calendar->look({.wall_ms = wall_ms(), .steady = time_of(node)});
       },
@@ -126,7 +126,7 @@
       node, Duty::writes,
       [this, guarded](StateStore& store) {
         kv::TxnResult result = store.txn(guarded);
-        if (result.answer == Answer::ok) note_occurrences(guarded);
+        if (result.status == Status::ok) note_occurrences(guarded);
         return result;
       },
       [this, node, txn](const kv::TxnResult& result) {
@@ -218,9 +218,9 @@
         [this, node, reload](const kv::GetResult& found) {
           Node& me = nodes_[node];
           me.calling_write = false;
-          if (found.answer != Answer::ok && found.answer != Answer::not_found) return;
+          if (found.status != Status::ok && found.status != Status::not_found) return;
           me.controller->on_reloaded(
-              *reload, found.answer == Answer::ok ? std::optional(found.entry.revision) : std::nullopt, time_of(node));
+              *reload, found.status == Status::ok ? std::optional(found.entry.revision) : std::nullopt, time_of(node));
         });
     return;
   }
@@ -287,7 +287,7 @@
           [this, node, done](const kv::ListResult& all) {
             PoolSide& mine = *nodes_[node].pools;
             done(mine);
-            if (all.answer != Answer::ok) return;
+            if (all.status != Status::ok) return;
             mine.record_cache.read(all.entries, all.revision);
             mine.read = true;
           });
@@ -298,7 +298,7 @@
           [this, node, done](const kv::WatchResult& news) {
             PoolSide& mine = *nodes_[node].pools;
             done(mine);
-            if (news.answer == Answer::ok) mine.record_cache.heard(news.events, news.revision);
+            if (news.status == Status::ok) mine.record_cache.heard(news.events, news.revision);
           },
           true, constants::kRecordCacheWatchHoldTimeout);
     }
--- a/tests/standins/world_state_calls.h
+++ b/tests/standins/world_state_calls.h
@@ -21,8 +21,9 @@
     const auto hear = [this, node, duty, life, then, result] {
       if (late(node, duty)) return false;
       if (!nodes_[node].alive || nodes_[node].life != life) return true;
-      if (result.answer != kv::Answer::none && result.answer != kv::Answer::refused) nodes_[node].state_heard = now_;
-      record_state_answer(node, duty, result.answer);
+      if (result.status != kv::Status::unknown && result.status != kv::Status::unavailable)
+        nodes_[node].state_heard = now_;
+      record_state_answer(node, duty, result.status);
       then(result);
       return true;
     };
@@ -31,9 +32,9 @@
     });
   };
   Result none;
-  none.answer = kv::Answer::none;
+  none.status = kv::Status::unknown;
   Result refused;
-  refused.answer = kv::Answer::refused;
+  refused.status = kv::Status::unavailable;
   if (this->refused(node)) {
     ++struck_["refuse_state"];
     if (hold == Millis(0) || now_ - nodes_[node].refused_from > kOpenWatch) return reply(refused, delay());
@@ -81,7 +82,7 @@
         if (!state_out_) (void)what(store_);
       });
     }
-    if (luck == 1 || result.answer == kv::Answer::none) return reply(none, constants::kStoreCallTimeout);
+    if (luck == 1 || result.status == kv::Status::unknown) return reply(none, constants::kStoreCallTimeout);
     // Answered only after the caller has given up.
     if (slow > constants::kStoreCallTimeout) return reply(none, constants::kStoreCallTimeout - slow / 2);
     reply(result, delay() + slow / 2);
--- a/tests/standins/world_traffic.cpp
+++ b/tests/standins/world_traffic.cpp
@@ -21,7 +21,7 @@
   traffic_->record(TrafficMessage("state-call").add("controller", node).add("duty", static_cast<std::uint64_t>(duty)));
 }
 
-void World::record_state_answer(std::size_t node, Duty duty, kv::Answer answer) {
+void World::record_state_answer(std::size_t node, Duty duty, kv::Status answer) {
   if (traffic_ == nullptr) return;
   traffic_->record(TrafficMessage("state-answer")
                        .add("controller", node)
--- a/tests/standins/world_users.cpp
+++ b/tests/standins/world_users.cpp
@@ -15,7 +15,7 @@
 namespace foxshunt::standins {
 
 using control::from_seconds;
-using kv::Answer;
+using kv::Status;
 
 namespace {
 
@@ -65,7 +65,7 @@
           const kv::Change& change = txn.changes.front();
           const auto job = state::job_of_key(change.key);
           const bool created = job && change.data && change.key == state::active_job_key(*job);
-          if (result.answer == Answer::ok && created) rules_.on_created(*job);
+          if (result.status == Status::ok && created) rules_.on_created(*job);
           return result;
         },
         [request, self](const kv::TxnResult& result) {
@@ -241,9 +241,9 @@
 std::optional<wire::JobStatus> World::ask(const JobId& id) {
   if (state_out_) return std::nullopt;
   const kv::GetResult live = store_.get(state::active_job_key(id));
-  if (live.answer == Answer::ok) return state::status_of(state::job_from(live.entry.data));
+  if (live.status == Status::ok) return state::status_of(state::job_from(live.entry.data));
   const kv::GetResult over = store_.get(state::finished_job_key(id));
-  if (over.answer == Answer::ok) return state::finished_job_from(id, over.entry.data);
+  if (over.status == Status::ok) return state::finished_job_from(id, over.entry.data);
   return std::nullopt;
 }
 
--- a/tests/unit/calendar_test.cpp
+++ b/tests/unit/calendar_test.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 using catalog::CalendarDef;
-using kv::Answer;
+using kv::Status;
 
 constexpr std::int64_t kSecond = 1000;
 constexpr std::int64_t kMinute = 60 * kSecond;
@@ -375,7 +375,7 @@
 
   kv::TxnResult send(kv::Txn txn) {
     const kv::TxnResult result = store_.txn(txn);
-    if (result.answer == Answer::ok) note(txn);
+    if (result.status == Status::ok) note(txn);
     return result;
   }
 
@@ -455,7 +455,7 @@
         one->keeper->on_written(*txn, {});
         break;
       case Fault::refused:
-        one->keeper->on_written(*txn, {.answer = Answer::refused, .revision = {}, .failed = {}});
+        one->keeper->on_written(*txn, {.status = Status::unavailable, .revision = {}, .failed_keys = {}});
         break;
       case Fault::freeze:
         one->still_until = now_ + kMinute;
@@ -530,7 +530,7 @@
       spec.image = "img";
       spec.estimate_s = 60;
       spec.deadline_s = deadline_s;
-      EXPECT_EQ(store_.txn(state::create_job_txn(state::new_job(spec, when))).answer, Answer::ok);
+      EXPECT_EQ(store_.txn(state::create_job_txn(state::new_job(spec, when))).status, Status::ok);
     });
   }
   void end(const std::string& id, std::int64_t when, wire::JobState state = wire::JobState::done) {
@@ -557,7 +557,7 @@
   }
   [[nodiscard]] std::optional<Occurrence> find(const std::string& entry, std::int64_t due) const {
     const kv::GetResult got = store_.get(key_of(entry, due));
-    if (got.answer != Answer::ok) return std::nullopt;
+    if (got.status != Status::ok) return std::nullopt;
     return occurrence_from(got.entry.data);
   }
   [[nodiscard]] State state_of(const std::string& entry, std::int64_t due) const {
@@ -751,7 +751,7 @@
   Day day(2, kDue - 20 * kHour);
   day.declare(entry_of("dawn")).expected_jobs = 3;
   const auto both = [&day] {
-    std::vector<Answer> answers;
+    std::vector<Status> answers;
     std::vector<kv::Txn> txns;
     day.now_ += Day::kStep;
     for (Day::Instance& one : day.instances_) {
@@ -766,18 +766,18 @@
     }
     for (std::size_t at = 0; at < txns.size(); ++at) {
       const kv::TxnResult result = day.send(txns[at]);
-      answers.push_back(result.answer);
+      answers.push_back(result.status);
       day.instances_[at].keeper->on_written(txns[at], result);
     }
     return answers;
   };
   day.now_ = kDue - 2 * kHour;
-  EXPECT_EQ(both(), (std::vector<Answer>{Answer::ok, Answer::conflict}));  // it is opened
+  EXPECT_EQ(both(), (std::vector<Status>{Status::ok, Status::conflict}));  // it is opened
   wire::JobSpec spec{.id = JobId("j-000001"), .job_class = "dawn", .team = "ops", .tasks = 1, .cpus = 1};
   spec.image = "img";
   spec.estimate_s = 60;
-  ASSERT_EQ(day.store_.txn(state::create_job_txn(state::new_job(spec, day.now_))).answer, Answer::ok);
-  EXPECT_EQ(both(), (std::vector<Answer>{Answer::ok, Answer::conflict}));  // it lists the job
+  ASSERT_EQ(day.store_.txn(state::create_job_txn(state::new_job(spec, day.now_))).status, Status::ok);
+  EXPECT_EQ(both(), (std::vector<Status>{Status::ok, Status::conflict}));  // it lists the job
   EXPECT_EQ(day.find("dawn", kDue)->jobs.size(), 1U);
   day.nothing_twice("two");
 }
@@ -1080,12 +1080,12 @@
   request.occurrence = "2027-03-26T03:30:00Z";
   const Decision lost = decide(keeper, request, day->now_);
   ASSERT_TRUE(note.txn && lost.txn);
-  EXPECT_EQ(day->send(*note.txn).answer, Answer::ok);
-  EXPECT_EQ(day->send(*lost.txn).answer, Answer::conflict);
+  EXPECT_EQ(day->send(*note.txn).status, Status::ok);
+  EXPECT_EQ(day->send(*lost.txn).status, Status::conflict);
   day->tick();
   const Decision waive = decide(keeper, request, day->now_);
   ASSERT_TRUE(waive.txn);
-  EXPECT_EQ(day->send(*waive.txn).answer, Answer::ok);
+  EXPECT_EQ(day->send(*waive.txn).status, Status::ok);
   day->until(kDue + kMinute);
   EXPECT_EQ(decide(keeper, request, day->now_).status, 200);  // asked again for want of an answer
   request.why = "another reason";
--- a/tests/unit/catalog_test.cpp
+++ b/tests/unit/catalog_test.cpp
@@ -350,7 +350,7 @@
     const Fault fault = faults_.contains(call) ? faults_[call] : Fault::none;
     if (fault == Fault::crash_before) throw Crash();
     if (fault == Fault::lost_before) return {};
-    if (fault == Fault::refused) return {.answer = kv::Answer::refused, .revision = {}, .failed = {}};
+    if (fault == Fault::refused) return {.status = kv::Status::unavailable, .revision = {}, .failed_keys = {}};
     const kv::TxnResult result = store_.txn(txn);
     if (fault == Fault::crash_after) throw Crash();
     if (fault == Fault::lost_after) return {};
@@ -422,7 +422,7 @@
 // Items of sets that the head does not name, and records of stages.
 std::size_t leftovers(const standins::StateStore& store) {
   std::optional<Head> head;
-  if (const auto got = store.get(kHeadKey); got.answer == kv::Answer::ok)
+  if (const auto got = store.get(kHeadKey); got.status == kv::Status::ok)
     head = head_from(got.entry.data, got.entry.revision);
   std::size_t count = store.list(kStagePrefix).entries.size();
   for (const kv::Entry& entry : store.list(kItemPrefix).entries) {
@@ -541,9 +541,9 @@
   TestStore anew(state);
   anew.at(3, TestStore::Fault::crash_before);
   EXPECT_THROW((void)put(anew, set_of("a", 40), 0), Crash);
-  EXPECT_EQ(state.txn(*late).answer, kv::Answer::conflict);
+  EXPECT_EQ(state.txn(*late).status, kv::Status::conflict);
   ASSERT_EQ(put(state, set_of("a", 40), 0).kind, Outcome::Kind::in_force);
-  EXPECT_EQ(state.txn(*late).answer, kv::Answer::conflict);
+  EXPECT_EQ(state.txn(*late).status, kv::Status::conflict);
   EXPECT_EQ(names_in_force(state), "1:40a-0");
 }
 
@@ -571,9 +571,9 @@
   writer.on_result(state.txn(*writer.next()));
   const kv::Txn late = *writer.next();
   sweep(state, std::int64_t{1} << 40);
-  EXPECT_EQ(state.txn(late).answer, kv::Answer::conflict);
+  EXPECT_EQ(state.txn(late).status, kv::Status::conflict);
   ASSERT_EQ(put(state, set_of("a", 30), 0).kind, Outcome::Kind::in_force);
-  EXPECT_EQ(state.txn(late).answer, kv::Answer::conflict);
+  EXPECT_EQ(state.txn(late).status, kv::Status::conflict);
 }
 
 // Two operators at two nodes, the second one's whole request at each write of the first's.
@@ -691,7 +691,7 @@
   const std::string left = item_key({.stage = "1-0", .kind = Kind::pool, .number = 0});
   (void)state.txn({.preconditions = {}, .changes = {{.key = left, .data = newer(item.data), .lease = {}}}});
   sweep(state, std::int64_t{1} << 40);
-  EXPECT_EQ(state.get(left).answer, kv::Answer::ok);
+  EXPECT_EQ(state.get(left).status, kv::Status::ok);
   // Of the head: nothing is written, nothing swept, and what was in force stays so.
   const kv::Entry head = state.get(kHeadKey).entry;
   (void)state.txn(
@@ -756,7 +756,7 @@
 
 std::size_t editions(const standins::StateStore& store) {
   const auto got = store.get(kHeadKey);
-  return got.answer == kv::Answer::ok ? 1 + head_from(got.entry.data, got.entry.revision).former.size() : 0;
+  return got.status == kv::Status::ok ? 1 + head_from(got.entry.data, got.entry.revision).former.size() : 0;
 }
 
 // At each write of it the leader ends, before or after it was executed, or hears no answer; another one goes on. What
@@ -781,7 +781,7 @@
         second.found(state);
         EXPECT_EQ(names_in_force(state), "1:" + std::to_string(count) + "a-0") << call;
         const Revision before = state.revision();
-        EXPECT_EQ(state.txn(*late).answer, kv::Answer::conflict) << call;
+        EXPECT_EQ(state.txn(*late).status, kv::Status::conflict) << call;
         first.found(state);
         Founded third(set_of("a", count));
         third.found(state);
--- a/tests/unit/cluster_fixture.h
+++ b/tests/unit/cluster_fixture.h
@@ -51,7 +51,7 @@
   void write_records() {
     constexpr std::size_t kMaxOperations = 24;
     while (const auto batch = cluster_.jobs.begin_write(Revision(1), kMaxOperations, now_)) {
-      const kv::TxnResult written{.answer = kv::Answer::ok, .revision = Revision(++store_revision_), .failed = {}};
+      const kv::TxnResult written{.status = kv::Status::ok, .revision = Revision(++store_revision_), .failed_keys = {}};
       (void)cluster_.jobs.end_write(*batch, written, now_);
     }
   }
--- a/tests/unit/concurrent_faults_test.cpp
+++ b/tests/unit/concurrent_faults_test.cpp
@@ -96,13 +96,13 @@
       const std::string& key, const wire::JobSpec& spec,
       const std::vector<std::pair<MachineId, std::uint64_t>>& machines_and_incarnations) {
     state::JobRecord record = state::new_job(spec, 0);
-    record.whole->next = AttemptNumber(2);
+    record.only_shard->next_attempt = AttemptNumber(2);
     std::uint32_t index = 0;
     for (const auto& [machine, incarnation] : machines_and_incarnations) {
-      record.whole->allocations.push_back({.index = index++,
-                                           .attempt = AttemptNumber(1),
-                                           .machine = machine,
-                                           .incarnation = AgentIncarnation(incarnation)});
+      record.only_shard->allocations.push_back({.index = index++,
+                                                .attempt = AttemptNumber(1),
+                                                .machine = machine,
+                                                .incarnation = AgentIncarnation(incarnation)});
     }
     return {.key = key, .data = state::to_value(record), .revision = Revision(2)};
   }
@@ -148,7 +148,7 @@
   EXPECT_EQ(controller_.jobs().at(next.id).allocation_count, 4U) << "4 tasks of 8 CPUs each fit the quota of 32";
   const auto write = controller_.begin_write(now_);
   ASSERT_TRUE(write);
-  controller_.end_write(*write, {.answer = kv::Answer::ok, .revision = Revision(30), .failed = {}}, now_);
+  controller_.end_write(*write, {.status = kv::Status::ok, .revision = Revision(30), .failed_keys = {}}, now_);
   EXPECT_FALSE(controller_.jobs().contains(kJob)) << "the job is never removed";
   EXPECT_EQ(controller_.find_inconsistency(), std::nullopt);
 }
@@ -199,7 +199,7 @@
         state::leadership_view(store_.get(state::kLeaderKey), store_.get(state::kTermKey));
     const kv::LeaseId lease = store_.grant_lease(Millis(4000), now_);
     const kv::TxnResult taken = store_.txn(state::acquire_leadership_txn(view, node, lease, 0));
-    ASSERT_EQ(taken.answer, kv::Answer::ok);
+    ASSERT_EQ(taken.status, kv::Status::ok);
     FailoverSnapshot failover;
     failover.term = view.record.term.next();
     failover.term_revision = taken.revision;
@@ -215,7 +215,7 @@
 
   // Submits the job, makes the first controller leader, sends a heartbeat of its only machine and runs a planning pass.
   void accept_and_plan(const wire::JobSpec& spec) {
-    ASSERT_EQ(submit(spec).answer, kv::Answer::ok);
+    ASSERT_EQ(submit(spec).status, kv::Status::ok);
     acquire_leadership(controller_, NodeName("node-0"));
     (void)send_heartbeat_to(controller_);
     controller_.plan_pass(now_);
@@ -260,13 +260,13 @@
     controller.end_write(batch, store_.txn(batch.txn), now_);
   }
   void end_without_answer(Controller& controller, const WriteBatch& batch) {
-    controller.end_write(batch, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+    controller.end_write(batch, {.status = kv::Status::unknown, .revision = {}, .failed_keys = {}}, now_);
   }
   static bool has_run_command(const std::optional<std::vector<wire::Command>>& commands) {
     return commands && std::ranges::any_of(
                            *commands, [](const wire::Command& command) { return command.kind == CommandKind::run; });
   }
-  [[nodiscard]] bool is_job_active() const { return store_.get(state::active_job_key(kJob)).answer == kv::Answer::ok; }
+  [[nodiscard]] bool is_job_active() const { return store_.get(state::active_job_key(kJob)).status == kv::Status::ok; }
 
   standins::StateStore store_;
   Controller next_controller_;
@@ -283,7 +283,7 @@
   EXPECT_FALSE(has_run_command(send_heartbeat_to(controller_))) << "the placement may never become durable";
   store_.expire(now_ + Millis(9000));
   acquire_leadership(next_controller_, NodeName("node-1"));
-  EXPECT_EQ(store_.txn(delayed.txn).answer, kv::Answer::conflict);
+  EXPECT_EQ(store_.txn(delayed.txn).status, kv::Status::conflict);
   (void)send_heartbeat_to(next_controller_);
   next_controller_.plan_pass(now_);
   complete_next_write(next_controller_);
@@ -301,7 +301,7 @@
   (void)send_heartbeat_to(controller_, {task_status(0, TaskState::ended, EndReason::done)});
   complete_next_write(controller_);
   ASSERT_FALSE(is_job_active());
-  EXPECT_EQ(store_.txn(delayed.txn).answer, kv::Answer::conflict);
+  EXPECT_EQ(store_.txn(delayed.txn).status, kv::Status::conflict);
   EXPECT_FALSE(is_job_active()) << "the job would run again, and its user would see it as waiting";
 }
 
@@ -326,7 +326,7 @@
     return state::job_shard_from(found.entry.data, constants::kTasksPerShard).done;
   };
   ASSERT_TRUE(done()[0] && done()[1]);
-  EXPECT_EQ(store_.txn(delayed.txn).answer, kv::Answer::conflict);
+  EXPECT_EQ(store_.txn(delayed.txn).status, kv::Status::conflict);
   EXPECT_TRUE(done()[1]);
 }
 
@@ -335,7 +335,7 @@
 TEST_F(ConcurrentFaultsWithStore, AWriteWithoutAnAnswerIsReread) {
   accept_and_plan(make_job_spec(1));
   const WriteBatch first = begin_next_write(controller_);
-  ASSERT_EQ(store_.txn(first.txn).answer, kv::Answer::ok);
+  ASSERT_EQ(store_.txn(first.txn).status, kv::Status::ok);
   end_without_answer(controller_, first);
   complete_next_write(controller_);
   EXPECT_FALSE(has_run_command(send_heartbeat_to(controller_))) << "the record has not been reread yet";
@@ -349,7 +349,7 @@
 // A user's cancellation read the job as waiting and is executed when the job runs. If it succeeded, no record of the
 // running task would remain. The repeated cancellation keeps such a record, and the next leader stops the task.
 TEST_F(ConcurrentFaultsWithStore, ADelayedCancellationMissesNoPlacement) {
-  ASSERT_EQ(submit(make_job_spec(1)).answer, kv::Answer::ok);
+  ASSERT_EQ(submit(make_job_spec(1)).status, kv::Status::ok);
   acquire_leadership(controller_, NodeName("node-0"));
   const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
   const kv::Txn delayed = state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision);
@@ -357,12 +357,12 @@
   controller_.plan_pass(now_);
   complete_next_write(controller_);
   ASSERT_TRUE(has_run_command(send_heartbeat_to(controller_)));
-  EXPECT_EQ(store_.txn(delayed).answer, kv::Answer::conflict);
+  EXPECT_EQ(store_.txn(delayed).status, kv::Status::conflict);
   const kv::GetResult running_job = store_.get(state::active_job_key(kJob));
-  ASSERT_EQ(running_job.answer, kv::Answer::ok);
+  ASSERT_EQ(running_job.status, kv::Status::ok);
   EXPECT_EQ(
-      store_.txn(state::cancel_job_txn(state::job_from(running_job.entry.data), running_job.entry.revision)).answer,
-      kv::Answer::ok);
+      store_.txn(state::cancel_job_txn(state::job_from(running_job.entry.data), running_job.entry.revision)).status,
+      kv::Status::ok);
   store_.expire(now_ + Millis(9000));
   acquire_leadership(next_controller_, NodeName("node-1"));
   ASSERT_TRUE(next_controller_.jobs().contains(kJob)) << "nobody would stop its task or count it against the quota";
@@ -374,15 +374,15 @@
 
 // A cancellation is confirmed while a placement write is in progress. The write fails and the task is never started.
 TEST_F(ConcurrentFaultsWithStore, APlacementWriteFailsAfterAConfirmedCancellation) {
-  ASSERT_EQ(submit(make_job_spec(1)).answer, kv::Answer::ok);
+  ASSERT_EQ(submit(make_job_spec(1)).status, kv::Status::ok);
   acquire_leadership(controller_, NodeName("node-0"));
   watched_revision_ = store_.revision();
   (void)send_heartbeat_to(controller_);
   controller_.plan_pass(now_);
   const WriteBatch batch = begin_next_write(controller_);
   const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
-  ASSERT_EQ(store_.txn(state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision)).answer,
-            kv::Answer::ok);
+  ASSERT_EQ(store_.txn(state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision)).status,
+            kv::Status::ok);
   controller_.end_write(batch, store_.txn(batch.txn), now_);
   EXPECT_FALSE(has_run_command(send_heartbeat_to(controller_)));
   EXPECT_FALSE(is_job_active()) << "the job would run after its cancellation was confirmed";
@@ -399,7 +399,7 @@
     SCOPED_TRACE(end_first);
     store_ = {};
     sequence_ = 0;
-    ASSERT_EQ(submit(make_job_spec(1)).answer, kv::Answer::ok);
+    ASSERT_EQ(submit(make_job_spec(1)).status, kv::Status::ok);
     acquire_leadership(controller_, NodeName("node-0"));
     (void)send_heartbeat_to(controller_);
     controller_.plan_pass(now_);
@@ -410,10 +410,10 @@
         state::cancel_job_txn(state::job_from(running_job.entry.data), running_job.entry.revision);
     (void)send_heartbeat_to(controller_, {task_status(0, TaskState::ended, EndReason::done)});
     const WriteBatch end = begin_next_write(controller_);
-    EXPECT_EQ(store_.txn(end_first ? end.txn : cancellation).answer, kv::Answer::ok);
-    EXPECT_EQ(store_.txn(end_first ? cancellation : end.txn).answer, kv::Answer::conflict);
+    EXPECT_EQ(store_.txn(end_first ? end.txn : cancellation).status, kv::Status::ok);
+    EXPECT_EQ(store_.txn(end_first ? cancellation : end.txn).status, kv::Status::conflict);
     const kv::GetResult finished = store_.get(state::finished_job_key(kJob));
-    ASSERT_EQ(finished.answer, kv::Answer::ok);
+    ASSERT_EQ(finished.status, kv::Status::ok);
     EXPECT_EQ(state::finished_job_from(kJob, finished.entry.data).state,
               end_first ? wire::JobState::done : wire::JobState::cancelled);
     EXPECT_FALSE(is_job_active());
@@ -423,11 +423,11 @@
 // A submission without an answer is executed after the repeated submission was accepted and its job has finished.
 TEST_F(ConcurrentFaultsWithStore, ADelayedSubmissionFailsOnceItsJobIsFinished) {
   const kv::Txn delayed = state::create_job_txn(state::new_job(make_job_spec(1), 0));
-  ASSERT_EQ(submit(make_job_spec(1)).answer, kv::Answer::ok);
+  ASSERT_EQ(submit(make_job_spec(1)).status, kv::Status::ok);
   const kv::GetResult waiting = store_.get(state::active_job_key(kJob));
-  ASSERT_EQ(store_.txn(state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision)).answer,
-            kv::Answer::ok);
-  EXPECT_EQ(store_.txn(delayed).answer, kv::Answer::conflict);
+  ASSERT_EQ(store_.txn(state::cancel_job_txn(state::job_from(waiting.entry.data), waiting.entry.revision)).status,
+            kv::Status::ok);
+  EXPECT_EQ(store_.txn(delayed).status, kv::Status::conflict);
   EXPECT_FALSE(is_job_active());
 }
 
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -67,8 +67,8 @@
   // Returns a job record with an allocation of the job's first task on the machine.
   static kv::Entry job_entry_placed_on(const MachineId& machine, const wire::JobSpec& spec) {
     state::JobRecord record = state::new_job(spec, 0);
-    record.whole->next = AttemptNumber(2);
-    record.whole->allocations = {
+    record.only_shard->next_attempt = AttemptNumber(2);
+    record.only_shard->allocations = {
         {.index = 0, .attempt = AttemptNumber(1), .machine = machine, .incarnation = AgentIncarnation(1)}};
     return {.key = state::active_job_key(spec.id), .data = state::to_value(record), .revision = Revision(2)};
   }
@@ -97,10 +97,10 @@
     controller_.on_job_record(spec.id, state::to_value(state::new_job(spec, 0)), Revision(++revision_), 0, now_);
   }
 
-  bool write_records(kv::Answer answer = kv::Answer::ok) {
+  bool write_records(kv::Status answer = kv::Status::ok) {
     const auto batch = controller_.begin_write(now_);
     if (!batch) return false;
-    controller_.end_write(*batch, {.answer = answer, .revision = Revision(++revision_), .failed = {}}, now_);
+    controller_.end_write(*batch, {.status = answer, .revision = Revision(++revision_), .failed_keys = {}}, now_);
     return true;
   }
 
@@ -135,7 +135,7 @@
   second_failover.term = Term(9);
   second_failover.term_revision = Revision(50);
   controller_.become_leader(second_failover, now_);
-  controller_.end_write(*late_write, {.answer = kv::Answer::conflict, .revision = {}, .failed = {state::kTermKey}},
+  controller_.end_write(*late_write, {.status = kv::Status::conflict, .revision = {}, .failed_keys = {state::kTermKey}},
                         now_);
   EXPECT_TRUE(controller_.is_leader());
   // The write is rebuilt from the current job table, and sent only once.
@@ -144,7 +144,7 @@
   controller_.plan_pass(now_);
   const auto write = controller_.begin_write(now_);
   ASSERT_TRUE(write);
-  controller_.end_write(*late_write, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  controller_.end_write(*late_write, {.status = kv::Status::unknown, .revision = {}, .failed_keys = {}}, now_);
   EXPECT_FALSE(controller_.begin_write(now_));
 }
 
@@ -272,7 +272,7 @@
   for (int second = 1; second <= 20; ++second) {
     now_ = before + Millis(1000 * second);
     if (second == 1) controller_.on_job_removed(kJob, now_);
-    if (second == 3) controller_.end_write(*batch, {.answer = kv::Answer::none}, now_);
+    if (second == 3) controller_.end_write(*batch, {.status = kv::Status::unknown}, now_);
     controller_.on_leader_lease_renewed(now_);
     controller_.on_records_confirmed(now_);
   }
@@ -304,7 +304,7 @@
   ASSERT_TRUE(batch);
   EXPECT_FALSE(is_excluded());
   controller_.end_write(
-      *batch, {.answer = kv::Answer::conflict, .revision = {}, .failed = {state::active_job_key(kJob)}}, now_);
+      *batch, {.status = kv::Status::conflict, .revision = {}, .failed_keys = {state::active_job_key(kJob)}}, now_);
   EXPECT_TRUE(is_excluded());
   const auto reload = controller_.next_reload();
   ASSERT_TRUE(reload);
@@ -317,8 +317,8 @@
 TEST_F(ControllerTest, AHeartbeatOfAnEarlierIncarnationEndsNoTask) {
   wire::JobSpec spec = make_job_spec(1);
   state::JobRecord record = state::new_job(spec, 0);
-  record.whole->next = AttemptNumber(2);
-  record.whole->allocations = {
+  record.only_shard->next_attempt = AttemptNumber(2);
+  record.only_shard->allocations = {
       {.index = 0, .attempt = AttemptNumber(1), .machine = kFirst, .incarnation = AgentIncarnation(2)}};
   become_leader({{.key = state::active_job_key(spec.id), .data = state::to_value(record), .revision = Revision(2)}});
   ASSERT_TRUE(send_heartbeat(kFirst, 50, Term(6), {task_status(0, TaskState::ended, EndReason::done)}));
@@ -368,7 +368,7 @@
   const std::vector<wire::TaskStatus> tasks{task_status(0, TaskState::ended, EndReason::done),
                                             task_status(1, TaskState::running, EndReason::none, 2)};
   EXPECT_FALSE(has_command(send_heartbeat(kFirst, 3, Term(7), tasks), CommandKind::clear));
-  ASSERT_TRUE(write_records(kv::Answer::none));  // the write may or may not have succeeded
+  ASSERT_TRUE(write_records(kv::Status::unknown));  // the write may or may not have succeeded
   EXPECT_FALSE(has_command(send_heartbeat(kFirst, 4, Term(7), tasks), CommandKind::clear));
   ASSERT_TRUE(write_records());
   EXPECT_TRUE(has_command(send_heartbeat(kFirst, 5, Term(7), tasks), CommandKind::clear));
@@ -383,7 +383,7 @@
   controller_.plan_pass(now_);
   EXPECT_FALSE(has_command(send_heartbeat(kFirst, 2, Term(7)), CommandKind::run));
   EXPECT_FALSE(has_command(controller_.follow_up_commands(last_heartbeat_, now_), CommandKind::run));
-  ASSERT_TRUE(write_records(kv::Answer::none));
+  ASSERT_TRUE(write_records(kv::Status::unknown));
   EXPECT_FALSE(has_command(controller_.follow_up_commands(last_heartbeat_, now_), CommandKind::run));
   EXPECT_FALSE(has_command(send_heartbeat(kFirst, 3, Term(7)), CommandKind::run));
   ASSERT_TRUE(write_records());
@@ -525,7 +525,7 @@
   EXPECT_EQ(cluster_summary.machines_up, 1U);
   EXPECT_EQ(cluster_summary.unwritten_records, 1U);
   EXPECT_EQ(cluster_summary.oldest_unwritten_age, Millis(700));
-  ASSERT_TRUE(write_records(kv::Answer::none));  // the write may or may not have succeeded
+  ASSERT_TRUE(write_records(kv::Status::unknown));  // the write may or may not have succeeded
   now_ += Millis(300);
   EXPECT_EQ(controller_.cluster_summary(now_).oldest_unwritten_age, Millis(1000));
   ASSERT_TRUE(write_records());
--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -38,7 +38,7 @@
     spec.team = team;
     spec.tasks = tasks;
     spec.cpus = 2;
-    ASSERT_EQ(store_.txn(state::create_job_txn(state::new_job(spec, 0))).answer, kv::Answer::ok);
+    ASSERT_EQ(store_.txn(state::create_job_txn(state::new_job(spec, 0))).status, kv::Status::ok);
     const kv::Entry live = store_.get(state::active_job_key(id)).entry;
     ASSERT_TRUE(table_.on_record(id, live.revision));
     table_.add(state::job_from(live.data), live.revision, 0, machines_, now_);
@@ -46,9 +46,9 @@
   // A user cancels; true when it was not over yet. The watch has not told of it yet.
   bool cancel(const JobId& id) {
     const kv::GetResult live = store_.get(state::active_job_key(id));
-    return live.answer == kv::Answer::ok &&
-           store_.txn(state::cancel_job_txn(state::job_from(live.entry.data), live.entry.revision)).answer ==
-               kv::Answer::ok;
+    return live.status == kv::Status::ok &&
+           store_.txn(state::cancel_job_txn(state::job_from(live.entry.data), live.entry.revision)).status ==
+               kv::Status::ok;
   }
   void hear_of_cancel(const JobId& id) {
     if (Job* job = table_.on_removed(id)) stop(*job);
@@ -71,7 +71,7 @@
     while (const auto reload = table_.next_reload()) {
       const kv::GetResult found = store_.get(reload->key());
       Job* gone = table_.on_reloaded(
-          *reload, found.answer == kv::Answer::ok ? std::optional(found.entry.revision) : std::nullopt);
+          *reload, found.status == kv::Status::ok ? std::optional(found.entry.revision) : std::nullopt);
       if (gone != nullptr) stop(*gone);
     }
   }
@@ -84,7 +84,7 @@
     for (const char* prefix : {state::kActiveJobPrefix, state::kTerminatingJobPrefix}) {
       for (const kv::Entry& entry : store_.list(prefix).entries) {
         const state::JobRecord job = state::job_from(entry.data);
-        if (job.whole) take(job.spec.id, *job.whole);
+        if (job.only_shard) take(job.spec.id, *job.only_shard);
       }
     }
     for (const kv::Entry& entry : store_.list(state::kJobShardPrefix).entries) {
@@ -130,12 +130,12 @@
   place(table_.at(kJob), 0);
   const auto lost = begin();
   (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*lost, {.status = kv::Status::unknown, .revision = {}, .failed_keys = {}}, now_);
   EXPECT_FALSE(table_.find_allocation({kJob, 0})->durable);
   const auto again = begin();
   ASSERT_TRUE(again);
   const kv::TxnResult result = store_.txn(again->txn);
-  ASSERT_EQ(result.answer, kv::Answer::conflict);
+  ASSERT_EQ(result.status, kv::Status::conflict);
   table_.end_write(*again, result, now_);
   ASSERT_TRUE(table_.next_reload());
   EXPECT_EQ(table_.next_reload()->key(), state::active_job_key(kJob));
@@ -151,7 +151,7 @@
   place(table_.at(kJob), 150);
   const auto lost = begin();
   (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*lost, {.status = kv::Status::unknown, .revision = {}, .failed_keys = {}}, now_);
   EXPECT_TRUE(write());  // the conflict tells
   for (int round = 0; round < 3; ++round) {
     reload();
@@ -166,7 +166,7 @@
   place(table_.at(kJob), 150);
   const auto lost = begin();
   (void)store_.txn(lost->txn);
-  table_.end_write(*lost, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*lost, {.status = kv::Status::unknown, .revision = {}, .failed_keys = {}}, now_);
   ASSERT_TRUE(cancel(kJob));
   hear_of_cancel(kJob);
   while (write()) {
@@ -202,11 +202,11 @@
   gone(job, 1);
   EXPECT_FALSE(write());
   EXPECT_FALSE(machines_.forget(kMachine));  // unproved is never gone
-  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::ok);
+  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).status, kv::Status::ok);
   EXPECT_EQ(table_.team_use("red"), job.each);
   gone(job, 0);
   EXPECT_TRUE(write());
-  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::not_found);
+  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).status, kv::Status::not_found);
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_TRUE(machines_.forget(kMachine));
 }
@@ -353,9 +353,9 @@
           const std::uint32_t how = draw(2);
           if (how == 0) (void)store_.txn(under_way->txn);
           if (how == 1) late.push_back(under_way->txn);
-          end({.answer = kv::Answer::none, .revision = {}, .failed = {}});
+          end({.status = kv::Status::unknown, .revision = {}, .failed_keys = {}});
         } else if (luck == 1) {
-          end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
+          end({.status = kv::Status::unavailable, .revision = {}, .failed_keys = {}});
         } else {
           end(store_.txn(under_way->txn));
         }
@@ -380,7 +380,7 @@
   }
   // When all has been proved and written, nothing is left, here or there.
   for (const JobId& id : cancelled) hear_of_cancel(id);
-  if (under_way) end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
+  if (under_way) end({.status = kv::Status::unavailable, .revision = {}, .failed_keys = {}});
   while (const auto key = some_run()) {
     Job& job = table_.at(key->job);
     if (!job.cancelled) table_.mark_done(job, key->index);
--- a/tests/unit/ledger_test.cpp
+++ b/tests/unit/ledger_test.cpp
@@ -159,7 +159,7 @@
   wire::JobSpec spec{.id = JobId("j-000001"), .job_class = "c", .team = "red", .tasks = 200, .cpus = 1, .ram_gb = 1};
   spec.image = "img";
   const state::JobShardRecord shard{
-      .next = AttemptNumber(2),
+      .next_attempt = AttemptNumber(2),
       .done = {true, true},
       .allocations = {
           {.index = 2, .attempt = AttemptNumber(1), .machine = MachineId("m"), .incarnation = AgentIncarnation(1)}}};
--- a/tests/unit/peer_prober_test.cpp
+++ b/tests/unit/peer_prober_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_FALSE(context.observe_leader(NodeName("node-1"), Term(3)));
   const net::HttpResponse answer = leader_response(context, {.method = "GET", .path = "/lead", .body = {}});
   ASSERT_EQ(answer.status, 200);
-  const state::TermRecord record = state::term_from(wire::decode(answer.body));
+  const state::TermRecord record = state::term_record_from(wire::decode(answer.body));
   EXPECT_EQ(record.term, Term(4));
   EXPECT_EQ(record.leader, NodeName("node-2"));
   EXPECT_TRUE(health::contact_from(wire::decode(answer.body)));
--- a/tests/unit/pools_test.cpp
+++ b/tests/unit/pools_test.cpp
@@ -25,7 +25,7 @@
 using accounts::Account;
 using accounts::Line;
 using accounts::Use;
-using kv::Answer;
+using kv::Status;
 using standins::StateStore;
 __extension__ typedef unsigned __int128 Wide;  // sums of products of 64 bits
 
@@ -197,11 +197,11 @@
     const auto wall = static_cast<std::uint64_t>(moment(node).wall_ms);
     if (luck == Luck::late) {
       held_up.emplace_back(guarded, wall);
-      return node.keeper.on_written(*txn, {.answer = Answer::none});
+      return node.keeper.on_written(*txn, {.status = Status::unknown});
     }
-    if (luck == Luck::lost) return node.keeper.on_written(*txn, {.answer = Answer::none});
+    if (luck == Luck::lost) return node.keeper.on_written(*txn, {.status = Status::unknown});
     const kv::TxnResult result = execute(guarded, wall);
-    node.keeper.on_written(*txn, luck == Luck::unanswered ? kv::TxnResult{.answer = Answer::none} : result);
+    node.keeper.on_written(*txn, luck == Luck::unanswered ? kv::TxnResult{.status = Status::unknown} : result);
   }
 
   kv::TxnResult execute(const kv::Txn& txn, std::uint64_t wall) {
@@ -210,7 +210,7 @@
         std::ranges::any_of(txn.changes, [](const kv::Change& change) { return change.key.starts_with(kHeldPrefix); });
     const std::map<MachineId, Member> before = moves ? members() : std::map<MachineId, Member>{};
     const kv::TxnResult result = store.txn(txn);
-    if (result.answer != Answer::ok) return result;
+    if (result.status != Status::ok) return result;
     for (const kv::Change& change : txn.changes) {
       if (change.data) {
         EXPECT_LE(wire::json_length(*change.data), 8U * 1024) << change.key;
@@ -241,7 +241,7 @@
       if (change.key.starts_with(kHoldsPrefix)) kind = Kind::holds;
       if (!change.key.starts_with(kHeldPrefix) || kind == Kind::taking) continue;
       const auto known = store.get(change.key);
-      const std::size_t before = known.answer == Answer::ok ? held_from(known.entry.data).members.size() : 0;
+      const std::size_t before = known.status == Status::ok ? held_from(known.entry.data).members.size() : 0;
       kind = (change.data ? held_from(*change.data).members.size() : 0) < before ? Kind::leaving : Kind::charge;
     }
     return kind;
@@ -414,7 +414,7 @@
         days.restart(days.leader);
         days.acquire_leadership((days.leader + 1) % 3);
         for (const auto& [txn, wall] : std::exchange(days.held_up, {})) {
-          EXPECT_EQ(days.execute(txn, wall).answer, Answer::conflict) << "an older leader's write counts";
+          EXPECT_EQ(days.execute(txn, wall).status, Status::conflict) << "an older leader's write counts";
         }
       }
       ASSERT_TRUE(crashed);
@@ -458,9 +458,9 @@
       if (deaf == 0) {
         // Of an older leader none counts; of the same one those that nothing has overtaken.
         for (const auto& [txn, wall] : std::exchange(days.held_up, {})) {
-          const Answer answer = days.execute(txn, wall).answer;
+          const Status status = days.execute(txn, wall).status;
           if (trouble != Trouble::cut) {
-            EXPECT_EQ(answer, Answer::conflict);
+            EXPECT_EQ(status, Status::conflict);
           }
         }
         days.watch(days.leader);
@@ -541,7 +541,7 @@
       days.calm(std::chrono::seconds(5));
       ASSERT_TRUE(days.members().empty());
     }
-    EXPECT_EQ(days.execute(days.held_up.front().first, days.held_up.front().second).answer, Answer::conflict);
+    EXPECT_EQ(days.execute(days.held_up.front().first, days.held_up.front().second).status, Status::conflict);
     days.calm(std::chrono::seconds(5));
     days.expect_exact();
     days.expect_alike();
@@ -568,7 +568,7 @@
     days.machines.at(second.members.front().id).gone = true;  // it is charged up to now
     days.calm(std::chrono::seconds(10));
     ASSERT_TRUE(days.left.contains(second.members.front().id));
-    EXPECT_EQ(days.execute(days.held_up.front().first, days.held_up.front().second).answer, Answer::conflict);
+    EXPECT_EQ(days.execute(days.held_up.front().first, days.held_up.front().second).status, Status::conflict);
     days.fate = {};
     days.calm(std::chrono::minutes(3));
     days.expect_exact();
@@ -620,7 +620,7 @@
   for (int second = 0; second < 30 * 60; ++second) {
     days.calm(std::chrono::seconds(1));
     const kv::GetResult known = days.store.get(state_key("dawn"));
-    if (known.answer != Answer::ok) continue;
+    if (known.status != Status::ok) continue;
     const PoolState state = state_from(known.entry.data);
     if (state.refusals.empty()) continue;
     if (pauses.empty() || pauses.back() != state.refusals.at("big/a/ordinary").pause_ms) {
@@ -732,7 +732,7 @@
   days.declare({pool_of("dawn", 4), pool_of("noon", 3)});
   days.calm(std::chrono::minutes(5));
   EXPECT_EQ(wire::encode(days.store.get(key).entry.data), wire::encode(newer));
-  EXPECT_EQ(days.store.get(held_key("dawn", 1)).answer, Answer::not_found);
+  EXPECT_EQ(days.store.get(held_key("dawn", 1)).status, Status::not_found);
   EXPECT_EQ(days.view(1).held, 3U) << "the other goes on";
 }
 
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -18,15 +18,15 @@
 }
 
 TEST(Records, SingleShardJobRoundTrips) {
-  JobRecord job{.spec = make_spec(5), .submitted_wall_ms = 77, .whole = JobShardRecord{}};
-  job.whole->next = AttemptNumber(9);
-  job.whole->done = {true, false, false, true, true};
-  job.whole->allocations = {
+  JobRecord job{.spec = make_spec(5), .submitted_wall_ms = 77, .only_shard = JobShardRecord{}};
+  job.only_shard->next_attempt = AttemptNumber(9);
+  job.only_shard->done = {true, false, false, true, true};
+  job.only_shard->allocations = {
       {.index = 2, .attempt = AttemptNumber(8), .machine = MachineId("m-000003"), .incarnation = AgentIncarnation(4)}};
   const JobRecord back = job_from(wire::decode(wire::encode(to_value(job))));
-  EXPECT_EQ(back.whole->done, job.whole->done);
-  EXPECT_EQ(back.whole->allocations, job.whole->allocations);
-  EXPECT_EQ(back.whole->next, AttemptNumber(9));
+  EXPECT_EQ(back.only_shard->done, job.only_shard->done);
+  EXPECT_EQ(back.only_shard->allocations, job.only_shard->allocations);
+  EXPECT_EQ(back.only_shard->next_attempt, AttemptNumber(9));
   EXPECT_EQ(back.submitted_wall_ms, 77);
   const wire::JobStatus status = status_of(back);
   EXPECT_EQ(status.state, wire::JobState::running);
@@ -35,15 +35,17 @@
 }
 
 TEST(Records, LargestShardRecordFitsTheSmallestValueLimit) {
-  JobShardRecord shard{
-      .next = AttemptNumber(100'000), .done = std::vector<bool>(constants::kTasksPerShard, true), .allocations = {}};
+  JobShardRecord shard{.next_attempt = AttemptNumber(100'000),
+                       .done = std::vector<bool>(constants::kTasksPerShard, true),
+                       .allocations = {}};
   for (std::uint32_t index = 0; index < constants::kTasksPerShard; ++index) {
     shard.allocations.push_back({.index = 99'999,
                                  .attempt = AttemptNumber(100'000),
                                  .machine = MachineId("m-000231"),
                                  .incarnation = AgentIncarnation(12)});
   }
-  JobRecord job{.spec = make_spec(constants::kTasksPerShard), .submitted_wall_ms = 1'700'000'000'000, .whole = shard};
+  JobRecord job{
+      .spec = make_spec(constants::kTasksPerShard), .submitted_wall_ms = 1'700'000'000'000, .only_shard = shard};
   EXPECT_LT(wire::json_length(to_value(job)) + constants::kRecordSpareBytes, 8U * 1024);
 }
 
--- a/tests/unit/user_api_test.cpp
+++ b/tests/unit/user_api_test.cpp
@@ -10,7 +10,7 @@
 namespace foxshunt::user_api {
 namespace {
 
-using kv::Answer;
+using kv::Status;
 using wire::JobState;
 
 const JobId kJob("j-000001");
@@ -40,7 +40,7 @@
   standins::StateStore store;
   FinalStates finals;
   std::vector<wire::MachineType> types{{.name = "plain", .cpus = 8, .gpus = 1, .ram_gb = 32, .zones = {"a"}}};
-  std::vector<Answer> answers;  // of the transactions that come, in place of the store's
+  std::vector<Status> answers;  // of the transactions that come, in place of the store's
   bool lost = false;            // whether these are carried out all the same
   bool reads_answered = true;
   std::size_t reads = 0;
@@ -57,7 +57,7 @@
       kv::TxnResult result;
       const auto& txn = std::get<kv::Txn>(request.step());
       if (writes < answers.size()) {
-        result.answer = answers[writes];
+        result.status = answers[writes];
         if (lost) (void)store.txn(txn);
       } else {
         result = store.txn(txn);
@@ -80,8 +80,8 @@
                                   {.key = state::finished_job_key(kJob),
                                    .data = state::finished_job_value({.id = kJob, .state = state}),
                                    .lease = {}}}})
-                .answer,
-            Answer::ok);
+                .status,
+            Status::ok);
 }
 
 TEST(UserApi, ASubmissionIsAcceptedOnceAndKnownEverAfter) {
@@ -163,7 +163,7 @@
 // Without an answer the transaction may have been carried out: only what is read may be told.
 TEST(UserApi, ASubmissionWhoseTransactionIsNotAnswered) {
   Node node;
-  node.answers = {Answer::none, Answer::refused, Answer::none};
+  node.answers = {Status::unknown, Status::unavailable, Status::unknown};
   EXPECT_EQ(node.submit(job()).status, 503);
   EXPECT_EQ(node.submit(job()).status, 503) << "refused";
   node.lost = true;
@@ -215,7 +215,7 @@
   EXPECT_EQ(node.cancel("nonsense").status, 404);
   (void)node.submit(job());
   EXPECT_EQ(state_of(node.cancel()), JobState::cancelled);
-  EXPECT_EQ(node.store.get(state::active_job_key(kJob)).answer, Answer::not_found);
+  EXPECT_EQ(node.store.get(state::active_job_key(kJob)).status, Status::not_found);
   node.reads_answered = false;
   EXPECT_EQ(state_of(node.cancel()), JobState::cancelled);
   EXPECT_EQ(state_of(node.submit(job())), JobState::cancelled);
@@ -233,26 +233,26 @@
 TEST(UserApi, ACancellationIsTriedAgain) {
   Node node;
   (void)node.submit(job());
-  node.answers = {Answer::ok, Answer::conflict, Answer::none};
+  node.answers = {Status::ok, Status::conflict, Status::unknown};
   EXPECT_EQ(state_of(node.cancel()), JobState::cancelled);
   EXPECT_EQ(node.writes, 4U);
 
   Node unlucky;
   (void)unlucky.submit(job());
-  unlucky.answers.assign(1 + constants::kMaxConflictRetries, Answer::conflict);
+  unlucky.answers.assign(1 + constants::kMaxConflictRetries, Status::conflict);
   EXPECT_EQ(unlucky.cancel().status, 503);
   EXPECT_EQ(unlucky.writes, 1U + constants::kMaxConflictRetries);
 
   Node unanswered;
   (void)unanswered.submit(job());
-  unanswered.answers = {Answer::ok, Answer::none};
+  unanswered.answers = {Status::ok, Status::unknown};
   unanswered.lost = true;
   EXPECT_EQ(state_of(unanswered.cancel()), JobState::cancelled);
   EXPECT_EQ(unanswered.writes, 2U);
 
   Node refused;
   (void)refused.submit(job());
-  refused.answers = {Answer::ok, Answer::refused};
+  refused.answers = {Status::ok, Status::unavailable};
   EXPECT_EQ(refused.cancel().status, 503);
 }
 
--- a/tests/unit/work_test.cpp
+++ b/tests/unit/work_test.cpp
@@ -97,7 +97,7 @@
   fleet.controller().plan_pass(fleet.now());
   const auto batch = fleet.controller().begin_write(fleet.now());
   ASSERT_TRUE(batch);
-  fleet.controller().end_write(*batch, {.answer = kv::Answer::ok, .revision = Revision(100'000), .failed = {}},
+  fleet.controller().end_write(*batch, {.status = kv::Status::ok, .revision = Revision(100'000), .failed_keys = {}},
                                fleet.now());
   EXPECT_FALSE(fleet.controller().needs_planning());
 }
