--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -39,7 +39,7 @@
     spec.team = team;
     spec.tasks = tasks;
     spec.cpus = 2;
-    ASSERT_EQ(store_.txn(state::create_job_txn(state::new_job(spec, 0))).answer, kv::Answer::ok);
+    ASSERT_EQ(store_.txn(state::create_job_txn(state::new_job(spec, 0))).status, kv::Status::ok);
     const kv::Entry live = store_.get(state::active_job_key(id)).entry;
     ASSERT_TRUE(table_.on_record(id, live.revision));
     table_.add(state::job_from(live.data), live.revision, 0, machines_, now_);
@@ -47,9 +47,9 @@
   // A user cancels a job. Returns whether it was still active. The watch does not report the removal yet.
   bool cancel(const JobId& id) {
     const kv::GetResult live = store_.get(state::active_job_key(id));
-    return live.answer == kv::Answer::ok &&
-           store_.txn(state::cancel_job_txn(state::job_from(live.entry.data), live.entry.revision)).answer ==
-               kv::Answer::ok;
+    return live.status == kv::Status::ok &&
+           store_.txn(state::cancel_job_txn(state::job_from(live.entry.data), live.entry.revision)).status ==
+               kv::Status::ok;
   }
   // The watch reports that the record of an active job was deleted.
   void on_cancel_reported(const JobId& id) {
@@ -78,7 +78,7 @@
     while (const auto reload = table_.next_reload()) {
       const kv::GetResult found = store_.get(reload->key());
       Job* deleted = table_.on_reloaded(
-          *reload, found.answer == kv::Answer::ok ? std::optional(found.entry.revision) : std::nullopt);
+          *reload, found.status == kv::Status::ok ? std::optional(found.entry.revision) : std::nullopt);
       if (deleted != nullptr) cancel_in_table(*deleted);
     }
   }
@@ -92,7 +92,7 @@
     for (const char* prefix : {state::kActiveJobPrefix, state::kTerminatingJobPrefix}) {
       for (const kv::Entry& entry : store_.list(prefix).entries) {
         const state::JobRecord job = state::job_from(entry.data);
-        if (job.whole) collect(job.spec.id, *job.whole);
+        if (job.only_shard) collect(job.spec.id, *job.only_shard);
       }
     }
     for (const kv::Entry& entry : store_.list(state::kJobShardPrefix).entries) {
@@ -139,12 +139,12 @@
   place(table_.at(kJob), 0);
   const auto unanswered = begin();
   (void)store_.txn(unanswered->txn);
-  table_.end_write(*unanswered, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*unanswered, {.status = kv::Status::unknown, .revision = {}, .failed_keys = {}}, now_);
   EXPECT_FALSE(table_.find_allocation({kJob, 0})->durable);
   const auto retry = begin();
   ASSERT_TRUE(retry);
   const kv::TxnResult result = store_.txn(retry->txn);
-  ASSERT_EQ(result.answer, kv::Answer::conflict);
+  ASSERT_EQ(result.status, kv::Status::conflict);
   table_.end_write(*retry, result, now_);
   ASSERT_TRUE(table_.next_reload());
   EXPECT_EQ(table_.next_reload()->key(), state::active_job_key(kJob));
@@ -161,7 +161,7 @@
   place(table_.at(kJob), 150);
   const auto unanswered = begin();
   (void)store_.txn(unanswered->txn);
-  table_.end_write(*unanswered, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*unanswered, {.status = kv::Status::unknown, .revision = {}, .failed_keys = {}}, now_);
   EXPECT_TRUE(write());  // the conflict shows that the revision is out of date
   for (int round = 0; round < 3; ++round) {
     reload();
@@ -176,7 +176,7 @@
   place(table_.at(kJob), 150);
   const auto unanswered = begin();
   (void)store_.txn(unanswered->txn);
-  table_.end_write(*unanswered, {.answer = kv::Answer::none, .revision = {}, .failed = {}}, now_);
+  table_.end_write(*unanswered, {.status = kv::Status::unknown, .revision = {}, .failed_keys = {}}, now_);
   ASSERT_TRUE(cancel(kJob));
   on_cancel_reported(kJob);
   while (write()) {
@@ -213,11 +213,11 @@
   confirm_termination(job, 1);
   EXPECT_FALSE(write());
   EXPECT_FALSE(machines_.remove(kMachine));  // a machine with an unconfirmed allocation is kept
-  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::ok);
+  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).status, kv::Status::ok);
   EXPECT_EQ(table_.team_use("red"), job.each);
   confirm_termination(job, 0);
   EXPECT_TRUE(write());
-  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::not_found);
+  EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).status, kv::Status::not_found);
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_TRUE(machines_.remove(kMachine));
 }
@@ -364,9 +364,9 @@
           const std::uint32_t execution = draw(2);
           if (execution == 0) (void)store_.txn(in_flight->txn);
           if (execution == 1) delayed.push_back(in_flight->txn);
-          end({.answer = kv::Answer::none, .revision = {}, .failed = {}});
+          end({.status = kv::Status::unknown, .revision = {}, .failed_keys = {}});
         } else if (outcome == 1) {
-          end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
+          end({.status = kv::Status::unavailable, .revision = {}, .failed_keys = {}});
         } else {
           end(store_.txn(in_flight->txn));
         }
@@ -392,7 +392,7 @@
   // Once every task is confirmed terminated and everything is written, neither the table nor the store has anything
   // left.
   for (const JobId& id : cancelled) on_cancel_reported(id);
-  if (in_flight) end({.answer = kv::Answer::refused, .revision = {}, .failed = {}});
+  if (in_flight) end({.status = kv::Status::unavailable, .revision = {}, .failed_keys = {}});
   while (const auto key = random_allocation()) {
     Job& job = table_.at(key->job);
     if (!job.cancelled) table_.mark_done(job, key->index);
