--- a/src/control/controller.h
+++ b/src/control/controller.h
@@ -174,7 +174,7 @@
   [[nodiscard]] bool is_planning() const { return scheduling_cycle_.is_pass_in_progress(); }
   // Returns whether machines are to be rented or returned.
   [[nodiscard]] bool needs_scaling() const;
-  [[nodiscard]] bool has_pending_writes() const { return cluster_.jobs.writes_wanted(); }
+  [[nodiscard]] bool has_pending_writes() const { return cluster_.jobs.has_pending_writes(); }
 
   [[nodiscard]] ClusterSummary cluster_summary(Instant now) const;
   // Explains in words why the job's tasks wait and when the next one is planned to start. Returns nullopt if the job is
--- a/src/control/controller_explain.cpp
+++ b/src/control/controller_explain.cpp
@@ -14,7 +14,7 @@
     if (!job.cancelled) summary.tasks_waiting += job.pending();
     summary.tasks_placed += job.allocation_count;
     for (const JobShard& shard : job.shards) {
-      if (job.cancelled || shard.settled()) continue;
+      if (job.cancelled || shard.is_record_current()) continue;
       ++summary.unwritten_records;
       summary.oldest_unwritten_age = std::max(summary.oldest_unwritten_age, now - shard.dirty_since);
     }
--- a/src/control/controller_records.cpp
+++ b/src/control/controller_records.cpp
@@ -55,7 +55,7 @@
     return;
   }
   for (const Job& job : cluster_.jobs.end_write(batch, result, now)) {
-    for (const plan::BookingId booking : job.booked) cluster_.planner.revoke(booking);
+    for (const plan::BookingId booking : job.bookings) cluster_.planner.revoke(booking);
   }
 }
 
--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -14,7 +14,8 @@
 
 // How many of the job's tasks the booking covers, by its amount of CPU.
 std::uint64_t booked_task_count(const plan::Booking& booking, const Job& job) {
-  return static_cast<std::uint64_t>(booking.amounts.values[0] / std::max<plan::MilliUnits>(1, job.each.values[0]));
+  return static_cast<std::uint64_t>(booking.amounts.values[0] /
+                                    std::max<plan::MilliUnits>(1, job.task_resources.values[0]));
 }
 
 // For how many tasks the places have room early enough for the tasks to end by the deadline. Stops counting at
@@ -25,7 +26,8 @@
   for (const plan::EligibleMachine& place : places) {
     const Instant from = std::max(now, place.machine->spec.ready_at);
     if (from + place.setup_time + estimated_run_time(job) > deadline) continue;
-    room += job.each.count_fitting_in(place.machine->usage.free(from, from + place.setup_time + booking_duration(job)));
+    room += job.task_resources.count_fitting_in(
+        place.machine->usage.free(from, from + place.setup_time + booking_duration(job)));
     if (room >= max_count) break;
   }
   return room;
@@ -36,7 +38,7 @@
   std::uint64_t booked = job.allocation_count;
   Instant end;
   const Millis beyond = run_time_beyond_booking(job);
-  for (const plan::BookingId booking : job.booked) {
+  for (const plan::BookingId booking : job.bookings) {
     const plan::Booking* found = cluster.planner.find_booking(booking);
     if (found == nullptr) continue;
     end = std::max(end, found->stop + beyond);
@@ -55,7 +57,7 @@
 // How many of the job's tasks have planned bookings with which they end by the deadline.
 std::uint64_t count_tasks_booked_by(const plan::Planner& planner, const Job& job, Instant deadline) {
   std::uint64_t timely = 0;
-  for (const plan::BookingId booking : job.booked) {
+  for (const plan::BookingId booking : job.bookings) {
     const plan::Booking* found = planner.find_booking(booking);
     if (found == nullptr || found->stop + run_time_beyond_booking(job) > deadline) continue;
     timely += booked_task_count(*found, job);
@@ -69,7 +71,7 @@
                                                      const wire::MachineType& kind, double max_price_per_task,
                                                      const CloudCapacityTracker::HeldMachines& held_machines) {
   const std::int64_t fit =
-      job.each.count_fitting_in(TaskPricing(context.cluster, context.demand).usable_capacity(job.spec, kind));
+      job.task_resources.count_fitting_in(TaskPricing(context.cluster, context.demand).usable_capacity(job.spec, kind));
   if (fit <= 0) return std::nullopt;
   foresight::Kind found{.name = kind.name,
                         .boot = from_seconds(kind.boot_s) + constants::kCloudCallTimeout,
@@ -99,7 +101,7 @@
   work.end = planned_end(context.cluster, job);
   work.late = work.waiting - std::min(work.waiting, count_tasks_booked_by(context.cluster.planner, job, deadline));
   if (const config::Team* team = context.cluster.settings.team(job.spec.team); team != nullptr) {
-    work.limit = TeamQuota(*team).remaining_tasks(job.each, context.cluster.jobs.team_use(job.spec.team));
+    work.limit = TeamQuota(*team).remaining_tasks(job.task_resources, context.cluster.jobs.team_use(job.spec.team));
   }
   if (const classes::Rank* rank = context.ranking.find(job.spec.id); rank != nullptr && context.ranking.on()) {
     work.capped = rank->capped;
--- a/src/control/explanation.cpp
+++ b/src/control/explanation.cpp
@@ -24,7 +24,7 @@
 // Returns why the tasks of a planned job cannot be placed yet, or nullopt if nothing prevents it.
 std::optional<std::string> Explanation::placement_blocker(const Job& job) const {
   const bool gang = is_gang(job);
-  if (gang && job.gather_until) return "; they join the rest of the gang, which waits for them";
+  if (gang && job.barrier_deadline) return "; they join the rest of the gang, which waits for them";
   if (gang && job.allocation_count > 0) return "; the gang starts again when nothing of its attempt before is left";
   if (!can_start_) return "; nothing is started while the state service does not answer";
   if (!team_has_quota(cluster_, job, gang ? job.pending() : 1)) return "; its team's limit is used up";
--- a/src/control/gang_coordinator.cpp
+++ b/src/control/gang_coordinator.cpp
@@ -33,9 +33,10 @@
 Millis remaining_fetch_time(const ClusterState& cluster, const Job& job, const Allocation& allocation, Instant now) {
   const auto machine = cluster.machines.find(allocation.machine);
   if (machine == cluster.machines.end()) return Millis(0);
-  const bool reported_fetching = allocation.seen && *allocation.seen == wire::TaskState::fetching;
-  if (!reported_fetching && (allocation.seen || machine->second.images.contains(job.spec.image))) return Millis(0);
-  const Millis elapsed = std::max(Millis(0), now - allocation.placed);
+  const bool reported_fetching = allocation.reported_state && *allocation.reported_state == wire::TaskState::fetching;
+  if (!reported_fetching && (allocation.reported_state || machine->second.images.contains(job.spec.image)))
+    return Millis(0);
+  const Millis elapsed = std::max(Millis(0), now - allocation.placed_at);
   const Millis expected_total = cluster.image_fetch_duration(job.spec, machine->second.type);
   // An overdue fetch is expected to take a further 1/kFetchOverdueDivisor of the time that it has taken.
   return std::max({expected_total - elapsed, elapsed / constants::kFetchOverdueDivisor,
@@ -51,7 +52,7 @@
         continue;
       const Millis max_fetch_time =
           cluster.image_fetch_duration(job.spec, machine->second.type) * constants::kFetchDoubtFactor;
-      if (now - allocation.placed < max_fetch_time + from_seconds(cluster.settings.gang_wait_s)) return true;
+      if (now - allocation.placed_at < max_fetch_time + from_seconds(cluster.settings.gang_wait_s)) return true;
     }
   }
   return false;
@@ -85,15 +86,16 @@
              const Allocation& allocation = entry.second;
              if (allocation.stopping) return false;
              // A task that an earlier leader placed may have started already.
-             if (!allocation.seen) return !allocation.adopted;
-             return *allocation.seen == TaskState::fetching || *allocation.seen == TaskState::waiting;
+             if (!allocation.reported_state) return !allocation.adopted;
+             return *allocation.reported_state == TaskState::fetching ||
+                    *allocation.reported_state == TaskState::waiting;
            });
          });
 }
 
 void GangCoordinator::hold_start_barrier(ClusterState& cluster, Job& job, Instant now) {
-  if (!job.gather_until) {
-    job.gather_until = now + barrier_timeout(cluster.settings);
+  if (!job.barrier_deadline) {
+    job.barrier_deadline = now + barrier_timeout(cluster.settings);
     spdlog::info("gang member lost before the start, will be replaced job={}", job.spec.id.text());
   }
   cluster.needs_planning = true;
@@ -110,12 +112,12 @@
 }
 
 MissingMemberAction GangCoordinator::choose_missing_member_action(const ClusterState& cluster, Job& job, Instant now) {
-  if (!job.gather_until || !is_waiting_at_barrier(job)) return MissingMemberAction::none;
+  if (!job.barrier_deadline || !is_waiting_at_barrier(job)) return MissingMemberAction::none;
   // Members that fetch their image have not begun to wait for the others: the timeout runs from the end of the fetches.
   if (is_fetching_image(cluster, job, now)) {
-    job.gather_until = std::max(*job.gather_until, now + barrier_timeout(cluster.settings));
+    job.barrier_deadline = std::max(*job.barrier_deadline, now + barrier_timeout(cluster.settings));
   }
-  return now <= *job.gather_until ? MissingMemberAction::replace : MissingMemberAction::end_attempt;
+  return now <= *job.barrier_deadline ? MissingMemberAction::replace : MissingMemberAction::end_attempt;
 }
 
 // PROTOCOL: a task that has its image gives up after `gang_wait_s` if other members do not have theirs, and can start
@@ -138,8 +140,8 @@
     shortest_fetch = std::min(shortest_fetch, wait);
   }
   if (longest_fetch - shortest_fetch > from_seconds(cluster.settings.gang_wait_s) / constants::kGangFetchSpreadDivisor)
-    job.in_stages = true;
-  if (!job.in_stages) return placements;
+    job.is_placed_in_stages = true;
+  if (!job.is_placed_in_stages) return placements;
   std::vector<plan::Placement> due;
   for (const plan::Placement& placement : placements) {
     if (image_fetch_time(cluster, job, cluster.machines.at(placement.machine)) >= longest_fetch) {
@@ -148,8 +150,8 @@
       book_planned_tasks(cluster, job, placement);
     }
   }
-  if (due.size() < placements.size() && !job.gather_until)
-    job.gather_until = now + longest_fetch + barrier_timeout(cluster.settings);
+  if (due.size() < placements.size() && !job.barrier_deadline)
+    job.barrier_deadline = now + longest_fetch + barrier_timeout(cluster.settings);
   return due;
 }
 
@@ -181,16 +183,16 @@
   std::set<MachineId> kept;
   for (const plan::Placement& placement : placements) {
     const plan::PlannedMachine* node = cluster.planner.find_machine(placement.machine);
-    const ResourceAmounts amounts = job.each.times(placement.count);
+    const ResourceAmounts amounts = job.task_resources.times(placement.count);
     const plan::TimeIntervals free =
         node->usage.free_intervals(amounts, constants::kTick, std::max(now, node->spec.ready_at), placement.start);
     if (free.empty() || free.back().stop != placement.start) continue;
     // Booked without a team: until the gang starts, the machine does not count against the team's quota.
-    job.booked.push_back(cluster.planner.book({.machine = placement.machine,
-                                               .team = {},
-                                               .amounts = amounts,
-                                               .start = free.back().start,
-                                               .stop = free.back().stop}));
+    job.bookings.push_back(cluster.planner.book({.machine = placement.machine,
+                                                 .team = {},
+                                                 .amounts = amounts,
+                                                 .start = free.back().start,
+                                                 .stop = free.back().stop}));
     if (free.back().start <= now) kept.insert(placement.machine);
   }
   const bool one_zone = job.spec.one_zone && !placements.empty();
--- a/src/control/gang_coordinator.h
+++ b/src/control/gang_coordinator.h
@@ -2,8 +2,9 @@
 // are lost before the start, and the backfill reservation.
 //
 // Owns the backfill reservation. The cluster state is passed in with each call; of a job it changes the barrier
-// (Job::gather_until, Job::in_stages) and the planned bookings. Places and stops no task: the caller is told when an
-// attempt has to end. Performs no I/O except logging and reads no clock (`now` is passed in). Not thread-safe.
+// (Job::barrier_deadline, Job::is_placed_in_stages) and the planned bookings. Places and stops no task: the caller is
+// told when an attempt has to end. Performs no I/O except logging and reads no clock (`now` is passed in). Not
+// thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/control/job_intake.cpp
+++ b/src/control/job_intake.cpp
@@ -57,7 +57,7 @@
   Job& job = known->second;
   try {
     job.shards[*number].revision = entry.revision;
-    job.shards[*number].recorded = true;
+    job.shards[*number].may_have_record = true;
     cluster_.jobs.adopt_shard(job, *number,
                               state::job_shard_from(entry.data, state::shard_size(job.spec.tasks, *number)),
                               cluster_.machines, now);
@@ -86,7 +86,7 @@
 
 Job& JobIntake::add_job(const state::JobRecord& record, Revision revision, std::int64_t wall_ms, Instant now) {
   Job& job = cluster_.jobs.add(record, revision, wall_ms, cluster_.machines, now);
-  demand_.record_job(job.spec, job.each, job.submitted);
+  demand_.record_job(job.spec, job.task_resources, job.submitted);
   if (record.whole) book_restored_allocations(job, 0, now);
   cluster_.needs_planning = true;
   return job;
@@ -97,7 +97,7 @@
     cluster_.register_image_cache(cluster_.machines.at(allocation.machine));
     allocation.booking = cluster_.planner.book({.machine = allocation.machine,
                                                 .team = job.spec.team,
-                                                .amounts = job.each,
+                                                .amounts = job.task_resources,
                                                 .start = now,
                                                 .stop = now + booking_duration(job)});
   }
@@ -125,7 +125,7 @@
 }
 
 void JobIntake::on_removed(const JobId& id, Instant now) {
-  Job* job = cluster_.jobs.on_removed(id);
+  Job* job = cluster_.jobs.on_record_deleted(id);
   if (job == nullptr) return;
   spdlog::info("job_cancelled job={} tasks_to_stop={}", id.text(), job->allocation_count);
   task_lifecycle_.cancel_job(*job, now);
--- a/src/control/job_planner.cpp
+++ b/src/control/job_planner.cpp
@@ -37,7 +37,7 @@
     if (!shard.allocations.empty()) return shard.allocations.begin()->second.attempt;
   }
   AttemptNumber attempt{1};
-  for (const JobShard& shard : job.shards) attempt = std::max(attempt, shard.next);
+  for (const JobShard& shard : job.shards) attempt = std::max(attempt, shard.next_attempt);
   return attempt;
 }
 
@@ -123,7 +123,7 @@
 }
 
 bool JobPlanner::may_preempt(const Job& job, Instant now) const {
-  return cluster_.settings.operators.preemption && now >= job.displaces_after &&
+  return cluster_.settings.operators.preemption && now >= job.may_preempt_after &&
          job.planned_start.value_or(plan::kForever) > now + constants::kMinWaitToPreempt;
 }
 
@@ -134,7 +134,7 @@
   // are replaced within the attempt.
   context.replaces_members = context.gang && job.allocation_count > 0;
   if (!context.replaces_members) {
-    job.gather_until.reset();
+    job.barrier_deadline.reset();
   } else if (!may_replace_members(job, now)) {
     return 0;
   }
@@ -185,7 +185,7 @@
       tasks_.place_task(job, *next, attempt, cluster_.machines.at(placement.machine), now);
     }
   }
-  if (next == tasks.end()) job.gather_until.reset();
+  if (next == tasks.end()) job.barrier_deadline.reset();
   return true;
 }
 
@@ -200,7 +200,7 @@
       if (!machine_has_room(cluster_, job, machine, 1) || !team_has_quota(cluster_, job, 1) ||
           !is_placement_allowed(cluster_, job, machine, 1))
         break;
-      tasks_.place_task(job, index, job.shards[index / constants::kTasksPerShard].next, machine, now);
+      tasks_.place_task(job, index, job.shards[index / constants::kTasksPerShard].next_attempt, machine, now);
       any_placed = true;
     }
   }
@@ -212,11 +212,12 @@
 // meanwhile. If the zone recovers first, no task has moved, and the next pass does not renew the bookings.
 std::size_t JobPlanner::plan_stranded_tasks(Job& job, Instant now) {
   // A machine rented earlier would be ready, idle and paid for before the tasks are confirmed terminated.
-  const bool due = job.stranded_until - now <= autoscaler_.pricing(cluster_).max_boot_time(job.spec);
+  const bool due = job.evacuating_until - now <= autoscaler_.pricing(cluster_).max_boot_time(job.spec);
   if (!due) return 0;
-  const std::uint32_t count = is_gang(job) ? job.spec.tasks - job.done_count
-                                           : std::min(job.stranded, std::uint32_t{constants::kMaxTasksPlannedPerPass});
-  plan::PlacementRequest request = make_planning_request(job, count, std::max(now, job.stranded_until));
+  const std::uint32_t count = is_gang(job)
+                                  ? job.spec.tasks - job.done_count
+                                  : std::min(job.evacuating_tasks, std::uint32_t{constants::kMaxTasksPlannedPerPass});
+  plan::PlacementRequest request = make_planning_request(job, count, std::max(now, job.evacuating_until));
   request.machines = MachineFilter(cluster_, autoscaler_.demand()).find_candidate_places(job, now);
   std::uint32_t planned = 0;
   for (const plan::Placement& placement : cluster_.planner.plan(request)) {
--- a/src/control/job_requirements.cpp
+++ b/src/control/job_requirements.cpp
@@ -41,7 +41,7 @@
 plan::PlacementRequest make_planning_request(const jobs::Job& job, std::uint32_t count, plan::Instant from) {
   plan::PlacementRequest request;
   request.team = job.spec.team;
-  request.per_task = job.each;
+  request.per_task = job.task_resources;
   request.count = count;
   request.duration = booking_duration(job);
   request.earliest_start = from;
--- a/src/control/leadership.cpp
+++ b/src/control/leadership.cpp
@@ -46,7 +46,7 @@
 void Leadership::on_records_confirmed(Instant when, const jobs::JobTable& jobs) {
   // A removal that was observed during a write may be a user's cancellation whose tasks have not been stopped yet. The
   // confirmed time does not advance until that record has been read again.
-  if (kept(Guard::reading_settled) && jobs.has_unread()) return;
+  if (kept(Guard::reading_settled) && jobs.has_job_reload()) return;
   records_confirmed_ = std::max(records_confirmed_, when);
 }
 
--- a/src/control/machine_filter.cpp
+++ b/src/control/machine_filter.cpp
@@ -53,11 +53,11 @@
 
 bool MachineFilter::leaves_gpu_room(const Job& job, const Machine& machine, const ResourceAmounts& offered,
                                     plan::MilliUnits& spare_gpus) const {
-  ResourceAmounts cpu_work = job.each;
+  ResourceAmounts cpu_work = job.task_resources;
   ResourceAmounts gpu_work;
   for (const TaskKey& key : machine.allocations) {
     const Job& other = cluster_.jobs.at(key.job);
-    (other.spec.gpus <= 0 ? cpu_work : gpu_work) += other.each;
+    (other.spec.gpus <= 0 ? cpu_work : gpu_work) += other.task_resources;
   }
   if (cpu_work.fits_in(offered)) return true;
   const plan::MilliUnits gpus = machine.planned->spec.capacity.values[1];
--- a/src/control/placement_rules.cpp
+++ b/src/control/placement_rules.cpp
@@ -11,15 +11,15 @@
 bool machine_has_room(const ClusterState& cluster, const Job& job, const Machine& machine, std::uint32_t count) {
   const wire::MachineType* machine_type = cluster.find_machine_type(machine.type);
   if (machine_type == nullptr) return false;
-  ResourceAmounts used = job.each.times(count);
-  for (const TaskKey& key : machine.allocations) used += cluster.jobs.at(key.job).each;
+  ResourceAmounts used = job.task_resources.times(count);
+  for (const TaskKey& key : machine.allocations) used += cluster.jobs.at(key.job).task_resources;
   return used.fits_in(capacity_of(*machine_type));
 }
 
 bool team_has_quota(const ClusterState& cluster, const Job& job, std::uint32_t count) {
   const config::Team* team = cluster.settings.team(job.spec.team);
   if (team == nullptr) return false;
-  ResourceAmounts used = job.each.times(count);
+  ResourceAmounts used = job.task_resources.times(count);
   if (guards::kept(guards::Guard::quota_placed)) used += cluster.jobs.team_use(job.spec.team);
   return TeamQuota(*team).allows(used);
 }
--- a/src/control/planned_bookings.h
+++ b/src/control/planned_bookings.h
@@ -7,9 +7,9 @@
 
 namespace foxshunt::control {
 
-// Books the placing's machine for tasks that start later, and adds the booking to Job::booked.
+// Books the placing's machine for tasks that start later, and adds the booking to Job::bookings.
 void book_planned_tasks(ClusterState& cluster, Job& job, const plan::Placement& placement);
-// Revokes all bookings in Job::booked.
+// Revokes all bookings in Job::bookings.
 void revoke_planned_bookings(ClusterState& cluster, Job& job);
 
 }  // namespace foxshunt::control
--- a/src/control/preemptor.cpp
+++ b/src/control/preemptor.cpp
@@ -38,12 +38,12 @@
       .job = key.job,
       .tasks = {key},
       .priority = victim_job.spec.priority,
-      .borrowed = victim_job.borrowed,
+      .borrowed = victim_job.is_over_guarantee,
       .same_team = victim_job.spec.team == preempting_job.spec.team,
       .running_time = ran,
       .lost_work = lost_per_task * tasks,
       .remaining = booking == nullptr ? Millis(0) : std::max(Millis(0), booking->stop - now),
-      .since_last_displaced = victim_job.displaced ? std::optional(now - *victim_job.displaced) : std::nullopt};
+      .since_last_displaced = victim_job.preempted_at ? std::optional(now - *victim_job.preempted_at) : std::nullopt};
   victim.is_protected = queue_.ranking().on() && queue_.is_protected_by_rank(victim_job, victim, preempting_job);
   if (!is_gang_victim) return victim;
   victim.tasks.clear();
@@ -77,7 +77,7 @@
         .machine = machine.id, .zone = machine.zone, .free = place.machine->spec.capacity, .victim_amounts = {}};
     std::map<std::size_t, ResourceAmounts> held;
     for (const TaskKey& key : machine.allocations) {
-      const ResourceAmounts& each = cluster_.jobs.at(key.job).each;
+      const ResourceAmounts& each = cluster_.jobs.at(key.job).task_resources;
       contested.free -= each;
       if (const auto victim_index = find_or_add_victim(key, job, victims, now)) held[*victim_index] += each;
     }
@@ -89,7 +89,7 @@
 
 std::size_t Preemptor::stop_victim(const preempt::Victim& victim, Instant now) {
   Job& victim_job = cluster_.jobs.at(victim.job);
-  victim_job.displaced = now;
+  victim_job.preempted_at = now;
   for (const TaskKey& key : victim.tasks) {
     tasks_.preempt_task(victim_job, key.index);
     // All members of a gang must get the stop within `gang_peer_s`, which may end before their next heartbeats. So it
@@ -105,17 +105,17 @@
   const std::uint32_t count = count_tasks_to_preempt_for(job, max_tasks);
   if (count == 0) return;
   const preempt::PreemptionRequest need{
-      .per_task = job.each,
+      .per_task = job.task_resources,
       .count = count,
       .is_gang = is_gang(job),
       .one_zone = job.spec.one_zone,
       .priority = job.spec.priority,
-      .guaranteed = !job.borrowed,
+      .guaranteed = !job.is_over_guarantee,
       .expected_wait = std::min(job.planned_start.value_or(plan::kForever) - now, constants::kPlanHorizon)};
   Victims victims;
   const std::vector<preempt::PreemptionCandidate> machines = find_contested_machines(job, places, victims, now);
   const std::vector<std::size_t> chosen = preempt::choose_victims(need, victims.all, machines);
-  job.displaces_after = now + constants::kPreemptionInterval;
+  job.may_preempt_after = now + constants::kPreemptionInterval;
   std::size_t stopped = 0;
   for (const std::size_t victim_index : chosen) stopped += stop_victim(victims.all[victim_index], now);
   if (stopped == 0) return;
--- a/src/control/preemptor.h
+++ b/src/control/preemptor.h
@@ -2,8 +2,8 @@
 // and stops the chosen ones.
 //
 // Holds references to the modules that it was constructed with, owns nothing and must not outlive the call that created
-// it. Records in jobs when they were preempted (Job::displaced) and when they may preempt again (Job::displaces_after).
-// Stops tasks only through TaskLifecycle.
+// it. Records in jobs when they were preempted (Job::preempted_at) and when they may preempt again
+// (Job::may_preempt_after). Stops tasks only through TaskLifecycle.
 #pragma once
 
 #include <cstdint>
--- a/src/control/reconciler.cpp
+++ b/src/control/reconciler.cpp
@@ -39,7 +39,7 @@
 bool ended_with_image(const wire::TaskStatus& status, const Allocation& allocation) {
   const EndReason reason = status.reason;
   if (reason == EndReason::no_room || reason == EndReason::in_use || reason == EndReason::unknown) return false;
-  return allocation.seen && *allocation.seen != TaskState::fetching;
+  return allocation.reported_state && *allocation.reported_state != TaskState::fetching;
 }
 
 }  // namespace
@@ -100,7 +100,7 @@
       continue;
     }
     // The agent may forget an ended task only when the record of its end is durable.
-    if (!kept(Guard::clear_settled) || cluster_.jobs.settled(status.task)) {
+    if (!kept(Guard::clear_settled) || cluster_.jobs.is_record_current(status.task)) {
       exchange.commands.push_back(forget_command(status));
     }
   }
@@ -132,9 +132,9 @@
 void Reconciler::on_task_active(Exchange& exchange, Job& job, Allocation& allocation, const wire::TaskStatus& status) {
   Machine& machine = exchange.machine;
   if (status.state != TaskState::fetching) {
-    if (allocation.seen.value_or(TaskState::fetching) == TaskState::fetching)
+    if (allocation.reported_state.value_or(TaskState::fetching) == TaskState::fetching)
       cluster_.record_cached_image(machine, job.spec);
-  } else if (allocation.seen && cluster_.pools.on()) {
+  } else if (allocation.reported_state && cluster_.pools.on()) {
     // At least the second heartbeat that reports the state `fetching`: the image was not in the cache, contrary to what
     // the leader assumed.
     machine.images.erase(job.spec.image);
@@ -145,33 +145,36 @@
   }
   // While a gang lacks members, a state change of the others, such as a finished image fetch, may allow the next ones
   // to be placed, so a planning pass is requested.
-  if (allocation.seen != status.state && job.gather_until) cluster_.needs_planning = true;
-  allocation.seen = status.state;
+  if (allocation.reported_state != status.state && job.barrier_deadline) cluster_.needs_planning = true;
+  allocation.reported_state = status.state;
   if (allocation.stopping) exchange.commands.push_back(stop_command(status.task, status.attempt, allocation.grace_s));
 }
 
 void Reconciler::on_task_running(Job& job, const Machine& machine, Allocation& allocation, std::uint32_t index,
                                  Instant now) {
-  allocation.running_since = std::min(now, allocation.told_began.value_or(now));
-  cluster_.pools.began({job.spec.id, index}, job.spec, now - allocation.placed);
+  allocation.running_since = std::min(now, allocation.hinted_start.value_or(now));
+  cluster_.pools.began({job.spec.id, index}, job.spec, now - allocation.placed_at);
   cluster_.planner.revoke(allocation.booking);
   Millis remaining = booking_duration(job);
-  if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
+  if (const auto saved = job.saved_progress.find(index); saved != job.saved_progress.end()) {
     remaining = std::max(remaining - saved->second, constants::kStartTimeout);
   }
-  if (allocation.told_began)
+  if (allocation.hinted_start)
     remaining = std::max(remaining - (now - *allocation.running_since), constants::kStartTimeout);
-  allocation.booking = cluster_.planner.book(
-      {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + remaining});
+  allocation.booking = cluster_.planner.book({.machine = machine.id,
+                                              .team = job.spec.team,
+                                              .amounts = job.task_resources,
+                                              .start = now,
+                                              .stop = now + remaining});
   spdlog::info("task_running task={} attempt={} machine={} since_submission_s={:.1f}",
                TaskKey{job.spec.id, index}.text(), allocation.attempt.number(), machine.id.text(),
                to_seconds(now - job.submitted));
   // The tasks of a gang start together, so the first running task marks the start of the job. A new leader logs
   // the event again, because it does not know that it was logged.
-  if (job.begun) return;
+  if (job.has_run) return;
   spdlog::info("job_started job={} class={} tasks={} wait_s={:.1f}", job.spec.id.text(), job.spec.job_class,
                job.spec.tasks, to_seconds(now - job.submitted));
-  job.begun = true;
+  job.has_run = true;
 }
 
 void Reconciler::on_task_ended(Exchange& exchange, Job& job, const Allocation& allocation,
@@ -179,7 +182,7 @@
   const std::uint32_t index = status.task.index;
   // The task gave up waiting for its gang: the estimated image fetch times were wrong. The next attempt relies on the
   // heartbeats to learn when the images are fetched.
-  if (status.reason == EndReason::alone) job.in_stages = true;
+  if (status.reason == EndReason::alone) job.is_placed_in_stages = true;
   if (ended_with_image(status, allocation)) cluster_.record_cached_image(exchange.machine, job.spec);
   switch (status.reason) {
     case EndReason::done:
@@ -200,11 +203,12 @@
 
 void Reconciler::on_task_checkpointed(Job& job, const Allocation& allocation, std::uint32_t index, Instant now) {
   const Millis run_time = std::max(Millis(0), now - *allocation.running_since);
-  job.saved[index] += run_time;
+  job.saved_progress[index] += run_time;
   tasks_.confirm_terminated(job, index, "stopped with a checkpoint", now);
   // confirm_terminated() has added the complete checkpoints of the same run time; they must not count twice.
   const Millis checkpoint_interval = from_seconds(job.spec.checkpoint_s);
-  if (checkpoint_interval > Millis(0)) job.saved[index] -= run_time / checkpoint_interval * checkpoint_interval;
+  if (checkpoint_interval > Millis(0))
+    job.saved_progress[index] -= run_time / checkpoint_interval * checkpoint_interval;
   tasks_.end_gang_attempt(job);
 }
 
@@ -218,9 +222,9 @@
   // A task that fails during the job's backoff was started before it, together with the task that caused the backoff.
   // It does not count as another failure.
   if (exchange.now >= job.not_before) {
-    const Millis backoff_duration =
-        std::min(constants::kMaxTaskErrorBackoff, constants::kTaskErrorBackoff * (1 << std::min(job.errors, 5)));
-    if (++job.errors > 1) job.not_before = exchange.now + backoff_duration;
+    const Millis backoff_duration = std::min(constants::kMaxTaskErrorBackoff,
+                                             constants::kTaskErrorBackoff * (1 << std::min(job.consecutive_errors, 5)));
+    if (++job.consecutive_errors > 1) job.not_before = exchange.now + backoff_duration;
   }
   if (machine.errors >= constants::kMaxMachineErrors) tasks_.drain_machine(machine, "repeated task failures");
 }
@@ -239,8 +243,9 @@
     Allocation& allocation = *cluster_.jobs.find_allocation(key);
     if (!allocation.durable || allocation.incarnation != exchange.heartbeat.incarnation) continue;
     Job& job = cluster_.jobs.at(key.job);
-    if (saw_term && (allocation.seen || allocation.stopping || !kept(Guard::absent_told))) {
-      tasks_.confirm_terminated(job, key.index, allocation.seen ? "no longer reported" : "never started", exchange.now);
+    if (saw_term && (allocation.reported_state || allocation.stopping || !kept(Guard::absent_told))) {
+      tasks_.confirm_terminated(job, key.index, allocation.reported_state ? "no longer reported" : "never started",
+                                exchange.now);
       tasks_.end_gang_attempt(job);
       continue;
     }
@@ -270,7 +275,7 @@
   std::set<TaskKey> reported;
   for (const wire::TaskStatus& status : heartbeat.tasks) {
     reported.insert(status.task);
-    if (status.state == TaskState::ended && cluster_.jobs.settled(status.task)) {
+    if (status.state == TaskState::ended && cluster_.jobs.is_record_current(status.task)) {
       commands.push_back(forget_command(status));
       reported.erase(status.task);
     }
@@ -278,7 +283,8 @@
   if (machine.state != MachineState::up) return commands;
   for (const TaskKey& key : machine.allocations) {
     const Allocation& allocation = *cluster_.jobs.find_allocation(key);
-    if (reported.contains(key) || allocation.incarnation != heartbeat.incarnation || allocation.seen) continue;
+    if (reported.contains(key) || allocation.incarnation != heartbeat.incarnation || allocation.reported_state)
+      continue;
     if (tasks_.can_start(cluster_.jobs.at(key.job), allocation, now))
       commands.push_back(start_command(key, allocation.attempt));
   }
@@ -289,7 +295,7 @@
   const auto entry = cluster.machines.find(heartbeat.machine);
   if (entry == cluster.machines.end()) return true;
   const bool ends_recorded = std::ranges::all_of(heartbeat.tasks, [&](const wire::TaskStatus& status) {
-    return status.state != TaskState::ended || cluster.jobs.settled(status.task);
+    return status.state != TaskState::ended || cluster.jobs.is_record_current(status.task);
   });
   return ends_recorded && std::ranges::all_of(entry->second.allocations, [&](const TaskKey& key) {
            return cluster.jobs.at(key.job)
--- a/src/control/scheduling_cycle.cpp
+++ b/src/control/scheduling_cycle.cpp
@@ -35,15 +35,15 @@
 // Counts each job's tasks in zones under evacuation; these tasks will have to restart in another zone.
 void count_stranded_tasks(ClusterState& cluster) {
   if (!cluster.settings.operators.zone_evacuation) return;
-  for (auto& [unused, job] : cluster.jobs) job.stranded = 0;
+  for (auto& [unused, job] : cluster.jobs) job.evacuating_tasks = 0;
   for (const auto& [unused, machine] : cluster.machines) {
     if (machine.allocations.empty() || machine.expired || !cluster.zone_health.leaves(machine.zone)) continue;
     const Instant until = cluster.lease_end(machine);
     for (const TaskKey& key : machine.allocations) {
       Job& job = cluster.jobs.at(key.job);
       if (job.cancelled || job.spec.kind == wire::JobKind::service) continue;
-      job.stranded_until = job.stranded == 0 ? until : std::max(job.stranded_until, until);
-      ++job.stranded;
+      job.evacuating_until = job.evacuating_tasks == 0 ? until : std::max(job.evacuating_until, until);
+      ++job.evacuating_tasks;
     }
   }
 }
@@ -102,7 +102,7 @@
       ++context.counters.jobs_planned;
       places += planner.plan_job(job, now);
     }
-    if (job.stranded > 0) places += planner.plan_stranded_tasks(job, now);
+    if (job.evacuating_tasks > 0) places += planner.plan_stranded_tasks(job, now);
   }
   context.counters.machines_examined += places;
   if (!remaining_jobs_->empty()) return false;
--- a/src/control/scheduling_queue.cpp
+++ b/src/control/scheduling_queue.cpp
@@ -22,8 +22,8 @@
   double share = 0;
   for (std::size_t r = 0; r < plan::kResourceCount; ++r) {
     if (fleet.values[r] <= 0) continue;
-    share = std::max(share,
-                     static_cast<double>(job.each.values[r]) * job.spec.tasks / static_cast<double>(fleet.values[r]));
+    share = std::max(share, static_cast<double>(job.task_resources.values[r]) * job.spec.tasks /
+                                static_cast<double>(fleet.values[r]));
   }
   const Millis work = from_seconds(share * to_seconds(booking_duration(job)) * constants::kAgingPenaltyPerWork);
   // A job that has missed its objective yields, so that jobs that can still meet theirs are not delayed by it.
@@ -63,8 +63,8 @@
   });
 }
 
-// Sets Job::borrowed of a team's jobs: whether they exceed the team's guarantee. `team` is null for a team that the
-// settings do not define; such a team has no guarantee.
+// Sets Job::is_over_guarantee of a team's jobs: whether they exceed the team's guarantee. `team` is null for a team
+// that the settings do not define; such a team has no guarantee.
 void mark_borrowed(const std::vector<Job*>& jobs, const config::Team* team) {
   double cpus = 0;
   double gpus = 0;
@@ -72,7 +72,7 @@
     const double tasks = job->spec.tasks - job->done_count;
     cpus += job->spec.cpus * tasks;
     gpus += job->spec.gpus * tasks;
-    job->borrowed = team == nullptr || cpus > team->cpus || (team->gpus > 0 && gpus > team->gpus);
+    job->is_over_guarantee = team == nullptr || cpus > team->cpus || (team->gpus > 0 && gpus > team->gpus);
   }
 }
 
@@ -91,9 +91,9 @@
     sort_for_guarantee(jobs);
     mark_borrowed(jobs, cluster.settings.team(team_name));
     for (Job* job : jobs) {
-      if ((job->pending() == 0 && job->stranded == 0) || job->not_before > now) continue;
+      if ((job->pending() == 0 && job->evacuating_tasks == 0) || job->not_before > now) continue;
       queue.push_back({.job = job,
-                       .borrowed = job->borrowed,
+                       .borrowed = job->is_over_guarantee,
                        .queued_since = effective_submission(cluster, gangs, demand, *job, now)});
     }
   }
@@ -134,7 +134,7 @@
   }
   std::vector<Job*> ordered;
   for (const classes::Rank& rank : ranking_.order()) {
-    cluster.jobs.at(rank.job).borrowed = rank.borrowed;
+    cluster.jobs.at(rank.job).is_over_guarantee = rank.borrowed;
     const auto job = queued_jobs.find(rank.job);
     if (job == queued_jobs.end()) continue;
     if (rank.of) {
--- a/src/control/scheduling_queue.h
+++ b/src/control/scheduling_queue.h
@@ -2,8 +2,8 @@
 // catalog defines any.
 //
 // Owns the ranking by class, which is kept from one pass to the next. The cluster state is passed in with each call;
-// only Job::borrowed is changed there. Plans, places and stops nothing. Performs no I/O and reads no clock (`now` is
-// passed in). Not thread-safe.
+// only Job::is_over_guarantee is changed there. Plans, places and stops nothing. Performs no I/O and reads no clock
+// (`now` is passed in). Not thread-safe.
 #pragma once
 
 #include <vector>
@@ -22,7 +22,7 @@
   [[nodiscard]] const classes::Ranking& ranking() const { return ranking_; }
 
   // Returns the jobs that have pending or stranded tasks and are not in backoff, in planning order. Updates
-  // Job::borrowed of all active jobs, and starts a new ranking if classes are in force.
+  // Job::is_over_guarantee of all active jobs, and starts a new ranking if classes are in force.
   [[nodiscard]] std::vector<Job*> order_jobs(ClusterState& cluster, const GangCoordinator& gangs,
                                              const DemandEstimator& demand, Instant now);
   // Whether the class ranking forbids stopping `victim`, a part of `running_job`, to make room for `preempting_job`.
@@ -32,7 +32,7 @@
                                           const Job& preempting_job) const;
 
  private:
-  // Starts a new ranking over all jobs and reorders `jobs` by it. Job::borrowed is set as the ranking has it.
+  // Starts a new ranking over all jobs and reorders `jobs` by it. Job::is_over_guarantee is set as the ranking has it.
   void order_jobs_by_class(ClusterState& cluster, std::vector<Job*>& jobs, Instant now);
 
   classes::Ranking ranking_;
--- a/src/control/soft_state.cpp
+++ b/src/control/soft_state.cpp
@@ -89,10 +89,10 @@
 // Returns the job's tasks that have started or have saved progress, by task index.
 std::map<std::uint32_t, standby::Task> task_hints(const Job& job) {
   std::map<std::uint32_t, standby::Task> tasks;
-  for (const auto& [index, saved] : job.saved) tasks[index].saved = saved;
+  for (const auto& [index, saved] : job.saved_progress) tasks[index].saved = saved;
   for (const JobShard& shard : job.shards) {
     for (const auto& [index, allocation] : shard.allocations) {
-      const auto began = allocation.running_since ? allocation.running_since : allocation.told_began;
+      const auto began = allocation.running_since ? allocation.running_since : allocation.hinted_start;
       if (!began) continue;
       standby::Task& task = tasks[index];
       task.attempt = allocation.attempt;
@@ -115,9 +115,9 @@
 
 void add_failures(std::vector<SoftStateEntry>& entries, const ClusterState& cluster) {
   for (const auto& [id, job] : cluster.jobs) {
-    if (job.cancelled || (job.errors == 0 && job.failed_on.empty())) continue;
+    if (job.cancelled || (job.consecutive_errors == 0 && job.failed_on.empty())) continue;
     add_entry(entries, Kind::trouble, id.text(), 0,
-              standby::Shared(standby::JobFailures{.errors = static_cast<std::uint64_t>(job.errors),
+              standby::Shared(standby::JobFailures{.errors = static_cast<std::uint64_t>(job.consecutive_errors),
                                                    .not_before = job.not_before,
                                                    .failed_on = first_elements(job.failed_on)}));
   }
@@ -244,20 +244,21 @@
   Job& job = entry->second;
   const Millis estimated = booking_duration(job);
   if (hint.saved > Millis(0)) {
-    Millis& saved = job.saved[key.number];
+    Millis& saved = job.saved_progress[key.number];
     saved = std::max(saved, std::min(hint.saved, estimated));
   }
   Allocation* allocation = cluster_.jobs.find_allocation({job.spec.id, key.number});
   if (allocation == nullptr || !hint.began || allocation->attempt != hint.attempt || !allocation->adopted ||
       allocation->running_since)
     return;
-  allocation->told_began = std::min(*hint.began, now);
-  Millis remaining = estimated - (now - *allocation->told_began);
-  if (const auto saved = job.saved.find(key.number); saved != job.saved.end()) remaining -= saved->second;
+  allocation->hinted_start = std::min(*hint.began, now);
+  Millis remaining = estimated - (now - *allocation->hinted_start);
+  if (const auto saved = job.saved_progress.find(key.number); saved != job.saved_progress.end())
+    remaining -= saved->second;
   cluster_.planner.revoke(allocation->booking);
   allocation->booking = cluster_.planner.book({.machine = allocation->machine,
                                                .team = job.spec.team,
-                                               .amounts = job.each,
+                                               .amounts = job.task_resources,
                                                .start = now,
                                                .stop = now + std::max(remaining, constants::kStartTimeout)});
 }
@@ -265,7 +266,8 @@
 void SoftStateRestorer::apply_failures(const JobId& id, const standby::JobFailures& hint, Instant now) {
   const auto job = cluster_.jobs.find(id);
   if (job == cluster_.jobs.end()) return;
-  job->second.errors = std::max(job->second.errors, static_cast<int>(std::min<std::uint64_t>(hint.errors, 99)));
+  job->second.consecutive_errors =
+      std::max(job->second.consecutive_errors, static_cast<int>(std::min<std::uint64_t>(hint.errors, 99)));
   job->second.not_before =
       std::max(job->second.not_before, std::min(hint.not_before, now + constants::kMaxTaskErrorBackoff));
   job->second.failed_on.insert(hint.failed_on.begin(), hint.failed_on.end());
--- a/src/control/task_lifecycle.cpp
+++ b/src/control/task_lifecycle.cpp
@@ -20,15 +20,18 @@
 
 void TaskLifecycle::place_task(Job& job, std::uint32_t index, AttemptNumber attempt, Machine& machine, Instant now) {
   Millis remaining = booking_duration(job);
-  if (const auto saved = job.saved.find(index); saved != job.saved.end()) {
+  if (const auto saved = job.saved_progress.find(index); saved != job.saved_progress.end()) {
     remaining = std::max(remaining - saved->second, constants::kStartTimeout);
   }
   const bool has_image = machine.images.contains(job.spec.image);
   cluster_.pools.placed({job.spec.id, index}, job.spec, has_image);
   if (!has_image) remaining += cluster_.image_fetch_duration(job.spec, machine.type);
-  Allocation& allocation = cluster_.jobs.place(job, index, attempt, machine, now);
-  allocation.booking = cluster_.planner.book(
-      {.machine = machine.id, .team = job.spec.team, .amounts = job.each, .start = now, .stop = now + remaining});
+  Allocation& allocation = cluster_.jobs.place_task(job, index, attempt, machine, now);
+  allocation.booking = cluster_.planner.book({.machine = machine.id,
+                                              .team = job.spec.team,
+                                              .amounts = job.task_resources,
+                                              .start = now,
+                                              .stop = now + remaining});
   machine.idle_since.reset();
   ++cluster_.counters.placed;
   spdlog::info("task_placed task={} attempt={} machine={}", TaskKey{job.spec.id, index}.text(), attempt.number(),
@@ -109,7 +112,7 @@
     for (const TaskKey& key : machine.allocations) {
       Allocation& allocation = *cluster_.jobs.find_allocation(key);
       machine.stopping = machine.stopping || allocation.stopping;
-      if (!allocation.stopping || allocation.incarnation != machine.incarnation || !allocation.seen) continue;
+      if (!allocation.stopping || allocation.incarnation != machine.incarnation || !allocation.reported_state) continue;
       // The answer to the next heartbeat carries the stop as well. It is sent directly only if that answer fails to
       // arrive within 1.5 heartbeat intervals.
       if (allocation.stop_due == Instant{})
@@ -135,7 +138,7 @@
   if (allocation->running_since && job.spec.checkpoint_s > 0) {
     // Complete checkpoints survive, even if the machine is lost.
     const Millis step = from_seconds(job.spec.checkpoint_s);
-    Millis& saved = job.saved[index];
+    Millis& saved = job.saved_progress[index];
     saved += std::max(Millis(0), now - *allocation->running_since) / step * step;
   }
   cluster_.needs_planning = true;
@@ -143,8 +146,8 @@
 
 void TaskLifecycle::finish_task(Job& job, std::uint32_t index, Instant now) {
   cluster_.jobs.mark_done(job, index);
-  job.saved.erase(index);
-  job.errors = 0;
+  job.saved_progress.erase(index);
+  job.consecutive_errors = 0;
   job.failed_on.clear();
   confirm_terminated(job, index, "done", now);
 }
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -44,12 +44,12 @@
   bool adopted = false;  // read from a record that an earlier leader wrote
   bool stopping = false;
   double grace_s = 0;
-  Instant stop_due;                     // when the stop command is sent directly to the machine, if it is still needed
-  std::optional<wire::TaskState> seen;  // state in the last report
-  Instant placed;
+  Instant stop_due;  // when the stop command is sent directly to the machine, if it is still needed
+  std::optional<wire::TaskState> reported_state;  // state in the last report
+  Instant placed_at;
   std::optional<Instant> running_since;
   // The start time in the soft state of an earlier leader. It counts once a report says that the task runs.
-  std::optional<Instant> told_began;
+  std::optional<Instant> hinted_start;
   plan::BookingId booking = 0;
 };
 
@@ -83,10 +83,10 @@
 
 // The tasks of a job that are recorded together, with their progress and allocations.
 struct JobShard {
-  Revision revision;      // of the shard's own key, if the job has several shards
-  bool recorded = false;  // that key may exist; also set for a write that got no answer
-  bool reload = false;    // a write failed because the record was not at `revision`; it has to be read again
-  AttemptNumber next{1};  // number for the next attempt of any task in this shard
+  Revision revision;              // of the shard's own key, if the job has several shards
+  bool may_have_record = false;   // that key may exist; also set for a write that got no answer
+  bool reload = false;            // a write failed because the record was not at `revision`; it has to be read again
+  AttemptNumber next_attempt{1};  // number for the next attempt of any task in this shard
   std::vector<bool> done;
   std::uint32_t done_count = 0;
   ShardAllocations allocations;
@@ -95,27 +95,27 @@
   bool in_flight = false;  // a transaction that writes this shard has not been answered yet
 
   // Whether the record is known to be up to date.
-  [[nodiscard]] bool settled() const { return !dirty && !in_flight; }
+  [[nodiscard]] bool is_record_current() const { return !dirty && !in_flight; }
 };
 
 // What the scheduler has planned for a job and keeps between scheduling passes. It is not stored in any record, and
 // JobTable does not read it.
 struct SchedulingState {
-  std::vector<plan::BookingId> booked;   // bookings of tasks that are not placed yet
-  std::optional<Instant> planned_start;  // planned start of the first task that waits
-  bool borrowed = false;                 // the job exceeds the guarantee of its team
-  std::optional<Instant> displaced;      // when it was last stopped for other work
-  Instant displaces_after;               // the job may not displace others before this time
-  std::uint32_t overdue_tasks = 0;  // tasks late for their calendar that a machine rented now would get done in time
-  std::uint32_t late_tasks = 0;     // tasks booked later than they should have to wait, or not booked at all
-  std::uint32_t stranded = 0;       // tasks in zones that are being evacuated
-  Instant stranded_until;           // when all of these count as terminated if no report arrives
+  std::vector<plan::BookingId> bookings;  // bookings of tasks that are not placed yet
+  std::optional<Instant> planned_start;   // planned start of the first task that waits
+  bool is_over_guarantee = false;         // the job exceeds the guarantee of its team
+  std::optional<Instant> preempted_at;    // when it was last stopped for other work
+  Instant may_preempt_after;              // the job may not displace others before this time
+  std::uint32_t overdue_tasks = 0;     // tasks late for their calendar that a machine rented now would get done in time
+  std::uint32_t late_tasks = 0;        // tasks booked later than they should have to wait, or not booked at all
+  std::uint32_t evacuating_tasks = 0;  // tasks in zones that are being evacuated
+  Instant evacuating_until;            // when all of these count as terminated if no report arrives
 };
 
 // A job with its tasks, shards and allocations.
 struct Job : SchedulingState {
   wire::JobSpec spec;
-  ResourceAmounts each;  // resources of one task
+  ResourceAmounts task_resources;  // resources of one task
   Instant submitted;
   std::int64_t submitted_wall_ms = 0;
   Revision revision;  // of live/<job>
@@ -124,17 +124,17 @@
   std::uint32_t allocation_count = 0;
   bool cancelled = false;
   bool had_allocations = false;  // a linger/ record may exist
-  bool begun = false;            // this leader has seen a task of it running
-  Instant shown;                 // when the displayed counts were last written, if the job has several shards
+  bool has_run = false;          // this leader has seen a task of it running
+  Instant counts_written_at;     // when the displayed counts were last written, if the job has several shards
   // A write found the job record at another revision, or the record was reported deleted while a write was in flight.
   // The record has to be read again.
   bool reload = false;
-  Instant not_before;  // no task is placed before this time; set after errors
-  int errors = 0;      // consecutive errors, on different machines
+  Instant not_before;          // no task is placed before this time; set after errors
+  int consecutive_errors = 0;  // consecutive errors, on different machines
   std::set<MachineId> failed_on;
-  std::map<std::uint32_t, Millis> saved;  // progress known to be saved, by task
-  std::optional<Instant> gather_until;    // until then, a gang that loses a task before its start gets a replacement
-  bool in_stages = false;                 // the job is a gang, and its tasks that fetch data longest are placed first
+  std::map<std::uint32_t, Millis> saved_progress;  // progress known to be saved, by task
+  std::optional<Instant> barrier_deadline;  // until then, a gang that loses a task before its start gets a replacement
+  bool is_placed_in_stages = false;         // the job is a gang, and its tasks that fetch data longest are placed first
 
   // The number of tasks that are neither done nor placed.
   [[nodiscard]] std::uint32_t pending() const { return spec.tasks - done_count - allocation_count; }
--- a/src/jobs/job_table.cpp
+++ b/src/jobs/job_table.cpp
@@ -15,12 +15,12 @@
   return allocation == shard.allocations.end() ? nullptr : &allocation->second;
 }
 
-std::vector<std::uint32_t> JobTable::pending_tasks(const Job& job, std::uint32_t most) {
+std::vector<std::uint32_t> JobTable::pending_tasks(const Job& job, std::uint32_t max_count) {
   std::vector<std::uint32_t> tasks;
-  for (std::uint32_t number = 0; number < job.shards.size() && tasks.size() < most; ++number) {
+  for (std::uint32_t number = 0; number < job.shards.size() && tasks.size() < max_count; ++number) {
     const JobShard& shard = job.shards[number];
     if (shard.done_count + shard.allocations.size() == shard.done.size()) continue;
-    for (std::uint32_t at = 0; at < shard.done.size() && tasks.size() < most; ++at) {
+    for (std::uint32_t at = 0; at < shard.done.size() && tasks.size() < max_count; ++at) {
       const std::uint32_t index = number * constants::kTasksPerShard + at;
       if (!shard.done[at] && !shard.allocations.contains(index)) tasks.push_back(index);
     }
@@ -33,10 +33,10 @@
   return known == team_use_.end() ? ResourceAmounts{} : known->second;
 }
 
-bool JobTable::settled(const TaskKey& task) const {
+bool JobTable::is_record_current(const TaskKey& task) const {
   const auto entry = jobs_.find(task.job);
   if (entry == jobs_.end() || task.index >= entry->second.spec.tasks || entry->second.cancelled) return true;
-  return entry->second.shards[task.index / constants::kTasksPerShard].settled();
+  return entry->second.shards[task.index / constants::kTasksPerShard].is_record_current();
 }
 
 bool JobTable::all_durable(const Job& job) {
@@ -51,7 +51,7 @@
                    inventory::MachineInventory& machines, Instant now) {
   Job& job = jobs_[record.spec.id];
   job.spec = record.spec;
-  job.each = ResourceAmounts::from(record.spec.cpus, record.spec.gpus, record.spec.ram_gb);
+  job.task_resources = ResourceAmounts::from(record.spec.cpus, record.spec.gpus, record.spec.ram_gb);
   job.submitted_wall_ms = record.submitted_wall_ms;
   job.submitted = now - Millis(std::max<std::int64_t>(0, wall_ms - record.submitted_wall_ms));
   job.not_before = job.submitted;
@@ -67,7 +67,7 @@
 void JobTable::adopt_shard(Job& job, std::uint32_t number, const state::JobShardRecord& record,
                            inventory::MachineInventory& machines, Instant now) {
   JobShard& shard = job.shards[number];
-  shard.next = record.next;
+  shard.next_attempt = record.next;
   shard.done = record.done;
   shard.done_count = static_cast<std::uint32_t>(std::ranges::count(shard.done, true));
   job.done_count += shard.done_count;
@@ -77,9 +77,9 @@
                           .incarnation = allocation_record.incarnation};
     allocation.durable.set();
     allocation.adopted = true;
-    allocation.placed = now;
+    allocation.placed_at = now;
     machines.know(allocation.machine, now).machine.allocations.insert({job.spec.id, allocation_record.index});
-    team_use_[job.spec.team] += job.each;
+    team_use_[job.spec.team] += job.task_resources;
     shard.allocations.add(allocation_record.index, allocation);
     ++job.allocation_count;
     job.had_allocations = true;
@@ -87,7 +87,7 @@
 }
 
 bool JobTable::on_record(const JobId& id, Revision revision) {
-  if (ended_.contains(id)) return false;
+  if (removed_jobs_.contains(id)) return false;
   const auto known = jobs_.find(id);
   if (known == jobs_.end()) return true;
   Job& job = known->second;
@@ -97,8 +97,8 @@
   return false;
 }
 
-Job* JobTable::on_removed(const JobId& id) {
-  ended_.erase(id);
+Job* JobTable::on_record_deleted(const JobId& id) {
+  removed_jobs_.erase(id);
   const auto known = jobs_.find(id);
   if (known == jobs_.end() || known->second.cancelled) return nullptr;
   Job& job = known->second;
@@ -121,7 +121,7 @@
   return std::nullopt;
 }
 
-bool JobTable::has_unread() const {
+bool JobTable::has_job_reload() const {
   return std::ranges::any_of(jobs_, [](const auto& entry) { return entry.second.reload; });
 }
 
@@ -143,7 +143,7 @@
     job.revision = *revision;
     return nullptr;
   }
-  ended_.insert(reload.job);
+  removed_jobs_.insert(reload.job);
   return &job;
 }
 
@@ -165,30 +165,30 @@
   return never_started;
 }
 
-void JobTable::touch(Job& job, std::uint32_t number, Instant now) {
+void JobTable::mark_dirty(Job& job, std::uint32_t number, Instant now) {
   JobShard& shard = job.shards[number];
-  if (shard.settled()) shard.dirty_since = now;
+  if (shard.is_record_current()) shard.dirty_since = now;
   shard.dirty = true;
   if (!job.cancelled || job.allocation_count == 0) dirty_.insert({job.spec.id, job.cancelled ? 0 : number});
 }
 
-Job JobTable::take_out(const JobId& id) {
-  erase_dirty_parts(id);
+Job JobTable::extract_job(const JobId& id) {
+  erase_dirty_shards(id);
   return std::move(jobs_.extract(id).mapped());
 }
 
 // ---- allocations ----
 
-Allocation& JobTable::place(Job& job, std::uint32_t index, AttemptNumber attempt, inventory::Machine& machine,
-                            Instant now) {
+Allocation& JobTable::place_task(Job& job, std::uint32_t index, AttemptNumber attempt, inventory::Machine& machine,
+                                 Instant now) {
   JobShard& shard = job.shards[index / constants::kTasksPerShard];
   Allocation allocation{.attempt = attempt, .machine = machine.id, .incarnation = machine.incarnation};
-  allocation.placed = now;
+  allocation.placed_at = now;
   machine.allocations.insert({job.spec.id, index});
-  team_use_[job.spec.team] += job.each;
-  shard.next = std::max(shard.next, attempt.next());
+  team_use_[job.spec.team] += job.task_resources;
+  shard.next_attempt = std::max(shard.next_attempt, attempt.next());
   ++job.allocation_count;
-  touch(job, index / constants::kTasksPerShard, now);
+  mark_dirty(job, index / constants::kTasksPerShard, now);
   return shard.allocations.add(index, allocation);
 }
 
@@ -209,11 +209,11 @@
   const Allocation allocation = entry->second;
   shard.allocations.remove(entry);
   --job.allocation_count;
-  team_use_[job.spec.team] -= job.each;
+  team_use_[job.spec.team] -= job.task_resources;
   if (const auto machine = machines.find(allocation.machine); machine != machines.end()) {
     machine->second.allocations.erase({job.spec.id, index});
   }
-  touch(job, number, now);
+  mark_dirty(job, number, now);
   return allocation;
 }
 
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -63,13 +63,13 @@
   [[nodiscard]] const std::map<JobId, Job>& all() const { return jobs_; }
   // The allocation of the task, or null if the task is unknown or not placed.
   [[nodiscard]] Allocation* find_allocation(const TaskKey& task);
-  // Indices of tasks that are neither done nor placed, in ascending order; at most `most` of them.
-  [[nodiscard]] static std::vector<std::uint32_t> pending_tasks(const Job& job, std::uint32_t most);
+  // Indices of tasks that are neither done nor placed, in ascending order; at most `max_count` of them.
+  [[nodiscard]] static std::vector<std::uint32_t> pending_tasks(const Job& job, std::uint32_t max_count);
   // Resources of all allocations of the team that are not yet confirmed terminated.
   [[nodiscard]] ResourceAmounts team_use(const std::string& team) const;
   // Whether the record of the task's shard is up to date, with no write of it pending or in flight. Also true if the
   // task is unknown or its job is cancelled, because its result is then no longer needed.
-  [[nodiscard]] bool settled(const TaskKey& task) const;
+  [[nodiscard]] bool is_record_current(const TaskKey& task) const;
   // Whether the store is known to hold every placement of the job.
   [[nodiscard]] static bool all_durable(const Job& job);
 
@@ -88,11 +88,11 @@
   // To be called when the watch reports that live/<job> was deleted. Returns the job that the caller must cancel, or
   // null if the job is unknown or already cancelled. If a write of the job is in flight, this leader may have deleted
   // the record itself; the result of that write decides, and null is returned.
-  [[nodiscard]] Job* on_removed(const JobId& id);
+  [[nodiscard]] Job* on_record_deleted(const JobId& id);
   // The next record that has to be read again. Jobs with a write in flight are skipped.
   [[nodiscard]] std::optional<Reload> next_reload() const;
   // Whether the job record of any job has to be read again, now or once the write in flight has ended.
-  [[nodiscard]] bool has_unread() const;
+  [[nodiscard]] bool has_job_reload() const;
   // To be called with the revision at which a record was found, or without one if the record does not exist. Returns
   // the job that the caller must cancel because its job record no longer exists, otherwise null.
   [[nodiscard]] Job* on_reloaded(const Reload& reload, std::optional<Revision> revision);
@@ -102,7 +102,8 @@
 
   // ---- allocations ----
   // Records the placement of task `index` on the machine. The task must not be placed already.
-  Allocation& place(Job& job, std::uint32_t index, AttemptNumber attempt, inventory::Machine& machine, Instant now);
+  Allocation& place_task(Job& job, std::uint32_t index, AttemptNumber attempt, inventory::Machine& machine,
+                         Instant now);
   // Marks a task as done; has no effect if it already is.
   void mark_done(Job& job, std::uint32_t index);
   // Removes the allocation of a task that is confirmed to have terminated, and returns it; returns nothing if the task
@@ -112,10 +113,10 @@
 
   // ---- writes ----
   // Whether any record is out of date and no write of it has begun.
-  [[nodiscard]] bool writes_wanted() const { return !dirty_.empty(); }
-  // Builds one transaction from the writes that may begin now. It makes at most `ops_most` changes and requires that
+  [[nodiscard]] bool has_pending_writes() const { return !dirty_.empty(); }
+  // Builds one transaction from the writes that may begin now. It makes at most `max_changes` changes and requires that
   // the term record is still at `term_revision`. Returns nothing if no write can begin now.
-  [[nodiscard]] std::optional<WriteBatch> begin_write(Revision term_revision, std::size_t ops_most, Instant now);
+  [[nodiscard]] std::optional<WriteBatch> begin_write(Revision term_revision, std::size_t max_changes, Instant now);
   // Applies the result of a write that begin_write() returned. Returns the jobs that were removed from the table
   // because they have neither allocations nor active, terminating or shard records left.
   std::vector<Job> end_write(const WriteBatch& batch, const kv::TxnResult& result, Instant now);
@@ -126,23 +127,23 @@
  private:
   class ConsistencyCheck;  // in job_table_consistency.cpp
 
-  struct PartKey {
+  struct ShardKey {
     JobId job;
     std::uint32_t shard = 0;
-    friend auto operator<=>(const PartKey&, const PartKey&) = default;
+    friend auto operator<=>(const ShardKey&, const ShardKey&) = default;
   };
-  using DirtyParts = std::set<PartKey>;
+  using DirtyShards = std::set<ShardKey>;
 
   // Marks a shard as dirty and schedules a write, unless the job is cancelled and still has allocations: its records
   // are then kept until the last allocation is confirmed terminated.
-  void touch(Job& job, std::uint32_t number, Instant now);
+  void mark_dirty(Job& job, std::uint32_t number, Instant now);
   // Removes the job from the table and returns it.
-  Job take_out(const JobId& id);
+  Job extract_job(const JobId& id);
 
   // Steps of begin_write(). They return the first dirty shard after those they have removed from the set.
-  DirtyParts::iterator on_part_write_begun(Job& job, const PartKey& key);
-  DirtyParts::iterator on_job_write_begun(Job& job);
-  DirtyParts::iterator erase_dirty_parts(const JobId& job);
+  DirtyShards::iterator on_shard_write_begun(Job& job, const ShardKey& key);
+  DirtyShards::iterator on_job_write_begun(Job& job);
+  DirtyShards::iterator erase_dirty_shards(const JobId& job);
 
   // Steps of end_write().
   void on_write_failed(Job& job, const WriteItem& item, const kv::TxnResult& result);
@@ -152,8 +153,8 @@
   static void make_durable(JobShard& shard, const std::vector<AllocationReference>& written, Instant now);
 
   std::map<JobId, Job> jobs_;
-  DirtyParts dirty_;       // shards whose records are out of date
-  std::set<JobId> ended_;  // jobs whose active record was removed; the watch may still report it
+  DirtyShards dirty_;             // shards whose records are out of date
+  std::set<JobId> removed_jobs_;  // jobs whose active record was removed; the watch may still report it
   std::map<std::string, ResourceAmounts> team_use_;  // resources of allocations that are not confirmed terminated
 };
 
--- a/src/jobs/job_table_consistency.cpp
+++ b/src/jobs/job_table_consistency.cpp
@@ -50,7 +50,7 @@
         return key.text() + ": is allocated in the wrong shard";
       if (Finding found = check_allocation(key, shard, allocation)) return found;
       ++allocations_by_machine_[allocation.machine];
-      used_by_team_[job.spec.team] += job.each;
+      used_by_team_[job.spec.team] += job.task_resources;
     }
     if (shard.dirty && !job.cancelled && !table_.dirty_.contains({id, number}))
       return where + ": is dirty but has no write scheduled";
@@ -59,9 +59,9 @@
 
   [[nodiscard]] Finding check_allocation(const TaskKey& key, const JobShard& shard,
                                          const Allocation& allocation) const {
-    if (allocation.attempt >= shard.next && !allocation.adopted)
+    if (allocation.attempt >= shard.next_attempt && !allocation.adopted)
       return key.text() + ": its attempt number may be reused";
-    if (!allocation.durable && shard.settled())
+    if (!allocation.durable && shard.is_record_current())
       return key.text() + ": its placement is not durable and has no write scheduled";
     const auto machine = machines_.find(allocation.machine);
     if (machine == machines_.end()) return key.text() + ": its machine is not in the inventory";
--- a/src/jobs/job_table_writes.cpp
+++ b/src/jobs/job_table_writes.cpp
@@ -43,7 +43,7 @@
   switch (item.kind) {
     case WriteItem::Kind::update: return false;
     case WriteItem::Kind::finish: return job.shards.size() == 1;
-    case WriteItem::Kind::remove: return item.removes_last;
+    case WriteItem::Kind::remove: return item.removes_last_record;
   }
   return false;
 }
@@ -52,8 +52,8 @@
 
 // ---- begin ----
 
-std::optional<WriteBatch> JobTable::begin_write(Revision term_revision, std::size_t ops_most, Instant now) {
-  WriteBatchBuilder batch(term_revision, ops_most);
+std::optional<WriteBatch> JobTable::begin_write(Revision term_revision, std::size_t max_changes, Instant now) {
+  WriteBatchBuilder batch(term_revision, max_changes);
   for (auto at = dirty_.begin(); at != dirty_.end();) {
     const auto entry = jobs_.find(at->job);
     if (entry == jobs_.end()) {
@@ -61,20 +61,20 @@
       continue;
     }
     Job& job = entry->second;
-    const PartKey key = *at;
+    const ShardKey key = *at;
     if (!can_write(job, key.shard, batch)) {
       ++at;
       continue;
     }
     if (!batch.has_room_for(job, next_write(job))) break;
     add_next_write(job, key.shard, batch, now);
-    at = next_write(job) == WriteItem::Kind::update ? on_part_write_begun(job, key) : on_job_write_begun(job);
+    at = next_write(job) == WriteItem::Kind::update ? on_shard_write_begun(job, key) : on_job_write_begun(job);
   }
   if (batch.is_empty()) return std::nullopt;
   return batch.take();
 }
 
-JobTable::DirtyParts::iterator JobTable::on_part_write_begun(Job& job, const PartKey& key) {
+JobTable::DirtyShards::iterator JobTable::on_shard_write_begun(Job& job, const ShardKey& key) {
   JobShard& shard = job.shards[key.shard];
   shard.dirty = false;
   shard.in_flight = true;
@@ -82,13 +82,13 @@
   return dirty_.upper_bound(key);
 }
 
-JobTable::DirtyParts::iterator JobTable::on_job_write_begun(Job& job) {
+JobTable::DirtyShards::iterator JobTable::on_job_write_begun(Job& job) {
   for (JobShard& shard : job.shards) shard.dirty = false;
   job.shards.front().in_flight = true;
-  return erase_dirty_parts(job.spec.id);
+  return erase_dirty_shards(job.spec.id);
 }
 
-JobTable::DirtyParts::iterator JobTable::erase_dirty_parts(const JobId& job) {
+JobTable::DirtyShards::iterator JobTable::erase_dirty_shards(const JobId& job) {
   return dirty_.erase(dirty_.lower_bound({job, 0}), dirty_.upper_bound({job, UINT32_MAX}));
 }
 
@@ -112,7 +112,7 @@
       case WriteItem::Kind::finish: on_finished(job, now); break;
       case WriteItem::Kind::remove: on_records_removed(job, item); break;
     }
-    if (leaves_no_record(job, item)) erased.push_back(take_out(item.job));
+    if (leaves_no_record(job, item)) erased.push_back(extract_job(item.job));
   }
   return erased;
 }
@@ -133,7 +133,7 @@
 
 void JobTable::on_updated(Job& job, const WriteItem& item, Revision revision, Instant now) {
   JobShard& shard = job.shards[item.shard];
-  if (job.shards.size() == 1 || item.header) job.revision = revision;
+  if (job.shards.size() == 1 || item.writes_job_record) job.revision = revision;
   if (job.shards.size() > 1) shard.revision = revision;
   make_durable(shard, item.not_durable, now);
   if (!item.not_durable.empty()) job.had_allocations = true;
@@ -146,7 +146,7 @@
     const auto allocation = shard.allocations.find(index);
     if (allocation == shard.allocations.end() || allocation->second.attempt != attempt) continue;
     allocation->second.durable.set();
-    allocation->second.placed = now;
+    allocation->second.placed_at = now;
   }
 }
 
@@ -154,18 +154,18 @@
   const JobId& id = job.spec.id;
   spdlog::info("job_finished job={} tasks={} since_submission_s={:.1f}", id.text(), job.spec.tasks,
                std::chrono::duration<double>(now - job.submitted).count());
-  ended_.insert(id);
+  removed_jobs_.insert(id);
   if (job.shards.size() == 1) return;
   job.cancelled = true;  // its shard records are removed like those of a cancelled job
   dirty_.insert({id, 0});
 }
 
 void JobTable::on_records_removed(Job& job, const WriteItem& item) {
-  for (const std::uint32_t removed_shard : item.removed_parts) {
+  for (const std::uint32_t removed_shard : item.removed_shards) {
     job.shards[removed_shard].revision = Revision{};
-    job.shards[removed_shard].recorded = false;
+    job.shards[removed_shard].may_have_record = false;
   }
-  if (!item.removes_last) dirty_.insert({item.job, 0});
+  if (!item.removes_last_record) dirty_.insert({item.job, 0});
 }
 
 }  // namespace foxshunt::jobs
--- a/src/jobs/write_batch.cpp
+++ b/src/jobs/write_batch.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 state::JobShardRecord shard_record(const JobShard& shard) {
-  state::JobShardRecord record{.next = shard.next, .done = shard.done, .allocations = {}};
+  state::JobShardRecord record{.next = shard.next_attempt, .done = shard.done, .allocations = {}};
   for (const auto& [index, allocation] : shard.allocations) {
     record.allocations.push_back({.index = index,
                                   .attempt = allocation.attempt,
@@ -71,7 +71,7 @@
                  .job = job.spec.id,
                  .shard = number,
                  .not_durable = non_durable_allocations(shard),
-                 .removed_parts = {}};
+                 .removed_shards = {}};
   if (job.shards.size() == 1) {
     state::JobRecord whole = job_header(job);
     whole.whole = shard_record(shard);
@@ -79,12 +79,12 @@
   } else {
     const std::string key = state::job_shard_key(job.spec.id, number);
     if (kept(Guard::write_part)) require(key, shard.revision);
-    shard.recorded = true;
+    shard.may_have_record = true;
     set(key, state::to_value(shard_record(shard)));
     // The displayed counts may lag by up to kDisplayedCountsInterval.
-    if (now - job.shown >= constants::kDisplayedCountsInterval && free_changes() > 0) {
-      job.shown = now;
-      item.header = true;
+    if (now - job.counts_written_at >= constants::kDisplayedCountsInterval && free_changes() > 0) {
+      job.counts_written_at = now;
+      item.writes_job_record = true;
       state::JobRecord header = job_header(job);
       header.done_shown = job.done_count;
       header.running_shown = job.allocation_count;
@@ -104,24 +104,24 @@
   // The shard records are removed in later batches. The terminating record lets a new leader find the job until then.
   if (job.shards.size() > 1) set(state::terminating_job_key(id), state::to_value(job_header(job)));
   batch_.items.push_back(
-      {.kind = WriteItem::Kind::finish, .job = id, .shard = 0, .not_durable = {}, .removed_parts = {}});
+      {.kind = WriteItem::Kind::finish, .job = id, .shard = 0, .not_durable = {}, .removed_shards = {}});
 }
 
 void WriteBatchBuilder::add_removal(const Job& job) {
   const JobId& id = job.spec.id;
-  WriteItem item{.kind = WriteItem::Kind::remove, .job = id, .shard = 0, .not_durable = {}, .removed_parts = {}};
+  WriteItem item{.kind = WriteItem::Kind::remove, .job = id, .shard = 0, .not_durable = {}, .removed_shards = {}};
   if (job.shards.size() > 1) {
     // One change is reserved for the terminating record.
     for (std::uint32_t shard = 0; shard < job.shards.size() && free_changes() > 1; ++shard) {
-      if (!job.shards[shard].recorded) continue;
+      if (!job.shards[shard].may_have_record) continue;
       remove(state::job_shard_key(id, shard));
-      item.removed_parts.push_back(shard);
+      item.removed_shards.push_back(shard);
     }
   }
-  const auto recorded = std::ranges::count_if(job.shards, [](const JobShard& shard) { return shard.recorded; });
-  if (static_cast<std::size_t>(recorded) == item.removed_parts.size()) {
+  const auto recorded = std::ranges::count_if(job.shards, [](const JobShard& shard) { return shard.may_have_record; });
+  if (static_cast<std::size_t>(recorded) == item.removed_shards.size()) {
     remove(state::terminating_job_key(id));
-    item.removes_last = true;
+    item.removes_last_record = true;
   }
   batch_.items.push_back(std::move(item));
 }
--- a/src/jobs/write_batch.h
+++ b/src/jobs/write_batch.h
@@ -31,10 +31,10 @@
   Kind kind = Kind::update;
   JobId job;
   std::uint32_t shard = 0;                       // update: the shard that is written; otherwise 0
-  bool header = false;                           // update: the job record is written as well
+  bool writes_job_record = false;                // update: the job record is written as well
   std::vector<AllocationReference> not_durable;  // update: allocations that this write makes durable
-  std::vector<std::uint32_t> removed_parts;      // remove: shards whose records are removed
-  bool removes_last = false;                     // remove: no record of the job is left afterwards
+  std::vector<std::uint32_t> removed_shards;     // remove: shards whose records are removed
+  bool removes_last_record = false;              // remove: no record of the job is left afterwards
 };
 
 // A transaction and the items that it consists of.
--- a/tests/explorer/digest.cpp
+++ b/tests/explorer/digest.cpp
@@ -101,15 +101,15 @@
       event.data ? data(event.key, *event.data) : void(out << event.key << "gone");
     for (const auto& [id, job] : controller.jobs()) {
       out << id.text() << (job.revision == mark_now(state::active_job_key(id))) << job.cancelled << job.had_allocations
-          << job.reload << job.done_count << job.begun << job.errors << away(job.not_before) << job.failed_on.size()
-          << (job.gather_until ? away(*job.gather_until) : "-");
+          << job.reload << job.done_count << job.has_run << job.consecutive_errors << away(job.not_before)
+          << job.failed_on.size() << (job.barrier_deadline ? away(*job.barrier_deadline) : "-");
       for (const jobs::JobShard& part : job.shards) {
-        out << part.next << part.dirty << part.in_flight << part.reload;
+        out << part.next_attempt << part.dirty << part.in_flight << part.reload;
         for (const bool done : part.done) out << (done ? 1 : 0);
         for (const auto& [index, run] : part.allocations) {
           out << index << run.attempt << run.machine.text() << run.incarnation << static_cast<bool>(run.durable)
-              << run.adopted << run.stopping << away(run.stop_due) << (run.seen ? static_cast<int>(*run.seen) : -1)
-              << away(run.placed);
+              << run.adopted << run.stopping << away(run.stop_due)
+              << (run.reported_state ? static_cast<int>(*run.reported_state) : -1) << away(run.placed_at);
         }
       }
     }
--- a/tests/unit/cluster_fixture.h
+++ b/tests/unit/cluster_fixture.h
@@ -71,7 +71,7 @@
   }
 
   jobs::Allocation& place(Job& job, std::uint32_t index, Machine& machine) {
-    return cluster_.jobs.place(job, index, AttemptNumber(1), machine, now_);
+    return cluster_.jobs.place_task(job, index, AttemptNumber(1), machine, now_);
   }
 
   ClusterState cluster_;
--- a/tests/unit/deadline_planner_test.cpp
+++ b/tests/unit/deadline_planner_test.cpp
@@ -9,11 +9,11 @@
  protected:
   DeadlineContext context() const { return {cluster_, demand_, capacity_, ranking_}; }
   void book(Job& job, const Machine& machine, std::uint32_t tasks, Instant stop) {
-    job.booked.push_back(cluster_.planner.book({.machine = machine.id,
-                                                .team = job.spec.team,
-                                                .amounts = job.each.times(tasks),
-                                                .start = stop - Millis(60'000),
-                                                .stop = stop}));
+    job.bookings.push_back(cluster_.planner.book({.machine = machine.id,
+                                                  .team = job.spec.team,
+                                                  .amounts = job.task_resources.times(tasks),
+                                                  .start = stop - Millis(60'000),
+                                                  .stop = stop}));
   }
 
   DeadlinePlanner deadlines_;
--- a/tests/unit/gang_coordinator_test.cpp
+++ b/tests/unit/gang_coordinator_test.cpp
@@ -15,7 +15,7 @@
 
   // Places two of the three members; both are reported in that state.
   void place_two(TaskState state) {
-    for (const std::uint32_t index : {0U, 1U}) place(job_, index, machine_).seen = state;
+    for (const std::uint32_t index : {0U, 1U}) place(job_, index, machine_).reported_state = state;
   }
 
   Job& job_;
@@ -26,14 +26,14 @@
   EXPECT_FALSE(GangCoordinator::is_waiting_at_barrier(job_));  // no member is placed
   place_two(TaskState::waiting);
   EXPECT_TRUE(GangCoordinator::is_waiting_at_barrier(job_));
-  cluster_.jobs.find_allocation({job_.spec.id, 1})->seen = TaskState::running;
+  cluster_.jobs.find_allocation({job_.spec.id, 1})->reported_state = TaskState::running;
   EXPECT_FALSE(GangCoordinator::is_waiting_at_barrier(job_));
 }
 
 TEST_F(GangCoordinatorTest, AMemberLostBeforeTheStartIsReplaced) {
   place_two(TaskState::waiting);
   EXPECT_TRUE(GangCoordinator::handle_member_loss(cluster_, job_, false, now_));
-  EXPECT_TRUE(job_.gather_until.has_value());
+  EXPECT_TRUE(job_.barrier_deadline.has_value());
   EXPECT_TRUE(cluster_.needs_planning);
   EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, now_), MissingMemberAction::replace);
 }
@@ -41,13 +41,13 @@
 TEST_F(GangCoordinatorTest, AMemberLostAfterTheStartEndsTheAttempt) {
   place_two(TaskState::waiting);
   EXPECT_FALSE(GangCoordinator::handle_member_loss(cluster_, job_, true, now_));
-  EXPECT_FALSE(job_.gather_until.has_value());
+  EXPECT_FALSE(job_.barrier_deadline.has_value());
 }
 
 TEST_F(GangCoordinatorTest, TheAttemptEndsWhenTheBarrierTimesOut) {
   place_two(TaskState::waiting);
   GangCoordinator::hold_start_barrier(cluster_, job_, now_);
-  const Instant until = *job_.gather_until;
+  const Instant until = *job_.barrier_deadline;
   EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, until), MissingMemberAction::replace);
   EXPECT_EQ(GangCoordinator::choose_missing_member_action(cluster_, job_, until + Millis(1)),
             MissingMemberAction::end_attempt);
@@ -61,7 +61,7 @@
 TEST_F(GangCoordinatorTest, ALongWaitingGangGetsTheReservationUnlessItsTeamsQuotaIsUsedUp) {
   GangCoordinator gangs;
   DemandEstimator demand;
-  demand.record_job(job_.spec, job_.each, job_.submitted);
+  demand.record_job(job_.spec, job_.task_resources, job_.submitted);
   gangs.choose_reservation_holder(cluster_, demand, now_);
   EXPECT_FALSE(gangs.holds_reservation(job_.spec.id));
   now_ += constants::kReservationAfter;
--- a/tests/unit/job_table_test.cpp
+++ b/tests/unit/job_table_test.cpp
@@ -53,7 +53,7 @@
   }
   // The watch reports that the record of an active job was deleted.
   void on_cancel_reported(const JobId& id) {
-    if (Job* job = table_.on_removed(id)) cancel_in_table(*job);
+    if (Job* job = table_.on_record_deleted(id)) cancel_in_table(*job);
   }
   // Cancels the job in the table and confirms the tasks that were never started.
   void cancel_in_table(Job& job) {
@@ -63,8 +63,8 @@
     EXPECT_TRUE(table_.confirm_terminated(job, index, machines_, now_));
   }
   void place(Job& job, std::uint32_t index, const MachineId& machine = kMachine) {
-    const AttemptNumber attempt = job.shards[index / constants::kTasksPerShard].next;
-    table_.place(job, index, attempt, machines_.know(machine, now_).machine, now_);
+    const AttemptNumber attempt = job.shards[index / constants::kTasksPerShard].next_attempt;
+    table_.place_task(job, index, attempt, machines_.know(machine, now_).machine, now_);
   }
   std::optional<WriteBatch> begin() { return table_.begin_write(term_revision_, kMaxOps, now_); }
   // Begins a write and applies its result. Returns false if there was nothing to write.
@@ -116,7 +116,7 @@
   submit(kJob, 2);
   Job& job = table_.at(kJob);
   place(job, 0);
-  EXPECT_FALSE(table_.settled({kJob, 0}));
+  EXPECT_FALSE(table_.is_record_current({kJob, 0}));
   const auto first = begin();
   ASSERT_TRUE(first);
   EXPECT_FALSE(begin());  // a job has one transaction in flight at a time
@@ -128,8 +128,8 @@
   EXPECT_FALSE(JobTable::all_durable(job));
   EXPECT_TRUE(write());
   EXPECT_TRUE(JobTable::all_durable(job));
-  EXPECT_TRUE(table_.settled({kJob, 0}));
-  EXPECT_FALSE(table_.writes_wanted());
+  EXPECT_TRUE(table_.is_record_current({kJob, 0}));
+  EXPECT_FALSE(table_.has_pending_writes());
 }
 
 // A write without an answer may have been applied, or may still be. The retry requires the same revision, so that one
@@ -214,7 +214,7 @@
   EXPECT_FALSE(write());
   EXPECT_FALSE(machines_.forget(kMachine));  // a machine with an unconfirmed allocation is kept
   EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::ok);
-  EXPECT_EQ(table_.team_use("red"), job.each);
+  EXPECT_EQ(table_.team_use("red"), job.task_resources);
   confirm_termination(job, 0);
   EXPECT_TRUE(write());
   EXPECT_EQ(store_.get(state::terminating_job_key(kJob)).answer, kv::Answer::not_found);
@@ -228,7 +228,7 @@
   place(job, 0);
   const auto batch = begin();
   ASSERT_TRUE(cancel(kJob));
-  EXPECT_EQ(table_.on_removed(kJob), nullptr);
+  EXPECT_EQ(table_.on_record_deleted(kJob), nullptr);
   EXPECT_FALSE(table_.next_reload());
   table_.end_write(*batch, store_.txn(batch->txn), now_);
   ASSERT_TRUE(table_.next_reload());
@@ -254,7 +254,7 @@
   EXPECT_TRUE(write());
   EXPECT_EQ(table_.size(), 0U);
   EXPECT_FALSE(table_.on_record(kJob, revision));
-  EXPECT_EQ(table_.on_removed(kJob), nullptr);
+  EXPECT_EQ(table_.on_record_deleted(kJob), nullptr);
 }
 
 TEST_F(JobTableTest, AdoptsAllocationsFromRecords) {
@@ -275,8 +275,8 @@
   EXPECT_EQ(job.allocation_count, 2U);
   EXPECT_TRUE(next.find_allocation({kJob, 150})->durable);
   EXPECT_TRUE(machines.at(kMachine).allocations.contains({kJob, 5}));
-  EXPECT_EQ(next.team_use("red"), job.each.times(2));
-  EXPECT_FALSE(next.writes_wanted());
+  EXPECT_EQ(next.team_use("red"), job.task_resources.times(2));
+  EXPECT_FALSE(next.has_pending_writes());
   EXPECT_FALSE(next.find_inconsistency(machines));
 }
 
--- a/tests/unit/reconciler_test.cpp
+++ b/tests/unit/reconciler_test.cpp
@@ -63,7 +63,7 @@
   const auto commands = reconciler_.on_heartbeat(
       heartbeat({{.task = task_, .attempt = AttemptNumber(1), .state = TaskState::running}}), now_);
   EXPECT_TRUE(commands.empty());
-  EXPECT_EQ(allocation().seen, TaskState::running);
+  EXPECT_EQ(allocation().reported_state, TaskState::running);
   EXPECT_EQ(allocation().running_since, now_);
 }
 
@@ -76,7 +76,7 @@
 }
 
 TEST_F(ReconcilerTest, ConfirmsNothingIfAgentHasNotSeenTheTerm) {
-  allocation().seen = TaskState::running;
+  allocation().reported_state = TaskState::running;
   wire::Heartbeat old_term_heartbeat = heartbeat({});
   old_term_heartbeat.term = Term(6);
   (void)reconciler_.on_heartbeat(old_term_heartbeat, now_);
--- a/tests/unit/scheduling_cycle_test.cpp
+++ b/tests/unit/scheduling_cycle_test.cpp
@@ -49,7 +49,7 @@
   Job& job = add_job(spec_of("j-000001", 2));
   EXPECT_TRUE(plan());
   EXPECT_EQ(job.allocation_count, 0U);
-  EXPECT_TRUE(job.booked.empty());  // the tasks fit now, so that no later start is booked
+  EXPECT_TRUE(job.bookings.empty());  // the tasks fit now, so that no later start is booked
   EXPECT_EQ(job.late_tasks, 0U);
   confirm();
   EXPECT_TRUE(plan());
--- a/tests/unit/scheduling_queue_test.cpp
+++ b/tests/unit/scheduling_queue_test.cpp
@@ -29,8 +29,8 @@
   urgent.priority = wire::Priority::high;
   add_job(urgent);
   EXPECT_EQ(order(), JobNames({"j-000002", "j-000001"}));
-  EXPECT_TRUE(cluster_.jobs.at(JobId("j-000001")).borrowed);
-  EXPECT_FALSE(cluster_.jobs.at(JobId("j-000002")).borrowed);
+  EXPECT_TRUE(cluster_.jobs.at(JobId("j-000001")).is_over_guarantee);
+  EXPECT_FALSE(cluster_.jobs.at(JobId("j-000002")).is_over_guarantee);
 }
 
 TEST_F(SchedulingQueueTest, JobsOfEqualPriorityAreOrderedBySubmission) {
--- a/tests/unit/task_lifecycle_test.cpp
+++ b/tests/unit/task_lifecycle_test.cpp
@@ -61,7 +61,7 @@
 
 TEST_F(TaskLifecycleTest, SendsStopDirectlyIfNoHeartbeatAnswerDeliversIt) {
   Job& job = add_placed(spec_of("j-000001", 1), 1);
-  allocation_of(job, 0).seen = wire::TaskState::running;
+  allocation_of(job, 0).reported_state = wire::TaskState::running;
   tasks_.stop_task(job, 0, 0);
   EXPECT_TRUE(tasks_.due_direct_stops(now_).empty());
   const auto due = tasks_.due_direct_stops(now_ + Millis(1'500));
@@ -79,7 +79,7 @@
   allocation_of(job, 0).running_since = now_;
   tasks_.confirm_terminated(job, 0, "requested by the test", now_ + Millis(25'000));
   EXPECT_EQ(job.allocation_count, 0U);
-  EXPECT_EQ(job.saved.at(0), Millis(20'000));
+  EXPECT_EQ(job.saved_progress.at(0), Millis(20'000));
 }
 
 TEST_F(TaskLifecycleTest, CancellingDropsAllocationsThatAreNotDurable) {
@@ -95,7 +95,7 @@
 TEST_F(TaskLifecycleTest, LostMemberOfStartedGangEndsTheAttempt) {
   Job& job = add_placed(spec_of("j-000001", 2, wire::JobKind::gang), 2);
   for (const std::uint32_t index : {0U, 1U}) {
-    allocation_of(job, index).seen = wire::TaskState::running;
+    allocation_of(job, index).reported_state = wire::TaskState::running;
     allocation_of(job, index).running_since = now_;
   }
   tasks_.mark_task_lost({job.spec.id, 0}, "requested by the test", now_);
--- a/tests/unit/write_batch_test.cpp
+++ b/tests/unit/write_batch_test.cpp
@@ -22,7 +22,7 @@
   job.spec.job_class = job.spec.team = job.spec.image = "x";
   job.spec.tasks = tasks;
   job.revision = kJobRevision;
-  job.shown = kNow;
+  job.counts_written_at = kNow;
   job.shards.resize(state::shard_count(tasks));
   for (std::uint32_t shard = 0; shard < job.shards.size(); ++shard) {
     job.shards[shard].done.resize(state::shard_size(tasks, shard));
@@ -63,7 +63,7 @@
   job.shards[1].revision = Revision(9);
   builder.add_update(job, 0, kNow);
   builder.add_update(job, 1, kNow);
-  EXPECT_TRUE(job.shards[0].recorded && job.shards[1].recorded);
+  EXPECT_TRUE(job.shards[0].may_have_record && job.shards[1].may_have_record);
   const WriteBatch batch = builder.take();
   EXPECT_EQ(changed_keys(batch), (Keys{"set part/j-000001/0", "set part/j-000001/1"}));
   EXPECT_EQ(required_keys(batch), (Keys{"lead/term@7", "live/j-000001@11", "part/j-000001/0@0", "part/j-000001/1@9"}));
@@ -76,8 +76,8 @@
   builder.add_update(job, 1, kNow + constants::kDisplayedCountsInterval);
   const WriteBatch batch = builder.take();
   EXPECT_EQ(changed_keys(batch), (Keys{"set part/j-000001/0", "set live/j-000001", "set part/j-000001/1"}));
-  EXPECT_TRUE(batch.items[0].header);
-  EXPECT_FALSE(batch.items[1].header);
+  EXPECT_TRUE(batch.items[0].writes_job_record);
+  EXPECT_FALSE(batch.items[1].writes_job_record);
 }
 
 TEST(WriteBatchBuilder, FinishOfAShardedJobWritesATerminatingRecord) {
@@ -90,19 +90,19 @@
 
 TEST(WriteBatchBuilder, RemovalIsSplitByTheChangeLimitAndEndsWithTheTerminatingRecord) {
   Job job = make_job(8 * constants::kTasksPerShard);
-  for (JobShard& shard : job.shards) shard.recorded = true;
+  for (JobShard& shard : job.shards) shard.may_have_record = true;
   WriteBatchBuilder first(kTermRevision, kMaxChanges);
   first.add_removal(job);
   const WriteBatch some = first.take();
-  EXPECT_EQ(some.items[0].removed_parts, (std::vector<std::uint32_t>{0, 1, 2, 3, 4}));
-  EXPECT_FALSE(some.items[0].removes_last);
-  for (const std::uint32_t shard : some.items[0].removed_parts) job.shards[shard].recorded = false;
+  EXPECT_EQ(some.items[0].removed_shards, (std::vector<std::uint32_t>{0, 1, 2, 3, 4}));
+  EXPECT_FALSE(some.items[0].removes_last_record);
+  for (const std::uint32_t shard : some.items[0].removed_shards) job.shards[shard].may_have_record = false;
   WriteBatchBuilder second(kTermRevision, kMaxChanges);
   second.add_removal(job);
   const WriteBatch rest = second.take();
   EXPECT_EQ(changed_keys(rest), (Keys{"remove part/j-000001/5", "remove part/j-000001/6", "remove part/j-000001/7",
                                       "remove linger/j-000001"}));
-  EXPECT_TRUE(rest.items[0].removes_last);
+  EXPECT_TRUE(rest.items[0].removes_last_record);
 }
 
 TEST(WriteBatchBuilder, HasRoomUpToTheChangeLimit) {
