--- a/src/control/deadline_planner.cpp
+++ b/src/control/deadline_planner.cpp
@@ -102,7 +102,8 @@
   work.late_tasks =
       work.waiting_tasks - std::min(work.waiting_tasks, count_tasks_booked_by(context.cluster.planner, job, deadline));
   if (const config::Team* team = context.cluster.settings.team(job.spec.team); team != nullptr) {
-    work.remaining_quota = TeamQuota(*team).remaining_tasks(job.task_resources, context.cluster.jobs.team_use(job.spec.team));
+    work.remaining_quota =
+        TeamQuota(*team).remaining_tasks(job.task_resources, context.cluster.jobs.team_use(job.spec.team));
   }
   if (const classes::Rank* rank = context.ranking.find(job.spec.id); rank != nullptr && context.ranking.on()) {
     work.held_by_class_cap = rank->capped;
